--- a/crates/sedgehill-peer/src/lib.rs
+++ b/crates/sedgehill-peer/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use identity::{IdentityError, PeerIdentity};
 pub use link::{PeerError, PeerLink, PeerRequest};
-pub use message::{ClaimSight, PeerMessage};
+pub use message::{ClaimStatus, PeerMessage};
--- a/crates/sedgehill-peer/src/link.rs
+++ b/crates/sedgehill-peer/src/link.rs
@@ -84,7 +84,7 @@
     }
 
     /// Connections of others that were refused, for a wrong certificate or another fault.
-    pub fn refused(&self) -> u64 {
+    pub fn refused_connections(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
--- a/crates/sedgehill-peer/src/message.rs
+++ b/crates/sedgehill-peer/src/message.rs
@@ -21,12 +21,12 @@
         key: IdempotencyKey,
     },
     /// What the box knows of a key.
-    ClaimReply(ClaimSight),
+    ClaimReply(ClaimStatus),
 }
 
 /// What is known of a key of a once-only request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimSight {
+pub enum ClaimStatus {
     /// It is claimed, or a claim is on its way: its request may have run.
     Claimed,
     /// No request ran under it.
--- a/crates/sedgehilld/src/cell/accept.rs
+++ b/crates/sedgehilld/src/cell/accept.rs
@@ -203,7 +203,7 @@
             }
             Err(error) => {
                 warn!(host.log, "append failed"; "records" => records.len(), "error" => %error);
-                doubtful |= !error.is_surely_not_done();
+                doubtful |= !error.is_not_done();
                 if !doubtful {
                     return AcceptOutcome::NotDone;
                 }
--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -14,7 +14,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use sedgehill_adapter::api_key::decode_key;
 use sedgehill_adapter::caller::{
-    CallerAnswer, CallerRequest, decode_patience, decode_request, decode_submission, encode_answer,
+    CallerAnswer, CallerRequest, decode_timeout, decode_request, decode_submission, encode_answer,
     encode_ready,
 };
 use sedgehill_adapter::config::{CellConfig, QueueRoute};
@@ -90,12 +90,12 @@
             false => CallerAnswer::NotDone(RETRY_AFTER),
         };
     };
-    let patience = decode_patience(&parts.headers).unwrap_or(DEFAULT_PATIENCE);
+    let patience = decode_timeout(&parts.headers).unwrap_or(DEFAULT_PATIENCE);
     let patience = patience.saturating_sub(ANSWER_RESERVE).min(ACCEPT_LIMIT);
     let caller = match identify(host, &config, route, &parts.headers) {
         Ok(caller) => caller,
         Err(answer) => {
-            drain(body, config.body_bytes).await;
+            drain(body, config.max_body_bytes).await;
             telemetry::count_caller_answer("refused", answer.name());
             info!(host.log, "call refused"; "method" => %parts.method, "queue" => %route.queue,
                 "config" => config.version, "config_age_ms" => age_of(host), "answer" => ?answer);
@@ -242,7 +242,7 @@
 ) -> CallerAnswer {
     let host = &desk.host;
     let JobSubmission { id, route, config, .. } = *submission;
-    let body_bytes = config.body_bytes;
+    let body_bytes = config.max_body_bytes;
     let reading = Limited::new(body, body_bytes).collect();
     let body = match tokio::time::timeout(RECEIVE_LIMIT, reading).await {
         Ok(Ok(body)) => body.to_bytes(),
--- a/crates/sedgehilld/src/cell/follow.rs
+++ b/crates/sedgehilld/src/cell/follow.rs
@@ -196,7 +196,7 @@
     let newest = match relaying_session(host, topic) {
         Some(session) => session.newest_relayed(topic).await?,
         None => {
-            let newest = host.clients.store.newest(topic, NEWEST_LIMIT).await?;
+            let newest = host.clients.store.read_newest(topic, NEWEST_LIMIT).await?;
             host.store_contact.note_answer();
             newest
         }
@@ -259,7 +259,7 @@
             let reading = host.clients.store.read(topic, offset, wait, limits);
             let outcome = tokio::select! {
                 outcome = host.store_contact.unless_regained(reading) => outcome?,
-                () = host.clients.store.wait_for_silence() => {
+                () = host.clients.store.wait_for_replacement() => {
                     return Err(CallError::Unknown("the connection fell silent".to_owned()));
                 }
             };
--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -98,7 +98,7 @@
     let limit = host.store_patience.borrow().limit();
     let limits = copy_limits(host);
     let mut first = std::pin::pin!(append_within(host, call, limits));
-    if let Ok(result) = tokio::time::timeout_at(limits.doubt_at(), first.as_mut()).await {
+    if let Ok(result) = tokio::time::timeout_at(limits.suspect_at(), first.as_mut()).await {
         return (AnsweredCopy::First, result);
     }
     let usual = host.store_patience.borrow().usual();
--- a/crates/sedgehilld/src/cell/late.rs
+++ b/crates/sedgehilld/src/cell/late.rs
@@ -26,7 +26,7 @@
     late: impl FnOnce(T) + 'static,
 ) -> Option<T> {
     let mut call = Box::pin(call);
-    match tokio::time::timeout_at(limits.doubt_at(), call.as_mut()).await {
+    match tokio::time::timeout_at(limits.suspect_at(), call.as_mut()).await {
         Ok(answer) => Some(answer),
         Err(_) => {
             tokio::task::spawn_local(async move { late(call.await) });
--- a/crates/sedgehilld/src/cell/link.rs
+++ b/crates/sedgehilld/src/cell/link.rs
@@ -236,7 +236,7 @@
                 tokio::task::spawn_local(async move {
                     let answer = orders::ask_service(&host, &question).await;
                     let valid = answer.as_ref().map_or(TimeSpan(0), |answer| answer.valid);
-                    let good = answer.map(|answer| answer.good);
+                    let good = answer.map(|answer| answer.allowed);
                     // Without a link nobody waits for the answer.
                     let _ = outbox.send(PeerFrame::Answer { question, good, valid }).await;
                 });
--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -144,7 +144,7 @@
 /// Hands an answer to the scheduler.
 pub fn take_advice(session: &LeadSession, question: &AdviceQuestion, answer: Option<AdviceAnswer>) {
     let (good, valid) = match answer {
-        Some(answer) => (Some(answer.good), answer.valid),
+        Some(answer) => (Some(answer.allowed), answer.valid),
         None => (None, TimeSpan(0)),
     };
     session.scheduler.borrow_mut().advice_answered(question, good, valid, clock::now());
--- a/crates/sedgehilld/src/cell/peers.rs
+++ b/crates/sedgehilld/src/cell/peers.rs
@@ -144,7 +144,7 @@
             PeerFrame::Answer { question, good, valid } => {
                 let asked =
                     AdviceQuestion { helper, step: question.step, workers: question.workers };
-                let answer = good.map(|good| AdviceAnswer { good, valid });
+                let answer = good.map(|good| AdviceAnswer { allowed: good, valid });
                 orders::take_advice(session, &asked, answer);
             }
             PeerFrame::Submit { number, job, statement } => {
--- a/crates/sedgehilld/src/cell/roster.rs
+++ b/crates/sedgehilld/src/cell/roster.rs
@@ -6,7 +6,7 @@
 
 use sedgehill_adapter::store::StoreTopic;
 use sedgehill_adapter::worker::WorkerTarget;
-use sedgehill_adapter::worker_list::{ListReader, ListReading};
+use sedgehill_adapter::worker_list::{EntryReader, EntryReading};
 use sedgehill_cell::scheduler::{HoldOrder, HoldReport, WorkerAnswer, WorkerKey};
 use sedgehill_core::units::{Moment, TimeSpan};
 use slog::{info, warn};
@@ -33,17 +33,17 @@
     let roster = host.replica.borrow().roster().clone();
     let known = session.scheduler.borrow_mut().add_roster(&roster, clock::now());
     watch_all(host, session, known);
-    let mut reader = ListReader::new(addresses_of_others(host));
+    let mut reader = EntryReader::new(addresses_of_others(host));
     loop {
         let reading = match session.relays() {
             true => session.newest_relayed(StoreTopic::Workers).await,
-            false => host.clients.store.newest(StoreTopic::Workers, LIST_LIMIT).await,
+            false => host.clients.store.read_newest(StoreTopic::Workers, LIST_LIMIT).await,
         };
         match reading {
             Ok(newest) => {
                 let reading = reader.read(&newest.records);
                 tell_unreadable(host, &reading);
-                let ListReading { entries, unreadable, .. } = reading;
+                let EntryReading { entries, unreadable, .. } = reading;
                 let now = clock::now();
                 let new = session.scheduler.borrow_mut().update_workers(entries, &unreadable, now);
                 watch_all(host, session, new);
@@ -63,12 +63,12 @@
 }
 
 /// Tells once of each entry that it cannot be read, and once that it can again or is gone.
-fn tell_unreadable(host: &CellBox, reading: &ListReading) {
-    for (worker, error) in &reading.worse {
+fn tell_unreadable(host: &CellBox, reading: &EntryReading) {
+    for (worker, error) in &reading.newly_unreadable {
         telemetry::count_unreadable_entry(error.name());
         warn!(host.log, "worker entry not readable"; "worker" => worker, "error" => %error);
     }
-    for worker in &reading.mended {
+    for worker in &reading.recovered {
         info!(host.log, "worker entry readable or gone"; "worker" => worker);
     }
 }
@@ -103,7 +103,7 @@
     }
     session.scheduler.borrow_mut().unwatch(key);
     if !session.scheduler.borrow().watches_address(target.address) {
-        host.clients.http.forget(target.address);
+        host.clients.http.close_idle(target.address);
     }
 }
 
@@ -168,7 +168,7 @@
     let answer = tokio::select! {
         answer = late::wait_for(calling, waiting_limits, take_late) => answer,
         // Asked again on a new connection, the worker may answer at once.
-        () = host.clients.http.wait_for_silence(target.address) => return true,
+        () = host.clients.http.wait_for_replacement(target.address) => return true,
     };
     let answer = answer.unwrap_or(WorkerAnswer::Unknown);
     let answered = matches!(answer, WorkerAnswer::Done(_));
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -10,7 +10,7 @@
 use sedgehill_adapter::error::CallError;
 use sedgehill_adapter::http_client::HttpClient;
 use sedgehill_adapter::store::{StoreClient, StoreTopic};
-use sedgehill_adapter::worker::{MalformedReport, WorkerClient};
+use sedgehill_adapter::worker::{MalformedHandler, WorkerClient};
 use sedgehill_cell::authority::LeadWatch;
 use sedgehill_cell::ids::{JobId, OrganisationName, QueueName};
 use sedgehill_cell::patience::{CallPatience, STORE_PATIENCE};
@@ -218,7 +218,7 @@
 const READING_DEFERRED: TimeSpan = TimeSpan(2_500);
 
 /// Tells of answers of workers that cannot be read.
-fn report_malformed(log: Logger) -> MalformedReport {
+fn report_malformed(log: Logger) -> MalformedHandler {
     Rc::new(move |target, error| {
         warn!(log, "worker's answer not readable"; "worker" => %target.life, "address" => %target.address,
             "error" => %error);
@@ -229,7 +229,7 @@
     /// Shares the state of a box that knows nothing yet.
     pub fn new(settings: CellSettings, log: Logger) -> CellBox {
         let life = rand::random();
-        let http = HttpClient::with_idle(settings.descriptors / IDLE_PART);
+        let http = HttpClient::with_max_idle(settings.descriptors / IDLE_PART);
         let clients = PlatformClients {
             store: StoreClient::new(http.clone(), settings.store),
             workers: WorkerClient::new(http.clone(), report_malformed(log.clone())),
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -23,7 +23,7 @@
 use sedgehill_core::place::HallPlacer;
 use sedgehill_core::state::{ClusterState, LogFold, VoidReason};
 use sedgehill_core::units::{Moment, TimeSpan};
-use sedgehill_peer::{ClaimSight, PeerLink, PeerRequest};
+use sedgehill_peer::{ClaimStatus, PeerLink, PeerRequest};
 use sedgehill_platform::admin::{ChangeReply, ChangeRequest, DecisionRecord};
 use sedgehill_platform::caller::JsonCaller;
 use sedgehill_platform::list::PlatformList;
@@ -70,7 +70,7 @@
         /// When its request came.
         since: Moment,
         /// Where the answer goes.
-        reply: oneshot::Sender<ClaimSight>,
+        reply: oneshot::Sender<ClaimStatus>,
     },
     /// Give a claim back.
     ReleaseKey {
@@ -143,12 +143,12 @@
         organisation: OrgName,
         key: IdempotencyKey,
         since: Moment,
-    ) -> ClaimSight {
+    ) -> ClaimStatus {
         let (reply, replied) = oneshot::channel();
         let request = ControlRequest::FindClaim { organisation, key, since, reply };
         match self.sender.try_send(request) {
-            Ok(()) => replied.await.unwrap_or(ClaimSight::Untold),
-            Err(_) => ClaimSight::Untold,
+            Ok(()) => replied.await.unwrap_or(ClaimStatus::Untold),
+            Err(_) => ClaimStatus::Untold,
         }
     }
 
--- a/crates/sedgehilld/src/controllers/proof.rs
+++ b/crates/sedgehilld/src/controllers/proof.rs
@@ -10,7 +10,7 @@
 use sedgehill_core::ids::{BoxId, IdempotencyKey, Incarnation, OrgName};
 use sedgehill_core::record::RecordBody;
 use sedgehill_core::units::{Moment, TimeSpan};
-use sedgehill_peer::{ClaimSight, PeerMessage};
+use sedgehill_peer::{ClaimStatus, PeerMessage};
 use sedgehill_platform::log::LogClient;
 use slog::info;
 use tokio::sync::oneshot;
@@ -82,14 +82,14 @@
     organisation: &OrgName,
     key: IdempotencyKey,
     since: Moment,
-) -> ClaimSight {
+) -> ClaimStatus {
     let proven = prove(context, since).await;
     let own = own_sight(&context.state.borrow(), organisation, key);
     let sight = match own {
-        ClaimSight::Claimed => ClaimSight::Claimed,
-        _ if proven => ClaimSight::Free,
-        ClaimSight::Untold => ClaimSight::Untold,
-        ClaimSight::Free => ask_peers(context, organisation, key).await,
+        ClaimStatus::Claimed => ClaimStatus::Claimed,
+        _ if proven => ClaimStatus::Free,
+        ClaimStatus::Untold => ClaimStatus::Untold,
+        ClaimStatus::Free => ask_peers(context, organisation, key).await,
     };
     info!(context.shared.log.logger, "key looked up"; "organisation" => %organisation, "key" => %key,
         "sight" => format!("{sight:?}"), "log_read" => proven,
@@ -99,7 +99,7 @@
 
 /// What this box knows by itself of a key. One that has started since the key was made may have claimed it in an
 /// earlier life, and cannot tell unless it has read the log.
-pub fn own_sight(state: &ControlState, organisation: &OrgName, key: IdempotencyKey) -> ClaimSight {
+pub fn own_sight(state: &ControlState, organisation: &OrgName, key: IdempotencyKey) -> ClaimStatus {
     let claims = |cluster: &sedgehill_core::state::ClusterState| {
         let claims = cluster.claims.get(organisation)?;
         claims.get(&key).map(|claim| !claim.released)
@@ -110,11 +110,11 @@
             if owner == organisation && *pending == key)
     });
     if is_claimed || is_pending {
-        return ClaimSight::Claimed;
+        return ClaimStatus::Claimed;
     }
     match state.incarnation <= Incarnation(key.made_at_ms()) {
-        true => ClaimSight::Free,
-        false => ClaimSight::Untold,
+        true => ClaimStatus::Free,
+        false => ClaimStatus::Untold,
     }
 }
 
@@ -123,7 +123,7 @@
     context: &ControlContext,
     organisation: &OrgName,
     key: IdempotencyKey,
-) -> ClaimSight {
+) -> ClaimStatus {
     let message = PeerMessage::ClaimRequest { organisation: organisation.clone(), key };
     let peers: Vec<(BoxId, std::net::SocketAddr)> =
         super::members::peer_addresses(&context.state.borrow());
@@ -135,13 +135,13 @@
             match tokio::time::timeout(PEER_LIMIT, question).await {
                 Ok(Ok(PeerMessage::ClaimReply(sight))) => sight,
                 // A box that is silent may have claimed it.
-                _ => ClaimSight::Untold,
+                _ => ClaimStatus::Untold,
             }
         });
     }
     let sights = questions.join_all().await;
-    [ClaimSight::Claimed, ClaimSight::Untold]
+    [ClaimStatus::Claimed, ClaimStatus::Untold]
         .into_iter()
         .find(|sight| sights.contains(sight))
-        .unwrap_or(ClaimSight::Free)
+        .unwrap_or(ClaimStatus::Free)
 }
--- a/crates/sedgehilld/src/filters/claim.rs
+++ b/crates/sedgehilld/src/filters/claim.rs
@@ -3,7 +3,7 @@
 use sedgehill_core::ids::{IdempotencyKey, OrgName, RecordId};
 use sedgehill_core::state::VoidReason;
 use sedgehill_core::units::Moment;
-use sedgehill_peer::ClaimSight;
+use sedgehill_peer::ClaimStatus;
 
 use super::identify::RequestContext;
 use super::outcome::{NotRunReason, RequestOutcome, UnknownReason};
@@ -38,9 +38,9 @@
         return outcome;
     };
     match handle.find_claim(organisation, key, arrived).await {
-        ClaimSight::Free => outcome,
-        ClaimSight::Claimed => RequestOutcome::Unknown(UnknownReason::KeyClaimed),
-        ClaimSight::Untold => RequestOutcome::Unknown(UnknownReason::KeyUnread),
+        ClaimStatus::Free => outcome,
+        ClaimStatus::Claimed => RequestOutcome::Unknown(UnknownReason::KeyClaimed),
+        ClaimStatus::Untold => RequestOutcome::Unknown(UnknownReason::KeyUnread),
     }
 }
 
