--- a/crates/sedgehill-net/src/lib.rs
+++ b/crates/sedgehill-net/src/lib.rs
@@ -1,3 +1,3 @@
-//! What boxes need of sockets beyond what the libraries do.
+//! Socket operations that boxes need and the socket libraries do not provide.
 
 pub mod listener;
--- a/crates/sedgehill-net/tests/testsuite/listener.rs
+++ b/crates/sedgehill-net/tests/testsuite/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners that are closed while callers connect.
+//! Listeners that are closed while clients connect.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,13 +10,13 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Listeners that are closed.
+/// Number of listeners that are closed.
 const CLOSES: usize = 12;
-/// Callers that connect meanwhile, each from a thread of its own.
-const CALLERS: usize = 24;
+/// Number of clients that connect meanwhile, each from its own thread.
+const CLIENTS: usize = 24;
 
-/// Connects and exchanges a byte, again and again, until no connection can be made. Returns why one that was made
-/// ended without its answer.
+/// Repeatedly connects and exchanges a byte, until a connection is refused. Returns the error if an established
+/// connection ends without its answer.
 fn connect_until_refused(address: SocketAddr) -> Option<std::io::Error> {
     loop {
         let mut stream = TcpStream::connect(address).ok()?;
@@ -27,39 +27,45 @@
     }
 }
 
-fn answer(mut stream: tokio::net::TcpStream) {
+/// Answers a connection with the byte that it sends.
+fn echo_byte(mut stream: tokio::net::TcpStream) {
     tokio::spawn(async move {
         let mut byte = [0; 1];
         if stream.read_exact(&mut byte).await.is_ok() {
-            // A caller that is gone has no use for it.
+            // An error means that the client is gone.
             let _ = stream.write_all(&byte).await;
         }
     });
 }
 
-/// Closing a listener resets the connections that wait in its queue. A look at the queue just before does not help: one
-/// more may come in between. Callers of a box that was stopping were told "Connection reset by peer".
+/// Closing a listener resets the connections in its queue, also if the queue is emptied just before: another connection
+/// may arrive in between. Callers of a stopping box got "Connection reset by peer".
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_listener_that_closes_resets_no_connection() {
-    let mut reset = Vec::new();
+async fn closing_a_listener_resets_no_connection() {
+    let mut errors = Vec::new();
     for _ in 0..CLOSES {
-        reset.extend(close_under_load().await);
+        errors.extend(close_under_load().await);
     }
-    assert!(reset.is_empty(), "{} connections of {CLOSES} closes: {:?}", reset.len(), reset[0]);
+    assert!(
+        errors.is_empty(),
+        "{} connections failed in {CLOSES} closes: {:?}",
+        errors.len(),
+        errors[0]
+    );
 }
 
-/// Closes a listener under callers. Returns how those ended that got no answer on a connection.
+/// Closes a listener while clients connect. Returns the errors of connections that got no answer.
 async fn close_under_load() -> Vec<std::io::Error> {
     let log = Logger::root(Discard, o!());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let mut callers = JoinSet::new();
-    for _ in 0..CALLERS {
-        callers.spawn_blocking(move || connect_until_refused(address));
+    let mut clients = JoinSet::new();
+    for _ in 0..CLIENTS {
+        clients.spawn_blocking(move || connect_until_refused(address));
     }
-    let busy = accept_all(&listener, &answer);
-    // It ends by the time alone.
-    let _ = tokio::time::timeout(Duration::from_millis(20), busy).await;
-    close(&log, listener, answer).await;
-    callers.join_all().await.into_iter().flatten().collect()
+    let accepting = accept_all(&listener, &echo_byte);
+    // Always runs into the time-out, since `accept_all` never returns.
+    let _ = tokio::time::timeout(Duration::from_millis(20), accepting).await;
+    close(&log, listener, echo_byte).await;
+    clients.join_all().await.into_iter().flatten().collect()
 }
--- a/crates/sedgehill-net/tests/testsuite/main.rs
+++ b/crates/sedgehill-net/tests/testsuite/main.rs
@@ -1,3 +1,3 @@
-//! Sockets of this machine, under callers that connect without a pause.
+//! Tests with real sockets, under clients that connect continuously.
 
 mod listener;
