--- a/crates/sedgehill-peer/src/identity.rs
+++ b/crates/sedgehill-peer/src/identity.rs
@@ -1,4 +1,4 @@
-//! The certificates by which boxes know each other.
+//! The certificates with which boxes authenticate each other.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 
-/// The application protocol that both sides must name.
+/// The ALPN protocol that both sides of a connection must offer.
 const PROTOCOL: &[u8] = b"sedgehill/1";
 
 quick_error! {
-    /// Why a box has no usable identity.
+    /// Why the identity of a box cannot be used.
     #[derive(Debug)]
     pub enum IdentityError {
         /// A file could not be read as PEM.
@@ -22,14 +22,14 @@
             display("could not read {}: {cause}", path.display())
             source(cause)
         }
-        /// The certificates and keys do not go together.
+        /// The certificate, the key and the authority do not match, or are not accepted by the TLS library.
         Mismatch(cause: String) {
-            display("certificate, key and authority do not go together: {cause}")
+            display("certificate, key and authority do not match: {cause}")
         }
     }
 }
 
-/// A box's certificate, its key, and the authority that signs the certificates of all boxes.
+/// A box's certificate chain and private key, and the authority that signs the certificates of all boxes.
 #[derive(Debug)]
 pub struct PeerIdentity {
     chain: Vec<CertificateDer<'static>>,
@@ -54,7 +54,7 @@
         Ok(PeerIdentity { chain, key: key_der, roots: Arc::new(roots) })
     }
 
-    /// What this box shows to those that connect to it, and asks of them.
+    /// Builds the TLS configuration for incoming connections, with certificates required of both sides.
     pub(crate) fn server_config(&self) -> Result<QuicServerConfig, IdentityError> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let verifier =
@@ -71,7 +71,7 @@
         QuicServerConfig::try_from(config).map_err(mismatch)
     }
 
-    /// What this box shows to those that it connects to, and asks of them.
+    /// Builds the TLS configuration for outgoing connections, with certificates required of both sides.
     pub(crate) fn client_config(&self) -> Result<QuicClientConfig, IdentityError> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let mut config = rustls::ClientConfig::builder_with_provider(provider)
@@ -90,6 +90,9 @@
 }
 
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, IdentityError> {
-    let file = |error| IdentityError::File(path.to_owned(), error);
-    CertificateDer::pem_file_iter(path).map_err(file)?.collect::<Result<Vec<_>, _>>().map_err(file)
+    let file_error = |error| IdentityError::File(path.to_owned(), error);
+    CertificateDer::pem_file_iter(path)
+        .map_err(file_error)?
+        .collect::<Result<Vec<_>, _>>()
+        .map_err(file_error)
 }
--- a/crates/sedgehill-peer/src/lib.rs
+++ b/crates/sedgehill-peer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages between boxes, over QUIC with mutual certificates.
 //!
-//! Boxes tell each other what speeds things up: heartbeats, news of leaving endpoints, snapshots
-//! for a box that starts while the log is down. Nothing is agreed here; that is the log's part.
+//! The messages only speed things up: heartbeats, notices of leaving endpoints, lookups of claimed keys, and
+//! snapshots for a box that starts while the log is unavailable. Boxes agree on state through the log alone.
 
 mod identity;
 mod link;
--- a/crates/sedgehill-peer/src/link.rs
+++ b/crates/sedgehill-peer/src/link.rs
@@ -1,4 +1,4 @@
-//! Sends messages to peers and takes in theirs.
+//! Sends messages to peers and receives theirs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,47 +15,47 @@
 use crate::identity::{IdentityError, PeerIdentity};
 use crate::message::PeerMessage;
 
-/// The largest heartbeat or request that is read, in bytes.
+/// Maximum size of a received heartbeat or request, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// The largest snapshot that is read, in bytes.
+/// Maximum size of a received answer, in bytes. The largest answers are snapshots.
 const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
-/// How long a peer may take to connect or answer.
-const PEER_LIMIT: Duration = Duration::from_secs(2);
-/// Messages that wait for the control thread before further ones are dropped.
-const INBOX_LENGTH: usize = 256;
+/// Time limit of an exchange with a peer, which includes connecting to it.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of received messages that wait for the control thread. Further ones are dropped.
+const INBOX_CAPACITY: usize = 256;
 
 quick_error! {
-    /// Why peers cannot be reached.
+    /// Why a box cannot exchange messages with its peers.
     #[derive(Debug)]
     pub enum PeerError {
-        /// The identity is not usable.
+        /// The identity of this box cannot be used.
         Identity(cause: IdentityError) {
             from()
-            display("no usable identity")
+            display("the identity of this box cannot be used")
             source(cause)
         }
-        /// The address cannot be listened on.
+        /// The endpoint cannot be bound to the address.
         Bind(address: SocketAddr, cause: std::io::Error) {
             display("could not listen on {address}")
             source(cause)
         }
-        /// The peer could not be reached or did not answer.
+        /// The peer could not be reached, or sent no valid answer in time.
         Unreachable(cause: String) {
             display("peer not reached: {cause}")
         }
     }
 }
 
-/// A message of a peer, and where its answer goes if it asks for one.
+/// A message received from a peer.
 #[derive(Debug)]
 pub struct PeerRequest {
     /// The message.
     pub message: PeerMessage,
-    /// Where the answer goes.
+    /// Takes the answer; `None` if the message is not answered.
     pub reply: Option<oneshot::Sender<PeerMessage>>,
 }
 
-/// This box's end of all links to peers.
+/// The QUIC endpoint of this box, with its connections to peers. Clones share the endpoint and the connections.
 #[derive(Debug, Clone)]
 pub struct PeerLink {
     endpoint: Endpoint,
@@ -64,7 +64,7 @@
 }
 
 impl PeerLink {
-    /// Listens on `address`; messages of peers come out of the receiver.
+    /// Listens on `address`. Returns the link and a receiver of the messages that peers send.
     pub fn bind(
         address: SocketAddr,
         identity: &PeerIdentity,
@@ -76,19 +76,19 @@
         let mut endpoint =
             Endpoint::server(server, address).map_err(|error| PeerError::Bind(address, error))?;
         endpoint.set_default_client_config(client);
-        let (sender, receiver) = mpsc::channel(INBOX_LENGTH);
+        let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
         let refused = Arc::new(AtomicU64::new(0));
         tokio::spawn(accept_peers(endpoint.clone(), sender, refused.clone()));
         let link = PeerLink { endpoint, connections: Arc::default(), refused };
         Ok((link, receiver))
     }
 
-    /// Connections of others that were refused, for a wrong certificate or another fault.
+    /// Returns the number of incoming connections that were refused, for an invalid certificate or another error.
     pub fn refused_connections(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
-    /// Sends a message that is not answered.
+    /// Sends a message without waiting for an answer.
     pub async fn send(
         &self,
         peer: &BoxId,
@@ -101,10 +101,10 @@
             stream.write_all(&message.encode()).await.map_err(unreachable)?;
             stream.finish().map_err(unreachable)
         };
-        self.limited(address, exchange).await
+        self.with_timeout(address, exchange).await
     }
 
-    /// Sends a message and reads its answer.
+    /// Sends a message and returns its answer.
     pub async fn request(
         &self,
         peer: &BoxId,
@@ -119,41 +119,55 @@
             let bytes = receiver.read_to_end(MAX_SNAPSHOT_BYTES).await.map_err(unreachable)?;
             PeerMessage::decode(&bytes).ok_or_else(|| unreachable("not a message"))
         };
-        self.limited(address, exchange).await
+        self.with_timeout(address, exchange).await
     }
 
-    /// Bounds an exchange in time, and drops the connection if the exchange fails.
-    async fn limited<R>(
+    /// Bounds the time of an exchange, and drops the connection to `address` if the exchange fails.
+    async fn with_timeout<R>(
         &self,
         address: SocketAddr,
         exchange: impl Future<Output = Result<R, PeerError>>,
     ) -> Result<R, PeerError> {
-        let result = match tokio::time::timeout(PEER_LIMIT, exchange).await {
+        let result = match tokio::time::timeout(PEER_TIMEOUT, exchange).await {
             Ok(result) => result,
             Err(_) => Err(unreachable("timed out")),
         };
         if result.is_err() {
-            self.connections.lock().expect("no holder panics").remove(&address);
+            self.connections
+                .lock()
+                .expect("no thread panics while it holds the lock")
+                .remove(&address);
         }
         result
     }
 
+    /// Returns the open connection to `address`, or opens one.
     async fn connect(&self, peer: &BoxId, address: SocketAddr) -> Result<Connection, PeerError> {
-        let held = self.connections.lock().expect("no holder panics").get(&address).cloned();
-        if let Some(connection) = held.filter(|held| held.close_reason().is_none()) {
+        let existing = self
+            .connections
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .get(&address)
+            .cloned();
+        if let Some(connection) = existing.filter(|connection| connection.close_reason().is_none())
+        {
             return Ok(connection);
         }
         let connecting = self.endpoint.connect(address, peer.as_str()).map_err(unreachable)?;
         let connection = connecting.await.map_err(unreachable)?;
-        self.connections.lock().expect("no holder panics").insert(address, connection.clone());
+        self.connections
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .insert(address, connection.clone());
         Ok(connection)
     }
 }
 
 fn transport() -> Arc<TransportConfig> {
     let mut config = TransportConfig::default();
-    let idle = Duration::from_secs(5).try_into().expect("within range");
-    config.max_idle_timeout(Some(idle));
+    let idle_timeout =
+        Duration::from_secs(5).try_into().expect("5 s is within the range of idle time-outs");
+    config.max_idle_timeout(Some(idle_timeout));
     Arc::new(config)
 }
 
@@ -180,32 +194,32 @@
         refused.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    let notices = serve_notices(connection.clone(), sender.clone());
+    let messages = serve_messages(connection.clone(), sender.clone());
     let requests = serve_requests(connection, sender);
-    tokio::join!(notices, requests);
+    tokio::join!(messages, requests);
 }
 
-async fn serve_notices(connection: Connection, sender: mpsc::Sender<PeerRequest>) {
+async fn serve_messages(connection: Connection, sender: mpsc::Sender<PeerRequest>) {
     while let Ok(mut stream) = connection.accept_uni().await {
         let Ok(bytes) = stream.read_to_end(MAX_MESSAGE_BYTES).await else { continue };
         if let Some(message) = PeerMessage::decode(&bytes) {
-            // A full inbox drops the message: heartbeats come again.
+            // The message is dropped if the inbox is full: heartbeats are sent again.
             let _ = sender.try_send(PeerRequest { message, reply: None });
         }
     }
 }
 
 async fn serve_requests(connection: Connection, sender: mpsc::Sender<PeerRequest>) {
-    while let Ok((mut answer, mut question)) = connection.accept_bi().await {
-        let Ok(bytes) = question.read_to_end(MAX_MESSAGE_BYTES).await else { continue };
+    while let Ok((mut answer_stream, mut request_stream)) = connection.accept_bi().await {
+        let Ok(bytes) = request_stream.read_to_end(MAX_MESSAGE_BYTES).await else { continue };
         let Some(message) = PeerMessage::decode(&bytes) else { continue };
-        let (reply, replied) = oneshot::channel();
+        let (reply, answered) = oneshot::channel();
         if sender.try_send(PeerRequest { message, reply: Some(reply) }).is_err() {
             continue;
         }
-        let Ok(message) = replied.await else { continue };
-        if answer.write_all(&message.encode()).await.is_ok() {
-            let _ = answer.finish();
+        let Ok(message) = answered.await else { continue };
+        if answer_stream.write_all(&message.encode()).await.is_ok() {
+            let _ = answer_stream.finish();
         }
     }
 }
