--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -14,7 +14,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use sedgehill_adapter::api_key::decode_key;
 use sedgehill_adapter::caller::{
-    CallerAnswer, CallerRequest, decode_timeout, decode_request, decode_submission, encode_answer,
+    CallerAnswer, CallerRequest, decode_request, decode_submission, decode_timeout, encode_answer,
     encode_ready,
 };
 use sedgehill_adapter::config::{CellConfig, QueueRoute};
--- a/crates/sedgehilld/src/cell/relay.rs
+++ b/crates/sedgehilld/src/cell/relay.rs
@@ -304,7 +304,9 @@
             .read(topic, offset, Duration::ZERO, READ_LIMIT.into())
             .await
             .map(RelayAnswer::Read),
-        RelayCall::Newest(topic) => store.read_newest(topic, READ_LIMIT).await.map(RelayAnswer::Newest),
+        RelayCall::Newest(topic) => {
+            store.read_newest(topic, READ_LIMIT).await.map(RelayAnswer::Newest)
+        }
     };
     result.unwrap_or_else(|error| RelayAnswer::Failed(error.to_string()))
 }
--- a/crates/sedgehilld/src/controllers/publish.rs
+++ b/crates/sedgehilld/src/controllers/publish.rs
@@ -137,7 +137,10 @@
     telemetry::set_gauge("sedgehill_log_silent_seconds", state.log_silence(now).0 as f64 / 1000.0);
     telemetry::set_gauge("sedgehill_log_records_pending", state.writer.pending() as f64);
     telemetry::set_gauge("sedgehill_log_lines_dropped", context.shared.log.dropped() as f64);
-    telemetry::set_gauge("sedgehill_peer_connections_refused", context.link.refused_connections() as f64);
+    telemetry::set_gauge(
+        "sedgehill_peer_connections_refused",
+        context.link.refused_connections() as f64,
+    );
     telemetry::set_gauge("sedgehill_requests_in_flight", context.shared.in_flight() as f64);
     telemetry::set_gauge("sedgehill_leads_held", state.placers.len() as f64);
     let double_runs: u64 = state.placers.values().map(|placer| placer.double_runs()).sum();
