--- a/crates/sedgehill-peer/src/lib.rs
+++ b/crates/sedgehill-peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between boxes, over QUIC with mutual certificates.
+//! Messages between boxes, over QUIC with mutual TLS authentication.
 //!
 //! The messages only speed things up: heartbeats, notices of leaving endpoints, lookups of claimed keys, and
 //! snapshots for a box that starts while the log is unavailable. Boxes agree on state through the log alone.
--- a/crates/sedgehill-peer/src/link.rs
+++ b/crates/sedgehill-peer/src/link.rs
@@ -133,22 +133,15 @@
             Err(_) => Err(unreachable("timed out")),
         };
         if result.is_err() {
-            self.connections
-                .lock()
-                .expect("no thread panics while it holds the lock")
-                .remove(&address);
+            self.connections.lock().expect("the lock is not poisoned").remove(&address);
         }
         result
     }
 
     /// Returns the open connection to `address`, or opens one.
     async fn connect(&self, peer: &BoxId, address: SocketAddr) -> Result<Connection, PeerError> {
-        let existing = self
-            .connections
-            .lock()
-            .expect("no thread panics while it holds the lock")
-            .get(&address)
-            .cloned();
+        let existing =
+            self.connections.lock().expect("the lock is not poisoned").get(&address).cloned();
         if let Some(connection) = existing.filter(|connection| connection.close_reason().is_none())
         {
             return Ok(connection);
@@ -157,7 +150,7 @@
         let connection = connecting.await.map_err(unreachable)?;
         self.connections
             .lock()
-            .expect("no thread panics while it holds the lock")
+            .expect("the lock is not poisoned")
             .insert(address, connection.clone());
         Ok(connection)
     }
