--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -56,10 +56,10 @@
 
 /// The bounds of a caller's connection.
 pub const CONNECTION_LIMITS: ConnectionLimits =
-    ConnectionLimits { header_bytes: HEADER_BYTES, headers: None, head_time: None };
+    ConnectionLimits { max_header_bytes: HEADER_BYTES, max_headers: None, header_timeout: None };
 
 /// What a caller is told whose call may cross the end of its idle connection.
-pub fn answer_in_advance() -> Response<Full<Bytes>> {
+pub fn build_idle_response() -> Response<Full<Bytes>> {
     encode_answer(&CallerAnswer::NotDone(RETRY_AFTER))
 }
 
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -25,7 +25,7 @@
 use super::lead_link::LeadLink;
 use super::settings::CellSettings;
 use crate::clock;
-use crate::connection::ConnectionDesk;
+use crate::connection::ConnectionManager;
 
 /// A view of the store that was last proved complete longer ago is not taken as fresh. Reads wait
 /// half a second at the most, so a box in touch proves it more often.
@@ -201,7 +201,7 @@
     /// Rung when the box begins to stop.
     pub stop: Notify,
     /// The connections of callers.
-    pub connections: Arc<ConnectionDesk>,
+    pub connections: Arc<ConnectionManager>,
     /// Distinguishes this process from earlier ones of the box.
     pub life: u64,
     /// When it started.
@@ -236,10 +236,10 @@
             advice: settings.advice.map(|address| AdviceClient::new(http.clone(), address)),
             http,
         };
-        let connections = ConnectionDesk::new(
+        let connections = ConnectionManager::new(
             log.clone(),
             callers::CONNECTION_LIMITS,
-            callers::answer_in_advance,
+            callers::build_idle_response,
         );
         let watch = LeadWatch::new(settings.name.clone(), life, settings.strength, clock::now());
         CellBox {
--- a/crates/sedgehilld/src/cell/stop.rs
+++ b/crates/sedgehilld/src/cell/stop.rs
@@ -44,18 +44,18 @@
 async fn finish(host: &CellBox) {
     let StopTiming { linger, limit } = host.settings.stop;
     let connections = &host.connections;
-    info!(host.log, "stopping"; "connections" => connections.open());
+    info!(host.log, "stopping"; "connections" => connections.open_count());
     host.stopping.set(true);
     host.stop.notify_waiters();
     let begun = clock::now();
-    connections.begin(StopPhase::Noticing);
+    connections.enter_phase(StopPhase::Announcing);
     tokio::time::sleep(linger).await;
-    connections.begin(StopPhase::Ending);
-    let is_over = || connections.open() == 0 && host.session.borrow().is_none();
+    connections.enter_phase(StopPhase::ClosingIdle);
+    let is_over = || connections.open_count() == 0 && host.session.borrow().is_none();
     wait_until(begun, limit.saturating_sub(CLOSING_TIME), is_over).await;
-    connections.begin(StopPhase::Closing);
+    connections.enter_phase(StopPhase::ClosingAllIdle);
     wait_until(begun, limit, is_over).await;
-    info!(host.log, "stopped"; "connections" => connections.open(),
+    info!(host.log, "stopped"; "connections" => connections.open_count(),
         "ended_idle" => connections.ended_idle(), "took_ms" => clock::now().since(begun).as_millis());
 }
 
--- a/crates/sedgehilld/src/connection.rs
+++ b/crates/sedgehilld/src/connection.rs
@@ -32,11 +32,11 @@
 use crate::{clock, telemetry};
 
 /// A caller that pauses for longer between two calls on one connection may meet the answer in advance.
-const IDLE_LIMIT: TimeSpan = TimeSpan(3_500);
+const IDLE_TIMEOUT: TimeSpan = TimeSpan(3_500);
 /// How long a caller has to read the last answer and to close.
-const READING_LIMIT: Duration = Duration::from_millis(1_000);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Between two looks at a connection on which a call is under way.
-const TURN: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How far a planned stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,45 +44,45 @@
     /// The box is not stopping.
     Serving,
     /// Each answer says that its connection ends.
-    Noticing,
+    Announcing,
     /// No connection is taken, and idle ones are ended.
-    Ending,
+    ClosingIdle,
     /// The process is about to end: what is idle is ended at once.
-    Closing,
+    ClosingAllIdle,
 }
 
 /// Bounds of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
     /// The most header bytes of a call. A buffer begins small and grows up to it.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// The most headers of a call; the library's bound if none.
-    pub headers: Option<usize>,
+    pub max_headers: Option<usize>,
     /// How long the head of a call may take to arrive; any time if none.
-    pub head_time: Option<Duration>,
+    pub header_timeout: Option<Duration>,
 }
 
 /// What all connections of callers share.
-pub struct ConnectionDesk {
+pub struct ConnectionManager {
     log: Logger,
     limits: ConnectionLimits,
-    advance: fn() -> Response<Full<Bytes>>,
+    idle_response: fn() -> Response<Full<Bytes>>,
     phase: watch::Sender<StopPhase>,
     open: AtomicUsize,
     ended_idle: AtomicUsize,
 }
 
-impl ConnectionDesk {
+impl ConnectionManager {
     /// A desk without connections. `advance` makes the answer in advance.
     pub fn new(
         log: Logger,
         limits: ConnectionLimits,
-        advance: fn() -> Response<Full<Bytes>>,
-    ) -> Arc<ConnectionDesk> {
-        Arc::new(ConnectionDesk {
+        idle_response: fn() -> Response<Full<Bytes>>,
+    ) -> Arc<ConnectionManager> {
+        Arc::new(ConnectionManager {
             log,
             limits,
-            advance,
+            idle_response,
             phase: watch::Sender::new(StopPhase::Serving),
             open: AtomicUsize::new(0),
             ended_idle: AtomicUsize::new(0),
@@ -90,12 +90,12 @@
     }
 
     /// Begins a phase of the stop.
-    pub fn begin(&self, phase: StopPhase) {
+    pub fn enter_phase(&self, phase: StopPhase) {
         self.phase.send_replace(phase);
     }
 
     /// Open connections, and listeners that take further ones.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
@@ -104,83 +104,84 @@
         self.ended_idle.load(Ordering::SeqCst)
     }
 
-    fn enter(self: &Arc<Self>) -> OpenGuard {
+    fn track(self: &Arc<Self>) -> OpenGuard {
         self.open.fetch_add(1, Ordering::SeqCst);
-        OpenGuard { desk: self.clone() }
+        OpenGuard { manager: self.clone() }
     }
 
     /// Takes connections until the stop has come to its end, and hands each to `spawn`.
     pub async fn accept(self: &Arc<Self>, listener: TcpListener, spawn: impl Fn(CallerConnection)) {
-        let _guard = self.enter();
+        let _guard = self.track();
         let mut phase = self.phase.subscribe();
-        let spawn = |stream| spawn(CallerConnection { stream, guard: self.enter() });
+        let spawn = |stream| spawn(CallerConnection { stream, guard: self.track() });
         tokio::select! {
             () = listener::accept_all(&listener, &spawn) => {}
-            () = reached(&mut phase, StopPhase::Ending) => {}
+            () = wait_for_phase(&mut phase, StopPhase::ClosingIdle) => {}
         }
         listener::close(&self.log, listener, spawn).await;
     }
 }
 
 /// Resolves once a phase has begun.
-async fn reached(phase: &mut watch::Receiver<StopPhase>, wanted: StopPhase) {
+async fn wait_for_phase(phase: &mut watch::Receiver<StopPhase>, wanted: StopPhase) {
     // An error means that the box is gone, which is the end of all phases.
     let _ = phase.wait_for(|now| *now >= wanted).await;
 }
 
 /// Counts a connection as open until it is dropped.
 struct OpenGuard {
-    desk: Arc<ConnectionDesk>,
+    manager: Arc<ConnectionManager>,
 }
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.desk.open.fetch_sub(1, Ordering::SeqCst);
+        self.manager.open.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 /// When calls were under way on a connection.
-struct CallClock {
-    opened: Moment,
+struct CallActivity {
+    opened_at: Moment,
     calls: AtomicUsize,
-    under_way: AtomicBool,
+    call_in_progress: AtomicBool,
     /// Part of an answer waits for the caller to read.
-    blocked: AtomicBool,
+    write_blocked: AtomicBool,
     last: AtomicU64,
 }
 
-impl CallClock {
-    fn new() -> CallClock {
+impl CallActivity {
+    fn new() -> CallActivity {
         let now = clock::now();
-        CallClock {
-            opened: now,
+        CallActivity {
+            opened_at: now,
             calls: AtomicUsize::new(0),
-            under_way: AtomicBool::new(false),
-            blocked: AtomicBool::new(false),
+            call_in_progress: AtomicBool::new(false),
+            write_blocked: AtomicBool::new(false),
             last: AtomicU64::new(now.0),
         }
     }
 
     fn begin(&self) {
         self.calls.fetch_add(1, Ordering::SeqCst);
-        self.under_way.store(true, Ordering::SeqCst);
+        self.call_in_progress.store(true, Ordering::SeqCst);
     }
 
     fn end(&self) {
         self.last.store(clock::now().0, Ordering::SeqCst);
-        self.under_way.store(false, Ordering::SeqCst);
+        self.call_in_progress.store(false, Ordering::SeqCst);
     }
 
     /// Notes how a write went.
     fn note_write(&self, is_pending: bool) {
-        if self.blocked.swap(is_pending, Ordering::SeqCst) && !is_pending {
+        if self.write_blocked.swap(is_pending, Ordering::SeqCst) && !is_pending {
             self.last.store(clock::now().0, Ordering::SeqCst);
         }
     }
 
     /// How long nothing was under way; none while a call or its answer is.
     fn idle(&self, now: Moment) -> Option<TimeSpan> {
-        let busy = self.under_way.load(Ordering::SeqCst) || self.blocked.load(Ordering::SeqCst);
+        let busy = self.call_in_progress.load(Ordering::SeqCst)
+            || self.write_blocked.load(Ordering::SeqCst);
         let last = Moment(self.last.load(Ordering::SeqCst));
         (!busy).then(|| now.since(last))
     }
@@ -188,12 +189,12 @@
 
 /// A stream that notes whether its caller keeps an answer waiting. The library hands a call over as answered when it has
 /// the answer, not when it is written.
-struct WatchedStream {
+struct MonitoredStream {
     stream: TcpStream,
-    calls: Arc<CallClock>,
+    calls: Arc<CallActivity>,
 }
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -203,7 +204,7 @@
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -256,12 +257,12 @@
         F: Future<Output = Response<Full<Bytes>>>,
     {
         let CallerConnection { stream, guard } = self;
-        let desk = &guard.desk;
+        let manager = &guard.manager;
         // A connection that ended already is noticed by the first read.
         let _ = stream.set_nodelay(true);
-        let calls = Arc::new(CallClock::new());
-        let stream = WatchedStream { stream, calls: calls.clone() };
-        let phase = desk.phase.subscribe();
+        let calls = Arc::new(CallActivity::new());
+        let stream = MonitoredStream { stream, calls: calls.clone() };
+        let phase = manager.phase.subscribe();
         let service = service_fn(|request: Request<Incoming>| {
             calls.begin();
             let answering = handle(request);
@@ -275,7 +276,7 @@
                 Ok::<_, Infallible>(response)
             })
         });
-        let mut connection = desk.builder().serve_connection(TokioIo::new(stream), service);
+        let mut connection = manager.builder().serve_connection(TokioIo::new(stream), service);
         loop {
             let mut phase = phase.clone();
             tokio::select! {
@@ -284,46 +285,46 @@
                 result = std::future::poll_fn(|context| connection.poll_without_shutdown(context)) => {
                     let stream = connection.into_parts().io.into_inner();
                     if result.is_ok() {
-                        desk.close(stream.stream).await;
+                        manager.close(stream.stream).await;
                     }
                     return;
                 }
-                () = idle_too_long(&calls, &mut phase) => {}
+                () = wait_until_idle(&calls, &mut phase) => {}
             }
             if calls.idle(clock::now()).is_some() {
                 break;
             }
         }
         let parts = connection.into_parts();
-        desk.end_idle(parts.io.into_inner().stream, parts.read_buf.len(), &calls).await;
+        manager.close_idle(parts.io.into_inner().stream, parts.read_buf.len(), &calls).await;
     }
 }
 
 /// Resolves once a stop is to end a connection on which no call is under way.
-async fn idle_too_long(calls: &CallClock, phase: &mut watch::Receiver<StopPhase>) {
-    reached(phase, StopPhase::Ending).await;
+async fn wait_until_idle(calls: &CallActivity, phase: &mut watch::Receiver<StopPhase>) {
+    wait_for_phase(phase, StopPhase::ClosingIdle).await;
     loop {
-        let is_last = *phase.borrow() == StopPhase::Closing;
+        let is_last = *phase.borrow() == StopPhase::ClosingAllIdle;
         let pause = match calls.idle(clock::now()) {
-            Some(idle) if is_last || idle >= IDLE_LIMIT => return,
-            Some(idle) => Duration::from_millis(IDLE_LIMIT.0 - idle.0),
-            None => TURN,
+            Some(idle) if is_last || idle >= IDLE_TIMEOUT => return,
+            Some(idle) => Duration::from_millis(IDLE_TIMEOUT.0 - idle.0),
+            None => POLL_INTERVAL,
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = reached(phase, StopPhase::Closing), if !is_last => {}
+            () = wait_for_phase(phase, StopPhase::ClosingAllIdle), if !is_last => {}
         }
     }
 }
 
-impl ConnectionDesk {
+impl ConnectionManager {
     fn builder(&self) -> http1::Builder {
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
-            .header_read_timeout(self.limits.head_time)
-            .max_buf_size(self.limits.header_bytes);
-        if let Some(headers) = self.limits.headers {
+            .header_read_timeout(self.limits.header_timeout)
+            .max_buf_size(self.limits.max_header_bytes);
+        if let Some(headers) = self.limits.max_headers {
             builder.max_headers(headers);
         }
         builder
@@ -334,25 +335,25 @@
         // An error means that the caller is gone.
         let _ = stream.shutdown().await;
         if *self.phase.borrow() > StopPhase::Serving {
-            read_to_end(&mut stream).await;
+            read_until_closed(&mut stream).await;
         }
     }
 
     /// Ends a connection on which nothing came for long.
-    async fn end_idle(&self, mut stream: TcpStream, unread: usize, calls: &CallClock) {
+    async fn close_idle(&self, mut stream: TcpStream, unread: usize, calls: &CallActivity) {
         let idle = calls.idle(clock::now()).unwrap_or_default();
-        let advance = encode((self.advance)()).await;
-        let written = tokio::time::timeout(READING_LIMIT, stream.write_all(&advance)).await;
+        let idle_response = encode((self.idle_response)()).await;
+        let written = tokio::time::timeout(CLOSE_TIMEOUT, stream.write_all(&idle_response)).await;
         // An error means that the caller is gone.
         let _ = stream.shutdown().await;
-        let crossed = unread + read_to_end(&mut stream).await;
+        let crossed = unread + read_until_closed(&mut stream).await;
         self.ended_idle.fetch_add(1, Ordering::SeqCst);
         let cause = if crossed > 0 { "idle_call_crossed" } else { "idle" };
         telemetry::count_connection_end(cause);
         if crossed > 0 {
             let is_written = matches!(written, Ok(Ok(())));
             info!(self.log, "connection ended while a call was on its way";
-                "age_ms" => clock::now().since(calls.opened).0,
+                "age_ms" => clock::now().since(calls.opened_at).0,
                 "calls" => calls.calls.load(Ordering::SeqCst), "idle_ms" => idle.0,
                 "unread_bytes" => crossed, "answered" => is_written);
         }
@@ -360,7 +361,7 @@
 }
 
 /// Reads until the caller closes, for as long as it has time to; how many bytes came.
-async fn read_to_end(stream: &mut TcpStream) -> usize {
+async fn read_until_closed(stream: &mut TcpStream) -> usize {
     let mut count = 0;
     let reading = async {
         let mut bytes = [0; 1_024];
@@ -370,7 +371,7 @@
         }
     };
     // A caller that does not close has had time to read.
-    let _ = tokio::time::timeout(READING_LIMIT, reading).await;
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, reading).await;
     count
 }
 
--- a/crates/sedgehilld/src/controllers/leads.rs
+++ b/crates/sedgehilld/src/controllers/leads.rs
@@ -12,29 +12,29 @@
 use super::{ControlContext, ControlState, members};
 use crate::clock;
 
-const TURN: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Looks after the leads for as long as the box runs.
 pub async fn run(context: ControlContext) {
     loop {
-        if take_turn(&mut context.state.borrow_mut()) {
-            context.write_wanted.notify_one();
+        if tick(&mut context.state.borrow_mut()) {
+            context.writer_notify.notify_one();
         }
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
 /// Appends what is due. Returns whether there was anything.
-fn take_turn(state: &mut ControlState) -> bool {
+fn tick(state: &mut ControlState) -> bool {
     let now = clock::now();
     let Some(cluster) = state.fold.state() else { return false };
     let halls: BTreeSet<HallName> =
         state.list.workers.iter().map(|worker| worker.hall.clone()).collect();
     let timing = state.shared.settings.lead;
-    let me = state.me().clone();
+    let own_id = state.own_id().clone();
     for hall in halls {
         if let std::collections::btree_map::Entry::Vacant(entry) = state.leads.entry(hall.clone()) {
-            let mut timer = LeadTimer::new(hall.clone(), me.clone(), timing);
+            let mut timer = LeadTimer::new(hall.clone(), own_id.clone(), timing);
             timer.observe(cluster.halls.get(&hall).and_then(|hall| hall.lead.as_ref()), now);
             entry.insert(timer);
         }
@@ -50,14 +50,14 @@
 
 fn due_records(state: &mut ControlState, now: Moment) -> Vec<RecordBody> {
     let leaving = state.is_leaving();
-    let boxes = members::working_boxes(state, now);
-    let me = state.me().clone();
+    let boxes = members::active_boxes(state, now);
+    let own_id = state.own_id().clone();
     let mut bodies = Vec::new();
     for (hall, timer) in &mut state.leads {
-        match timer.next_action(rank(hall, &me, &boxes), now) {
+        match timer.next_action(rank(hall, &own_id, &boxes), now) {
             LeadAction::Wait => {}
             LeadAction::Claim { .. } if leaving => {}
-            LeadAction::Renew { .. } if state.handed_over.contains(hall) => {}
+            LeadAction::Renew { .. } if state.handed_over_halls.contains(hall) => {}
             LeadAction::Claim { after } => {
                 timer.sent(now);
                 bodies.push(RecordBody::ClaimLead { hall: hall.clone(), after });
@@ -73,12 +73,12 @@
 
 /// How many boxes are preferred to this one for a hall: an order that differs from hall to hall, so
 /// that the leads spread over the boxes.
-fn rank(hall: &HallName, me: &BoxId, boxes: &[BoxId]) -> usize {
+fn rank(hall: &HallName, own_id: &BoxId, boxes: &[BoxId]) -> usize {
     let weight = |id: &BoxId| {
         let mut hasher = DefaultHasher::new();
         (hall, id).hash(&mut hasher);
         (hasher.finish(), id.clone())
     };
-    let mine = weight(me);
+    let mine = weight(own_id);
     boxes.iter().filter(|id| weight(id) > mine).count()
 }
--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -15,11 +15,11 @@
 use crate::clock;
 
 /// How long the log is asked to wait for something new.
-const READ_WAIT: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Between two reads of a box that woke and waits for its other controllers to look.
-const WAKING_PAUSE: Duration = Duration::from_millis(20);
+const RESUME_READ_INTERVAL: Duration = Duration::from_millis(20);
 /// The longest pause after a failed read, in milliseconds.
-const MAX_PAUSE_MS: u64 = 500;
+const MAX_RETRY_DELAY_MS: u64 = 500;
 /// By how much of the interval a snapshot is put off at random, so that boxes do not all write one.
 const SNAPSHOT_JITTER: f64 = 0.3;
 
@@ -30,39 +30,39 @@
         let from = context.state.borrow().fold.next();
         // Before there is a state the log is not asked to wait: an empty one may stay so for long.
         let has_state = context.state.borrow().cluster().is_some();
-        let is_awake = context.state.borrow().woke.is_none();
-        let wait = if has_state && is_awake { READ_WAIT } else { Duration::ZERO };
-        let began = clock::now();
+        let is_resumed = context.state.borrow().resumed_at.is_none();
+        let wait = if has_state && is_resumed { READ_TIMEOUT } else { Duration::ZERO };
+        let started_at = clock::now();
         let result = client.read(from, wait).await;
-        context.state.borrow_mut().log_looked = began;
+        context.state.borrow_mut().log_read_started_at = started_at;
         match result {
             Ok(reply) => {
                 let idle = reply.entries.is_empty() && !has_state;
-                take_reply(&context, reply, began);
+                apply_reply(&context, reply, started_at);
                 if idle && context.state.borrow().cluster().is_none() {
                     // The log has forgotten its beginning and shows no snapshot yet.
-                    ask_peers(&context).await;
-                    tokio::time::sleep(READ_WAIT).await;
-                } else if !is_awake {
-                    tokio::time::sleep(WAKING_PAUSE).await;
+                    adopt_peer_state(&context).await;
+                    tokio::time::sleep(READ_TIMEOUT).await;
+                } else if !is_resumed {
+                    tokio::time::sleep(RESUME_READ_INTERVAL).await;
                 }
             }
             Err(error) => {
                 context.state.borrow_mut().log_error = error.to_string();
-                ask_peers(&context).await;
-                let pause = rand::rng().random_range(MAX_PAUSE_MS / 5..MAX_PAUSE_MS);
+                adopt_peer_state(&context).await;
+                let pause = rand::rng().random_range(MAX_RETRY_DELAY_MS / 5..MAX_RETRY_DELAY_MS);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
         }
     }
 }
 
-pub fn take_reply(context: &ControlContext, reply: ReadReply, began: Moment) {
+pub fn apply_reply(context: &ControlContext, reply: ReadReply, started_at: Moment) {
     let now = clock::now();
     let changed = !reply.entries.is_empty();
     {
         let mut state = context.state.borrow_mut();
-        state.log_heard = now;
+        state.last_log_reply_at = now;
         if reply.next.0 == 0 {
             state.fold.begin_empty();
         }
@@ -70,35 +70,35 @@
             fold_entry(&mut state, entry, now);
         }
         if state.cluster().is_some_and(|cluster| cluster.next >= reply.next) {
-            state.log_proven = state.log_proven.max(began);
+            state.log_current_as_of = state.log_current_as_of.max(started_at);
         }
-        consider_snapshot(&mut state);
+        submit_snapshot_if_due(&mut state);
     }
     if changed {
         after_change(context);
     }
-    context.write_wanted.notify_one();
+    context.writer_notify.notify_one();
 }
 
 /// Lets the other controllers act on what is in force now.
 fn after_change(context: &ControlContext) {
     super::publish::publish(context);
-    context.place_wanted.notify_one();
+    context.placement_notify.notify_one();
 }
 
 fn fold_entry(state: &mut ControlState, entry: LogEntry, now: Moment) {
-    note_snapshots(state, &entry);
+    record_snapshots(state, &entry);
     let verdicts = state.fold.feed(entry);
     for (id, verdict) in verdicts {
-        settle(state, id, &verdict, now);
+        handle_verdict(state, id, &verdict, now);
     }
     observe_leads(state, now);
 }
 
-fn note_snapshots(state: &mut ControlState, entry: &LogEntry) {
+fn record_snapshots(state: &mut ControlState, entry: &LogEntry) {
     for record in &entry.batch.records {
         if let RecordBody::Snapshot { at, .. } = &record.body {
-            state.snapshot_at = state.snapshot_at.max(at.0);
+            state.last_snapshot = state.last_snapshot.max(at.0);
         }
     }
 }
@@ -112,8 +112,8 @@
 }
 
 /// Tells whoever waits for a record what became of it.
-fn settle(state: &mut ControlState, id: RecordId, verdict: &RecordVerdict, now: Moment) {
-    let Some(pending) = state.writer.settle(&id) else { return };
+fn handle_verdict(state: &mut ControlState, id: RecordId, verdict: &RecordVerdict, now: Moment) {
+    let Some(pending) = state.writer.remove(&id) else { return };
     observe_leads(state, now);
     if let (RecordVerdict::Accepted { at }, Some(sent)) = (verdict, pending.first_sent) {
         match &pending.record.body {
@@ -142,23 +142,23 @@
 }
 
 /// Appends a snapshot well before the log forgets what it replaces, unless another box did.
-fn consider_snapshot(state: &mut ControlState) {
+fn submit_snapshot_if_due(state: &mut ControlState) {
     let every = state.shared.settings.log.snapshot_every as f64;
     let Some(last) = state.cluster().and_then(|cluster| cluster.last()) else { return };
     let due =
-        state.snapshot_at as f64 + every * (1.0 + rand::rng().random_range(0.0..SNAPSHOT_JITTER));
+        state.last_snapshot as f64 + every * (1.0 + rand::rng().random_range(0.0..SNAPSHOT_JITTER));
     if (last.0 as f64) < due || state.writer.has_snapshot() {
         return;
     }
     let Some(cluster) = state.cluster().cloned() else { return };
-    state.snapshot_at = last.0;
+    state.last_snapshot = last.0;
     let body = RecordBody::Snapshot { at: last, state: Box::new(cluster) };
     state.writer.submit_unattended(body, clock::now());
 }
 
 /// While the log does not answer, asks a peer that has read further.
-async fn ask_peers(context: &ControlContext) {
-    let Some((peer, address)) = newer_peer(&context.state.borrow()) else { return };
+async fn adopt_peer_state(context: &ControlContext) {
+    let Some((peer, address)) = find_newer_peer(&context.state.borrow()) else { return };
     let reply = context.link.request(&peer, address, &PeerMessage::SnapshotRequest).await;
     let Ok(PeerMessage::SnapshotReply(Some(bytes))) = reply else { return };
     let Ok(cluster) = serde_json::from_slice(&bytes) else {
@@ -179,7 +179,9 @@
 
 /// A peer that has applied more of the log than this box. Before the first state, any peer that has
 /// one will do.
-fn newer_peer(state: &ControlState) -> Option<(sedgehill_core::ids::BoxId, std::net::SocketAddr)> {
+fn find_newer_peer(
+    state: &ControlState,
+) -> Option<(sedgehill_core::ids::BoxId, std::net::SocketAddr)> {
     let now = clock::now();
     let held = state.cluster().map(|cluster| cluster.next);
     let best = state
--- a/crates/sedgehilld/src/controllers/log_writer.rs
+++ b/crates/sedgehilld/src/controllers/log_writer.rs
@@ -23,11 +23,11 @@
 /// The most records in one append.
 const MAX_BATCH: usize = 500;
 /// How long a record that nobody waits for is appended again before it is given up.
-const UNATTENDED_LIMIT: TimeSpan = TimeSpan(120_000);
+const UNATTENDED_TIMEOUT: TimeSpan = TimeSpan(120_000);
 /// The pause after a failed append, in milliseconds; it doubles up to [`MAX_PAUSE_MS`].
-const FIRST_PAUSE_MS: u64 = 50;
+const MIN_RETRY_DELAY_MS: u64 = 50;
 /// The longest pause after a failed append, in milliseconds.
-const MAX_PAUSE_MS: u64 = 1_000;
+const MAX_RETRY_DELAY_MS: u64 = 1_000;
 
 /// A record on its way to the log and back.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// Who waits for its verdict.
     pub reply: Option<oneshot::Sender<RecordVerdict>>,
     /// When it is given up.
-    give_up: Moment,
+    expires_at: Moment,
     /// Where it stands, once the log has said so.
     acknowledged: Option<Offset>,
 }
@@ -47,14 +47,14 @@
 /// The records that are on their way.
 #[derive(Debug)]
 pub struct LogWriter {
-    me: BoxId,
+    own_id: BoxId,
     pending: BTreeMap<RecordId, PendingRecord>,
 }
 
 impl LogWriter {
     /// A writer of a box, with nothing on its way.
-    pub fn new(me: BoxId) -> LogWriter {
-        LogWriter { me, pending: BTreeMap::new() }
+    pub fn new(own_id: BoxId) -> LogWriter {
+        LogWriter { own_id, pending: BTreeMap::new() }
     }
 
     /// A new id. Ids of one box ascend, and records are appended in the order of their ids.
@@ -67,38 +67,38 @@
         &mut self,
         id: RecordId,
         body: RecordBody,
-        give_up: Moment,
+        expires_at: Moment,
     ) -> oneshot::Receiver<RecordVerdict> {
-        let (reply, replied) = oneshot::channel();
-        self.insert(id, body, give_up, Some(reply));
-        replied
+        let (reply, verdict) = oneshot::channel();
+        self.insert(id, body, expires_at, Some(reply));
+        verdict
     }
 
     /// Hands over a record that nobody waits for.
     pub fn submit_unattended(&mut self, body: RecordBody, now: Moment) {
-        self.insert(Self::new_id(), body, now.after(UNATTENDED_LIMIT), None);
+        self.insert(Self::new_id(), body, now.after(UNATTENDED_TIMEOUT), None);
     }
 
     /// Hands over a record that is worthless after `give_up`.
-    pub fn submit_until(&mut self, body: RecordBody, give_up: Moment) {
-        self.insert(Self::new_id(), body, give_up, None);
+    pub fn submit_until(&mut self, body: RecordBody, expires_at: Moment) {
+        self.insert(Self::new_id(), body, expires_at, None);
     }
 
     fn insert(
         &mut self,
         id: RecordId,
         body: RecordBody,
-        give_up: Moment,
+        expires_at: Moment,
         reply: Option<oneshot::Sender<RecordVerdict>>,
     ) {
-        let record = LogRecord { id, by: self.me.clone(), body };
+        let record = LogRecord { id, by: self.own_id.clone(), body };
         let pending =
-            PendingRecord { record, first_sent: None, reply, give_up, acknowledged: None };
+            PendingRecord { record, first_sent: None, reply, expires_at, acknowledged: None };
         self.pending.insert(id, pending);
     }
 
     /// Takes out a record whose verdict was read.
-    pub fn settle(&mut self, id: &RecordId) -> Option<PendingRecord> {
+    pub fn remove(&mut self, id: &RecordId) -> Option<PendingRecord> {
         self.pending.remove(id)
     }
 
@@ -118,16 +118,17 @@
     }
 
     /// Records on their way.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
     /// The records to append now, each noted as sent.
     fn next_batch(&mut self, now: Moment) -> RecordBatch {
-        self.pending.retain(|_, pending| pending.give_up > now);
-        let wanted = self.pending.values_mut().filter(|pending| pending.acknowledged.is_none());
+        self.pending.retain(|_, pending| pending.expires_at > now);
+        let unacknowledged =
+            self.pending.values_mut().filter(|pending| pending.acknowledged.is_none());
         let mut batch = RecordBatch::default();
-        for pending in wanted.take(MAX_BATCH) {
+        for pending in unacknowledged.take(MAX_BATCH) {
             pending.first_sent.get_or_insert(now);
             batch.records.push(pending.record.clone());
         }
@@ -143,7 +144,7 @@
     }
 
     /// Forgets that records were sent, after an append that surely had no effect.
-    fn unsend(&mut self, batch: &RecordBatch, sent: Moment) {
+    fn mark_unsent(&mut self, batch: &RecordBatch, sent: Moment) {
         for record in &batch.records {
             if let Some(pending) = self.pending.get_mut(&record.id) {
                 pending.first_sent = pending.first_sent.filter(|first| *first != sent);
@@ -152,7 +153,7 @@
     }
 
     /// Sends records again that the log said it has, but that were not there to read.
-    fn doubt(&mut self, applied: Offset) {
+    fn resend_missing(&mut self, applied: Offset) {
         for pending in self.pending.values_mut() {
             pending.acknowledged = pending.acknowledged.filter(|offset| *offset >= applied);
         }
@@ -163,11 +164,11 @@
 pub async fn run(context: ControlContext) {
     let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
     let every = Duration::from_millis(context.shared.settings.log.append_every.as_millis());
-    let mut pause = FIRST_PAUSE_MS;
+    let mut retry_delay_ms = MIN_RETRY_DELAY_MS;
     loop {
         let batch = next_batch(&mut context.state.borrow_mut());
         if batch.records.is_empty() {
-            context.write_wanted.notified().await;
+            context.writer_notify.notified().await;
             continue;
         }
         let sent = clock::now();
@@ -175,14 +176,14 @@
             Ok(offset) => {
                 telemetry::count_append("acknowledged");
                 context.state.borrow_mut().writer.acknowledge(&batch, offset);
-                pause = FIRST_PAUSE_MS;
+                retry_delay_ms = MIN_RETRY_DELAY_MS;
                 tokio::time::sleep(every).await;
             }
             Err(error) => {
-                note_failure(&context, &batch, &error, sent);
-                let jitter = rand::rng().random_range(0..pause);
-                tokio::time::sleep(Duration::from_millis(pause + jitter)).await;
-                pause = (pause * 2).min(MAX_PAUSE_MS);
+                record_failure(&context, &batch, &error, sent);
+                let jitter = rand::rng().random_range(0..retry_delay_ms);
+                tokio::time::sleep(Duration::from_millis(retry_delay_ms + jitter)).await;
+                retry_delay_ms = (retry_delay_ms * 2).min(MAX_RETRY_DELAY_MS);
             }
         }
     }
@@ -190,16 +191,16 @@
 
 fn next_batch(state: &mut ControlState) -> RecordBatch {
     if let Some(applied) = state.cluster().map(|cluster| cluster.next) {
-        state.writer.doubt(applied);
+        state.writer.resend_missing(applied);
     }
     state.writer.next_batch(clock::now())
 }
 
-fn note_failure(context: &ControlContext, batch: &RecordBatch, error: &CallError, sent: Moment) {
+fn record_failure(context: &ControlContext, batch: &RecordBatch, error: &CallError, sent: Moment) {
     match error.is_certain() {
         true => {
             telemetry::count_append("refused");
-            context.state.borrow_mut().writer.unsend(batch, sent);
+            context.state.borrow_mut().writer.mark_unsent(batch, sent);
         }
         false => telemetry::count_append("unknown"),
     }
--- a/crates/sedgehilld/src/controllers/members.rs
+++ b/crates/sedgehilld/src/controllers/members.rs
@@ -11,34 +11,34 @@
 use sedgehill_platform::list::ListClient;
 use tokio::sync::mpsc;
 
-use super::{ControlContext, ControlState, proof, publish};
+use super::{ControlContext, ControlState, publish, refresh};
 use crate::clock;
-use crate::shared::PAUSE_LIMIT;
+use crate::shared::PAUSE_THRESHOLD;
 
 /// Reads the platform's list for as long as the box runs.
 pub async fn read_list(context: ControlContext) {
     let client = ListClient::new(context.caller.clone(), context.shared.settings.platform.list);
     let every = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     loop {
-        let began = clock::now();
+        let started_at = clock::now();
         let result = client.fetch().await;
-        let paused = clock::now().since(began) > PAUSE_LIMIT;
+        let paused = clock::now().since(started_at) > PAUSE_THRESHOLD;
         if let Ok(list) = result
             && !paused
         {
             let changed = {
                 let mut state = context.state.borrow_mut();
-                let changed = state.list != list || !state.list_read;
+                let changed = state.list != list || !state.list_loaded;
                 state.list = list;
-                state.list_read = true;
+                state.list_loaded = true;
                 changed
             };
             if changed {
                 publish::publish(&context);
-                context.place_wanted.notify_one();
+                context.placement_notify.notify_one();
             }
         }
-        context.state.borrow_mut().list_looked = began;
+        context.state.borrow_mut().list_read_started_at = started_at;
         tokio::time::sleep(every).await;
     }
 }
@@ -49,12 +49,12 @@
     let mut sequence = 0;
     loop {
         sequence += 1;
-        announce(&context, sequence);
+        broadcast_heartbeat(&context, sequence);
         tokio::time::sleep(every).await;
     }
 }
 
-fn announce(context: &ControlContext, sequence: u64) {
+fn broadcast_heartbeat(context: &ControlContext, sequence: u64) {
     let (message, peers) = {
         let state = context.state.borrow();
         (PeerMessage::Heartbeat(own_heartbeat(&state, sequence)), peer_addresses(&state))
@@ -74,17 +74,17 @@
         HallRoom { hall: hall.clone(), total, free }
     });
     BoxHeartbeat {
-        from: state.me().clone(),
+        from: state.own_id().clone(),
         incarnation: state.incarnation,
         sequence,
         leaving: state.is_leaving(),
         applied: state.cluster().map(|cluster| cluster.next).unwrap_or_default(),
-        leaving_endpoints: listed_leaving(state).collect(),
+        leaving_endpoints: listed_leaving_endpoints(state).collect(),
         rooms: rooms.collect(),
     }
 }
 
-fn listed_leaving(state: &ControlState) -> impl Iterator<Item = EndpointId> {
+fn listed_leaving_endpoints(state: &ControlState) -> impl Iterator<Item = EndpointId> {
     let leaving = state.list.endpoints.iter().filter(|endpoint| endpoint.leaving);
     leaving.map(|endpoint| endpoint.id.clone())
 }
@@ -94,7 +94,7 @@
         .list
         .boxes
         .iter()
-        .filter(|listing| listing.id != *state.me())
+        .filter(|listing| listing.id != *state.own_id())
         .map(|listing| (listing.id.clone(), listing.peer_address))
         .collect()
 }
@@ -103,35 +103,36 @@
 pub fn leaving_endpoints(state: &ControlState, now: Moment) -> BTreeSet<EndpointId> {
     let heard =
         state.members.heartbeats(now).flat_map(|beat| beat.leaving_endpoints.iter().cloned());
-    listed_leaving(state).chain(heard).collect()
+    listed_leaving_endpoints(state).chain(heard).collect()
 }
 
 /// The boxes that take work, this one included, in order of name. A box that is listed counts until
 /// it could have been heard of.
-pub fn working_boxes(state: &ControlState, now: Moment) -> Vec<BoxId> {
-    let settling = now.since(state.began) < state.shared.settings.member.gone_after;
+pub fn active_boxes(state: &ControlState, now: Moment) -> Vec<BoxId> {
+    let settling = now.since(state.started_at) < state.shared.settings.member.gone_after;
     let mut boxes: BTreeSet<BoxId> = state.members.live(now).into_iter().collect();
     let listed = state.list.boxes.iter().filter(|listing| settling && !listing.leaving);
     boxes.extend(listed.map(|listing| listing.id.clone()));
     for listing in state.list.boxes.iter().filter(|listing| listing.leaving) {
         boxes.remove(&listing.id);
     }
-    boxes.insert(state.me().clone());
+    boxes.insert(state.own_id().clone());
     boxes.into_iter().collect()
 }
 
 /// Whether this box is listed with peers and hears of none of them.
 pub fn is_cut_off_from_peers(state: &ControlState, now: Moment) -> bool {
-    let mut peers = state.list.boxes.iter().filter(|listing| listing.id != *state.me()).peekable();
+    let mut peers =
+        state.list.boxes.iter().filter(|listing| listing.id != *state.own_id()).peekable();
     peers.peek().is_some()
         && peers.all(|listing| state.members.state(&listing.id, now) >= MemberState::Suspect)
 }
 
 /// Takes in what peers say for as long as the box runs.
-pub async fn take_messages(context: ControlContext, mut peers: mpsc::Receiver<PeerRequest>) {
+pub async fn handle_messages(context: ControlContext, mut peers: mpsc::Receiver<PeerRequest>) {
     while let Some(request) = peers.recv().await {
         match request.message {
-            PeerMessage::Heartbeat(heartbeat) => take_heartbeat(&context, heartbeat),
+            PeerMessage::Heartbeat(heartbeat) => handle_heartbeat(&context, heartbeat),
             PeerMessage::SnapshotRequest => {
                 let cluster = context.state.borrow().cluster().cloned();
                 let bytes = cluster
@@ -141,10 +142,10 @@
                 }
             }
             PeerMessage::ClaimRequest { organisation, key } => {
-                let sight = proof::own_sight(&context.state.borrow(), &organisation, key);
+                let status = refresh::own_claim_status(&context.state.borrow(), &organisation, key);
                 if let Some(reply) = request.reply {
                     // The box that asked may have gone.
-                    let _ = reply.send(PeerMessage::ClaimReply(sight));
+                    let _ = reply.send(PeerMessage::ClaimReply(status));
                 }
             }
             PeerMessage::SnapshotReply(_) | PeerMessage::ClaimReply(_) => {}
@@ -152,13 +153,13 @@
     }
 }
 
-fn take_heartbeat(context: &ControlContext, heartbeat: BoxHeartbeat) {
+fn handle_heartbeat(context: &ControlContext, heartbeat: BoxHeartbeat) {
     let now = clock::now();
     let changed = {
         let mut state = context.state.borrow_mut();
-        let before = (working_boxes(&state, now), leaving_endpoints(&state, now));
+        let before = (active_boxes(&state, now), leaving_endpoints(&state, now));
         state.members.heard(heartbeat, now);
-        before != (working_boxes(&state, now), leaving_endpoints(&state, now))
+        before != (active_boxes(&state, now), leaving_endpoints(&state, now))
     };
     if changed {
         publish::publish(context);
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -5,11 +5,11 @@
 mod log_reader;
 mod log_writer;
 mod members;
-mod operators;
 mod placement;
-mod proof;
 mod publish;
+mod refresh;
 mod reports;
+mod requests;
 mod shutdown;
 
 use std::cell::RefCell;
@@ -32,14 +32,14 @@
 use crate::clock;
 use crate::shared::SharedState;
 use log_writer::LogWriter;
-use placement::OrderLine;
+use placement::OrderChannel;
 
 /// Requests to the control thread that wait before traffic is told that it is busy.
 pub const CONTROL_QUEUE_LENGTH: usize = 4_096;
 /// Orders under way to workers at once.
-const ORDERS_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_ORDERS: usize = 32;
 /// Decisions that are remembered for reading back.
-const KEPT_DECISIONS: usize = 4_096;
+const MAX_DECISIONS: usize = 4_096;
 
 /// What other threads ask of the control thread.
 pub enum ControlRequest {
@@ -55,7 +55,7 @@
         reply: oneshot::Sender<ClaimReply>,
     },
     /// Bring the view up to date with all that was in the log at a moment.
-    ProveView {
+    RefreshView {
         /// The moment.
         since: Moment,
         /// Where the answer goes: whether it worked.
@@ -131,9 +131,9 @@
     }
 
     /// Brings the view up to date with all that was in the log at `since`. Returns whether that worked in time.
-    pub async fn prove_view(&self, since: Moment) -> bool {
+    pub async fn refresh_view(&self, since: Moment) -> bool {
         let (reply, replied) = oneshot::channel();
-        let sent = self.sender.try_send(ControlRequest::ProveView { since, reply });
+        let sent = self.sender.try_send(ControlRequest::RefreshView { since, reply });
         sent.is_ok() && replied.await.unwrap_or(false)
     }
 
@@ -184,31 +184,31 @@
 pub struct ControlState {
     shared: Arc<SharedState>,
     incarnation: Incarnation,
-    began: Moment,
+    started_at: Moment,
     fold: LogFold,
-    log_heard: Moment,
+    last_log_reply_at: Moment,
     log_error: String,
-    snapshot_at: u64,
+    last_snapshot: u64,
     writer: LogWriter,
     members: MemberTable,
     list: PlatformList,
-    list_read: bool,
+    list_loaded: bool,
     /// When the last look at the log that has ended was begun.
-    log_looked: Moment,
+    log_read_started_at: Moment,
     /// When the last read was begun that reached the end of the log.
-    log_proven: Moment,
-    proofs: proof::ProofQueue,
+    log_current_as_of: Moment,
+    refreshes: refresh::RefreshQueue,
     /// When the last look at the list that has ended was begun.
-    list_looked: Moment,
+    list_read_started_at: Moment,
     last_published: Moment,
     /// When the box last woke from a pause, until it has looked at everything again.
-    woke: Option<Moment>,
+    resumed_at: Option<Moment>,
     leads: BTreeMap<HallName, LeadTimer>,
     placers: BTreeMap<HallName, HallPlacer>,
-    order_lines: BTreeMap<HallName, OrderLine>,
+    order_channels: BTreeMap<HallName, OrderChannel>,
     decisions: VecDeque<DecisionRecord>,
     stopping: bool,
-    handed_over: BTreeSet<HallName>,
+    handed_over_halls: BTreeSet<HallName>,
 }
 
 impl ControlState {
@@ -216,32 +216,32 @@
         let now = clock::now();
         ControlState {
             incarnation: Incarnation(clock::unix_ms()),
-            began: now,
+            started_at: now,
             fold: LogFold::default(),
-            log_heard: now,
+            last_log_reply_at: now,
             log_error: "not asked yet".to_owned(),
-            snapshot_at: 0,
+            last_snapshot: 0,
             writer: LogWriter::new(shared.settings.id.clone()),
             members: MemberTable::new(shared.settings.member),
             list: PlatformList::default(),
-            list_read: false,
-            log_looked: Moment(0),
-            log_proven: Moment(0),
-            proofs: proof::ProofQueue::default(),
-            list_looked: Moment(0),
+            list_loaded: false,
+            log_read_started_at: Moment(0),
+            log_current_as_of: Moment(0),
+            refreshes: refresh::RefreshQueue::default(),
+            list_read_started_at: Moment(0),
             last_published: now,
-            woke: None,
+            resumed_at: None,
             leads: BTreeMap::new(),
             placers: BTreeMap::new(),
-            order_lines: BTreeMap::new(),
+            order_channels: BTreeMap::new(),
             decisions: VecDeque::new(),
             stopping: false,
-            handed_over: BTreeSet::new(),
+            handed_over_halls: BTreeSet::new(),
             shared,
         }
     }
 
-    fn me(&self) -> &BoxId {
+    fn own_id(&self) -> &BoxId {
         &self.shared.settings.id
     }
 
@@ -251,17 +251,17 @@
 
     /// How long the log has been silent.
     fn log_silence(&self, now: Moment) -> TimeSpan {
-        now.since(self.log_heard)
+        now.since(self.last_log_reply_at)
     }
 
     /// Whether this box is to take no further duties.
     fn is_leaving(&self) -> bool {
-        let asked = |state: &ClusterState| state.draining.contains(self.me());
+        let asked = |state: &ClusterState| state.draining.contains(self.own_id());
         self.stopping || self.cluster().is_some_and(asked)
     }
 
-    fn remember(&mut self, decision: DecisionRecord) {
-        if self.decisions.len() >= KEPT_DECISIONS {
+    fn record_decision(&mut self, decision: DecisionRecord) {
+        if self.decisions.len() >= MAX_DECISIONS {
             self.decisions.pop_front();
         }
         self.decisions.push_back(decision);
@@ -276,13 +276,13 @@
     link: PeerLink,
     caller: JsonCaller,
     /// Wakes the log writer.
-    write_wanted: Rc<Notify>,
+    writer_notify: Rc<Notify>,
     /// Wakes the placement controller.
-    place_wanted: Rc<Notify>,
+    placement_notify: Rc<Notify>,
     /// Wakes the reader that proves that the state is new.
-    proof_wanted: Rc<Notify>,
+    refresh_notify: Rc<Notify>,
     /// Bounds the orders under way to workers: each needs memory for its connection.
-    orders: Rc<Semaphore>,
+    order_permits: Rc<Semaphore>,
 }
 
 /// Runs the controllers until the box stops.
@@ -297,21 +297,21 @@
         shared,
         link,
         caller: JsonCaller::new(),
-        write_wanted: Rc::default(),
-        place_wanted: Rc::default(),
-        proof_wanted: Rc::default(),
-        orders: Rc::new(Semaphore::new(ORDERS_AT_ONCE)),
+        writer_notify: Rc::default(),
+        placement_notify: Rc::default(),
+        refresh_notify: Rc::default(),
+        order_permits: Rc::new(Semaphore::new(MAX_CONCURRENT_ORDERS)),
     };
     tokio::task::spawn_local(log_reader::run(context.clone()));
-    tokio::task::spawn_local(proof::run(context.clone()));
+    tokio::task::spawn_local(refresh::run(context.clone()));
     tokio::task::spawn_local(log_writer::run(context.clone()));
     tokio::task::spawn_local(members::read_list(context.clone()));
     tokio::task::spawn_local(members::send_heartbeats(context.clone()));
-    tokio::task::spawn_local(members::take_messages(context.clone(), peers));
+    tokio::task::spawn_local(members::handle_messages(context.clone(), peers));
     tokio::task::spawn_local(leads::run(context.clone()));
     tokio::task::spawn_local(placement::run(context.clone()));
     tokio::task::spawn_local(publish::run(context.clone()));
-    tokio::task::spawn_local(operators::run(context.clone(), inbox));
-    tokio::task::spawn_local(shutdown::follow_drain(context.clone()));
+    tokio::task::spawn_local(requests::run(context.clone(), inbox));
+    tokio::task::spawn_local(shutdown::watch_drain(context.clone()));
     shutdown::run(context).await;
 }
--- a/crates/sedgehilld/src/controllers/placement.rs
+++ b/crates/sedgehilld/src/controllers/placement.rs
@@ -22,26 +22,26 @@
 use crate::telemetry;
 
 /// The longest time between two looks at a hall.
-const TURN: Duration = Duration::from_millis(100);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The way of orders to the workers of one hall under one epoch. Nothing is written on it once the
 /// lead has ended, also if it was decided before.
-pub struct OrderLine {
+pub struct OrderChannel {
     epoch: Epoch,
     until: Arc<AtomicU64>,
     client: WorkerClient,
 }
 
-impl OrderLine {
-    fn new(epoch: Epoch) -> OrderLine {
+impl OrderChannel {
+    fn new(epoch: Epoch) -> OrderChannel {
         let until = Arc::new(AtomicU64::new(0));
         let limit = until.clone();
         let permit = Arc::new(move || clock::now() < Moment(limit.load(Ordering::SeqCst)));
-        OrderLine { epoch, until, client: WorkerClient::new(JsonCaller::fenced(permit)) }
+        OrderChannel { epoch, until, client: WorkerClient::new(JsonCaller::fenced(permit)) }
     }
 }
 
-impl Drop for OrderLine {
+impl Drop for OrderChannel {
     fn drop(&mut self) {
         self.until.store(0, Ordering::SeqCst);
     }
@@ -52,49 +52,50 @@
     loop {
         let halls: Vec<HallName> = context.state.borrow().leads.keys().cloned().collect();
         for hall in halls {
-            take_turn(&context, &hall);
+            tick_hall(&context, &hall);
         }
         // Either something changed, or it is time to look again.
-        let _ = tokio::time::timeout(TURN, context.place_wanted.notified()).await;
+        let _ = tokio::time::timeout(MAX_TICK_INTERVAL, context.placement_notify.notified()).await;
     }
 }
 
-fn take_turn(context: &ControlContext, hall: &HallName) {
+fn tick_hall(context: &ControlContext, hall: &HallName) {
     let now = clock::now();
     let actions = {
         let mut state = context.state.borrow_mut();
         let Some(held) = held_lead(&state, hall, now) else {
             state.placers.remove(hall);
-            state.order_lines.remove(hall);
+            state.order_channels.remove(hall);
             return;
         };
-        renew_line(&mut state, hall, held);
-        if state.handed_over.contains(hall) || !state.list_read {
+        renew_channel(&mut state, hall, held);
+        if state.handed_over_halls.contains(hall) || !state.list_loaded {
             return;
         }
-        let actions = tick(&mut state, hall, held, now);
-        note_decisions(&mut state, hall, held.epoch);
+        let actions = tick_placer(&mut state, hall, held, now);
+        record_decisions(&mut state, hall, held.epoch);
         actions
     };
     for action in actions {
-        act(context, hall, action, now);
+        execute(context, hall, action, now);
     }
 }
 
 /// Lets orders be written until the end of the lead, on a line of its epoch.
-fn renew_line(state: &mut ControlState, hall: &HallName, held: HeldLead) {
-    let line = state.order_lines.entry(hall.clone()).or_insert_with(|| OrderLine::new(held.epoch));
-    if line.epoch != held.epoch {
-        *line = OrderLine::new(held.epoch);
+fn renew_channel(state: &mut ControlState, hall: &HallName, held: HeldLead) {
+    let channel =
+        state.order_channels.entry(hall.clone()).or_insert_with(|| OrderChannel::new(held.epoch));
+    if channel.epoch != held.epoch {
+        *channel = OrderChannel::new(held.epoch);
     }
-    line.until.store(held.until.0, Ordering::SeqCst);
+    channel.until.store(held.until.0, Ordering::SeqCst);
 }
 
 fn held_lead(state: &ControlState, hall: &HallName, now: Moment) -> Option<HeldLead> {
     state.leads.get(hall).and_then(|timer| timer.held_at(now))
 }
 
-fn tick(
+fn tick_placer(
     state: &mut ControlState,
     hall: &HallName,
     held: HeldLead,
@@ -113,35 +114,35 @@
     placer.tick(cluster, now)
 }
 
-fn note_decisions(state: &mut ControlState, hall: &HallName, epoch: Epoch) {
+fn record_decisions(state: &mut ControlState, hall: &HallName, epoch: Epoch) {
     let Some(placer) = state.placers.get_mut(hall) else { return };
     let decisions = placer.take_decisions();
     let applied = state.cluster().map(|cluster| cluster.next).unwrap_or_default();
     for decision in decisions {
         let PlaceDecision { task, result, candidates } = decision;
-        let (word, what, why) = match &result {
+        let (outcome, decision_text, reason_text) = match &result {
             Ok(worker) => {
                 ("placed", format!("placed on {worker}"), "the fullest worker with room".to_owned())
             }
             Err(reason) => ("waits", "waits".to_owned(), wait_text(reason)),
         };
-        telemetry::count_placement(word);
+        telemetry::count_placement(outcome);
         if state.shared.settings.log_decisions {
             info!(state.shared.log.logger, "placement";
-                "task" => %task, "hall" => %hall, "epoch" => epoch.0, "decision" => &what,
-                "reason" => &why, "candidates" => candidates, "applied" => applied.0);
+                "task" => %task, "hall" => %hall, "epoch" => epoch.0, "decision" => &decision_text,
+                "reason" => &reason_text, "candidates" => candidates, "applied" => applied.0);
         }
         let record = DecisionRecord {
             at_ms: clock::unix_ms(),
-            decided_by: state.me().clone(),
+            decided_by: state.own_id().clone(),
             subject: task.to_string(),
-            decision: what,
-            reason: why,
+            decision: decision_text,
+            reason: reason_text,
             candidates,
             applied,
             epoch: Some(epoch),
         };
-        state.remember(record);
+        state.record_decision(record);
     }
 }
 
@@ -156,10 +157,12 @@
     .to_owned()
 }
 
-fn act(context: &ControlContext, hall: &HallName, action: PlaceAction, now: Moment) {
+fn execute(context: &ControlContext, hall: &HallName, action: PlaceAction, now: Moment) {
     let mut state = context.state.borrow_mut();
     let Some(epoch) = state.placers.get(hall).map(HallPlacer::epoch) else { return };
-    let Some(client) = state.order_lines.get(hall).map(|line| line.client.clone()) else { return };
+    let Some(client) = state.order_channels.get(hall).map(|channel| channel.client.clone()) else {
+        return;
+    };
     match action {
         PlaceAction::Start(worker, start) => {
             let order = start_task(context.clone(), client, hall.clone(), worker, start);
@@ -172,17 +175,17 @@
         PlaceAction::End(ends) => {
             let body = RecordBody::EndTasks { hall: hall.clone(), epoch, ends };
             state.writer.submit_until(body, Moment(u64::MAX));
-            context.write_wanted.notify_one();
+            context.writer_notify.notify_one();
         }
         PlaceAction::Roster { add, remove } => {
             let body = RecordBody::Roster { hall: hall.clone(), epoch, add, remove };
             state.writer.submit_unattended(body, now);
-            context.write_wanted.notify_one();
+            context.writer_notify.notify_one();
         }
     }
 }
 
-fn address_of(state: &ControlState, worker: &WorkerId) -> Option<std::net::SocketAddr> {
+fn worker_address(state: &ControlState, worker: &WorkerId) -> Option<std::net::SocketAddr> {
     state.list.workers.iter().find(|view| view.id == *worker).and_then(|view| view.address)
 }
 
@@ -194,8 +197,8 @@
     worker: WorkerId,
     start: TaskStart,
 ) {
-    let _order = context.orders.acquire().await.expect("it is never closed");
-    let address = address_of(&context.state.borrow(), &worker);
+    let _order = context.order_permits.acquire().await.expect("it is never closed");
+    let address = worker_address(&context.state.borrow(), &worker);
     let sent = clock::now();
     let held = held_lead(&context.state.borrow(), &hall, sent);
     let may_start = held.is_some_and(|held| held.epoch == start.epoch);
@@ -219,7 +222,7 @@
     worker: WorkerId,
     sync: WorkerSync,
 ) {
-    let address = address_of(&context.state.borrow(), &worker);
+    let address = worker_address(&context.state.borrow(), &worker);
     let sent = clock::now();
     let held = held_lead(&context.state.borrow(), &hall, sent);
     let may_sync = held.is_some_and(|held| held.epoch == sync.epoch);
@@ -235,5 +238,5 @@
             placer.sync_replied(&worker, &sync, reply, sent, now);
         }
     }
-    context.place_wanted.notify_one();
+    context.placement_notify.notify_one();
 }
--- a/crates/sedgehilld/src/controllers/publish.rs
+++ b/crates/sedgehilld/src/controllers/publish.rs
@@ -11,70 +11,71 @@
 
 use super::{ControlContext, ControlState, members};
 use crate::clock;
-use crate::shared::{PAUSE_LIMIT, TrafficView};
+use crate::shared::{PAUSE_THRESHOLD, TrafficView};
 use crate::telemetry;
 
-const TURN: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Turns between two looks at health and membership.
-const SLOW_TURNS: u32 = 4;
+const TICKS_PER_PUBLISH: u32 = 4;
 /// How long a box that woke waits for the platform before it goes on with what it has.
-const LOOK_LIMIT: TimeSpan = TimeSpan(3_000);
+const RESUME_TIMEOUT: TimeSpan = TimeSpan(3_000);
 /// How long a box that hears of nobody believes that what it has is still in force.
-const ISOLATION_LIMIT: TimeSpan = TimeSpan(5_000);
+const ISOLATION_TIMEOUT: TimeSpan = TimeSpan(5_000);
 
 /// Keeps queues moving and health right for as long as the box runs.
 pub async fn run(context: ControlContext) {
-    let mut turns = 0;
+    let mut ticks = 0;
     loop {
         for queue in context.shared.queues().values() {
-            queue.turn();
+            queue.process_waiting();
         }
-        turns += 1;
-        if turns % SLOW_TURNS == 0 {
+        ticks += 1;
+        if ticks % TICKS_PER_PUBLISH == 0 {
             publish(&context);
         }
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
 /// Publishes everything as it is now.
 pub fn publish(context: &ControlContext) {
     let now = clock::now();
-    if !is_awake(&mut context.state.borrow_mut(), now) {
+    if !is_view_trusted(&mut context.state.borrow_mut(), now) {
         return;
     }
-    context.shared.set_fresh(now);
+    context.shared.record_fresh(now);
     let state = context.state.borrow();
     if let Some(cluster) = state.cluster() {
         if context.shared.view.load().applied != cluster.next {
-            context.shared.view.store(Arc::new(TrafficView::of(cluster)));
+            context.shared.view.store(Arc::new(TrafficView::from_state(cluster)));
         }
-        context.shared.set_proven(state.log_proven);
+        context.shared.set_current_as_of(state.log_current_as_of);
         let view = context.shared.view.load_full();
         context.shared.ensure_queues(view.services.keys());
         for (service, queue) in context.shared.queues().iter() {
-            if state.list_read {
+            if state.list_loaded {
                 queue.sync(endpoint_views(&state, &view, service, now));
             }
         }
     }
     publish_health(context, &state, now);
-    note_gauges(context, &state, now);
+    set_gauges(context, &state, now);
 }
 
 /// Whether everything was looked at since the last pause. The controllers run many times a second,
 /// so a long gap between two publications is a pause, and what was read before it may be stale.
-fn is_awake(state: &mut ControlState, now: Moment) -> bool {
-    if now.since(state.last_published) > PAUSE_LIMIT {
-        state.woke = Some(now);
+fn is_view_trusted(state: &mut ControlState, now: Moment) -> bool {
+    if now.since(state.last_published) > PAUSE_THRESHOLD {
+        state.resumed_at = Some(now);
     }
     state.last_published = now;
-    let Some(woke) = state.woke else { return true };
-    let looked = state.log_looked >= woke && state.list_looked >= woke;
-    if looked || now.since(woke) > LOOK_LIMIT {
-        state.woke = None;
+    let Some(resumed_at) = state.resumed_at else { return true };
+    let looked =
+        state.log_read_started_at >= resumed_at && state.list_read_started_at >= resumed_at;
+    if looked || now.since(resumed_at) > RESUME_TIMEOUT {
+        state.resumed_at = None;
     }
-    state.woke.is_none()
+    state.resumed_at.is_none()
 }
 
 fn endpoint_views(
@@ -84,8 +85,8 @@
     now: Moment,
 ) -> Vec<EndpointView> {
     let Some(shape) = view.services.get(service) else { return Vec::new() };
-    let boxes = members::working_boxes(state, now);
-    let rank = boxes.iter().position(|id| id == state.me()).unwrap_or(0);
+    let boxes = members::active_boxes(state, now);
+    let rank = boxes.iter().position(|id| id == state.own_id()).unwrap_or(0);
     let leaving = members::leaving_endpoints(state, now);
     let slots = shape.slots.min(shape.connections);
     state
@@ -121,21 +122,21 @@
     if state.cluster().is_none() {
         return not_ready(format!("has no state: the log says: {}", state.log_error));
     }
-    if !state.list_read {
+    if !state.list_loaded {
         return not_ready("has not read the platform's list".to_owned());
     }
-    let silent = state.log_silence(now) > ISOLATION_LIMIT;
+    let silent = state.log_silence(now) > ISOLATION_TIMEOUT;
     if silent && members::is_cut_off_from_peers(state, now) {
         return not_ready("cut off from the log and from every peer".to_owned());
     }
     HealthReport { health: BoxHealth::Ready, reason: String::new() }
 }
 
-fn note_gauges(context: &ControlContext, state: &ControlState, now: Moment) {
+fn set_gauges(context: &ControlContext, state: &ControlState, now: Moment) {
     let applied = state.cluster().map(|cluster| cluster.next).unwrap_or_default();
     telemetry::set_gauge("sedgehill_log_applied", applied.0 as f64);
     telemetry::set_gauge("sedgehill_log_silent_seconds", state.log_silence(now).0 as f64 / 1000.0);
-    telemetry::set_gauge("sedgehill_log_records_pending", state.writer.pending() as f64);
+    telemetry::set_gauge("sedgehill_log_records_pending", state.writer.pending_count() as f64);
     telemetry::set_gauge("sedgehill_log_lines_dropped", context.shared.log.dropped() as f64);
     telemetry::set_gauge(
         "sedgehill_peer_connections_refused",
--- a/crates/sedgehilld/src/controllers/proof.rs
+++ b/crates/sedgehilld/src/controllers/refresh.rs
@@ -20,13 +20,13 @@
 use crate::clock;
 
 /// The longest that a request waits for a proof.
-const PROOF_LIMIT: TimeSpan = TimeSpan(500);
+const REFRESH_TIMEOUT: TimeSpan = TimeSpan(500);
 /// The longest that a request waits for what other boxes know of its key.
-const PEER_LIMIT: Duration = Duration::from_millis(300);
+const PEER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Those that wait for the next read of the log that reaches its end.
 #[derive(Debug, Default)]
-pub struct ProofQueue {
+pub struct RefreshQueue {
     waiting: Vec<oneshot::Sender<bool>>,
 }
 
@@ -34,9 +34,9 @@
 pub async fn run(context: ControlContext) {
     let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
     loop {
-        let waiting = std::mem::take(&mut context.state.borrow_mut().proofs.waiting);
+        let waiting = std::mem::take(&mut context.state.borrow_mut().refreshes.waiting);
         if waiting.is_empty() {
-            context.proof_wanted.notified().await;
+            context.refresh_notify.notified().await;
             continue;
         }
         let proven = read_to_end(&context, &client).await;
@@ -48,12 +48,12 @@
 }
 
 async fn read_to_end(context: &ControlContext, client: &LogClient) -> bool {
-    let began = clock::now();
+    let started_at = clock::now();
     loop {
         let from = context.state.borrow().fold.next();
         let Ok(reply) = client.read(from, Duration::ZERO).await else { return false };
-        log_reader::take_reply(context, reply, began);
-        if context.state.borrow().log_proven >= began {
+        log_reader::apply_reply(context, reply, started_at);
+        if context.state.borrow().log_current_as_of >= started_at {
             publish::publish(context);
             return true;
         }
@@ -65,14 +65,14 @@
 }
 
 /// Brings the state up to date with all that was in the log at `since`. Returns whether that worked in time.
-pub async fn prove(context: &ControlContext, since: Moment) -> bool {
-    if context.state.borrow().log_proven >= since {
+pub async fn refresh_state(context: &ControlContext, since: Moment) -> bool {
+    if context.state.borrow().log_current_as_of >= since {
         return true;
     }
     let (reply, replied) = oneshot::channel();
-    context.state.borrow_mut().proofs.waiting.push(reply);
-    context.proof_wanted.notify_one();
-    let limit = Duration::from_millis(PROOF_LIMIT.as_millis());
+    context.state.borrow_mut().refreshes.waiting.push(reply);
+    context.refresh_notify.notify_one();
+    let limit = Duration::from_millis(REFRESH_TIMEOUT.as_millis());
     matches!(tokio::time::timeout(limit, replied).await, Ok(Ok(true)))
 }
 
@@ -83,23 +83,27 @@
     key: IdempotencyKey,
     since: Moment,
 ) -> ClaimStatus {
-    let proven = prove(context, since).await;
-    let own = own_sight(&context.state.borrow(), organisation, key);
-    let sight = match own {
+    let proven = refresh_state(context, since).await;
+    let own = own_claim_status(&context.state.borrow(), organisation, key);
+    let status = match own {
         ClaimStatus::Claimed => ClaimStatus::Claimed,
         _ if proven => ClaimStatus::Free,
         ClaimStatus::Untold => ClaimStatus::Untold,
         ClaimStatus::Free => ask_peers(context, organisation, key).await,
     };
     info!(context.shared.log.logger, "key looked up"; "organisation" => %organisation, "key" => %key,
-        "sight" => format!("{sight:?}"), "log_read" => proven,
-        "log_age_ms" => clock::now().since(context.state.borrow().log_proven).0);
-    sight
+        "sight" => format!("{status:?}"), "log_read" => proven,
+        "log_age_ms" => clock::now().since(context.state.borrow().log_current_as_of).0);
+    status
 }
 
 /// What this box knows by itself of a key. One that has started since the key was made may have claimed it in an
 /// earlier life, and cannot tell unless it has read the log.
-pub fn own_sight(state: &ControlState, organisation: &OrgName, key: IdempotencyKey) -> ClaimStatus {
+pub fn own_claim_status(
+    state: &ControlState,
+    organisation: &OrgName,
+    key: IdempotencyKey,
+) -> ClaimStatus {
     let claims = |cluster: &sedgehill_core::state::ClusterState| {
         let claims = cluster.claims.get(organisation)?;
         claims.get(&key).map(|claim| !claim.released)
@@ -132,16 +136,16 @@
         let (link, message) = (context.link.clone(), message.clone());
         questions.spawn_local(async move {
             let question = link.request(&peer, address, &message);
-            match tokio::time::timeout(PEER_LIMIT, question).await {
-                Ok(Ok(PeerMessage::ClaimReply(sight))) => sight,
+            match tokio::time::timeout(PEER_TIMEOUT, question).await {
+                Ok(Ok(PeerMessage::ClaimReply(status))) => status,
                 // A box that is silent may have claimed it.
                 _ => ClaimStatus::Untold,
             }
         });
     }
-    let sights = questions.join_all().await;
+    let statuses = questions.join_all().await;
     [ClaimStatus::Claimed, ClaimStatus::Untold]
         .into_iter()
-        .find(|sight| sights.contains(sight))
+        .find(|status| statuses.contains(status))
         .unwrap_or(ClaimStatus::Free)
 }
--- a/crates/sedgehilld/src/controllers/reports.rs
+++ b/crates/sedgehilld/src/controllers/reports.rs
@@ -44,7 +44,7 @@
         let now = clock::now();
         let peers = self.members.states(now).into_iter();
         BoxStatus {
-            id: self.me().clone(),
+            id: self.own_id().clone(),
             hall: self.shared.settings.hall.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             health: (**self.shared.health.load()).clone(),
@@ -155,7 +155,7 @@
         };
         Some(DecisionRecord {
             at_ms: trace.at_ms,
-            decided_by: self.me().clone(),
+            decided_by: self.own_id().clone(),
             subject: id.to_string(),
             decision,
             reason,
--- a/crates/sedgehilld/src/controllers/operators.rs
+++ b/crates/sedgehilld/src/controllers/requests.rs
@@ -9,13 +9,13 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::log_writer::LogWriter;
-use super::{ClaimReply, ControlContext, ControlRequest, ControlState, proof};
+use super::{ClaimReply, ControlContext, ControlRequest, ControlState, refresh};
 use crate::clock;
 
 /// How long a change is tried before its outcome is reported as unknown.
-const CHANGE_LIMIT: TimeSpan = TimeSpan(5_000);
+const CHANGE_TIMEOUT: TimeSpan = TimeSpan(5_000);
 /// The longest that a once-only request waits for its claim.
-const CLAIM_LIMIT: TimeSpan = TimeSpan(2_000);
+const CLAIM_TIMEOUT: TimeSpan = TimeSpan(2_000);
 
 /// Answers for as long as the box runs.
 pub async fn run(context: ControlContext, mut inbox: mpsc::Receiver<ControlRequest>) {
@@ -26,19 +26,19 @@
             ControlRequest::ClaimKey { organisation, key, deadline, reply } => {
                 start_claim(&context, organisation, key, deadline, reply);
             }
-            ControlRequest::ProveView { since, reply } => {
+            ControlRequest::RefreshView { since, reply } => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
                     // Whoever asked may have gone.
-                    let _ = reply.send(proof::prove(&context, since).await);
+                    let _ = reply.send(refresh::refresh_state(&context, since).await);
                 });
             }
             ControlRequest::FindClaim { organisation, key, since, reply } => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
-                    let sight = proof::find_claim(&context, &organisation, key, since).await;
+                    let status = refresh::find_claim(&context, &organisation, key, since).await;
                     // Whoever asked may have gone.
-                    let _ = reply.send(sight);
+                    let _ = reply.send(status);
                 });
             }
             ControlRequest::ReleaseKey { organisation, key, claim } => {
@@ -56,7 +56,7 @@
 ) {
     let body = RecordBody::ReleaseKey { organisation, key, claim };
     context.state.borrow_mut().writer.submit_unattended(body, clock::now());
-    context.write_wanted.notify_one();
+    context.writer_notify.notify_one();
 }
 
 fn start_claim(
@@ -67,33 +67,33 @@
     reply: oneshot::Sender<ClaimReply>,
 ) {
     let now = clock::now();
-    let give_up = deadline.min(now.after(CLAIM_LIMIT));
+    let expires_at = deadline.min(now.after(CLAIM_TIMEOUT));
     let id = LogWriter::new_id();
     let body = RecordBody::ClaimKey { organisation: organisation.clone(), key };
-    let verdict = context.state.borrow_mut().writer.submit(id, body, give_up);
-    context.write_wanted.notify_one();
+    let verdict = context.state.borrow_mut().writer.submit(id, body, expires_at);
+    context.writer_notify.notify_one();
     let context = context.clone();
     tokio::task::spawn_local(async move {
-        let answer = match wait_until(verdict, give_up).await {
+        let answer = match wait_for_verdict(verdict, expires_at).await {
             Some(RecordVerdict::Accepted { .. }) => ClaimReply::Granted(id),
             Some(RecordVerdict::Void { reason }) => ClaimReply::Void(reason),
             Some(RecordVerdict::Conflict { .. }) | None => ClaimReply::NotRecorded,
         };
-        let may_hold =
+        let may_take_effect =
             answer == ClaimReply::NotRecorded && context.state.borrow_mut().writer.withdraw(&id);
-        let unheard = reply.send(answer).is_err();
+        let unreceived = reply.send(answer).is_err();
         // The request did not run, so whoever asks again with this key may run it.
-        if may_hold || (unheard && answer == ClaimReply::Granted(id)) {
+        if may_take_effect || (unreceived && answer == ClaimReply::Granted(id)) {
             release_key(&context, organisation, key, id);
         }
     });
 }
 
-async fn wait_until(
+async fn wait_for_verdict(
     verdict: oneshot::Receiver<RecordVerdict>,
-    give_up: Moment,
+    expires_at: Moment,
 ) -> Option<RecordVerdict> {
-    let left = give_up.since(clock::now());
+    let left = expires_at.since(clock::now());
     let limit = std::time::Duration::from_millis(left.as_millis());
     tokio::time::timeout(limit, verdict).await.ok()?.ok()
 }
@@ -110,12 +110,12 @@
             return;
         }
     };
-    let give_up = clock::now().after(CHANGE_LIMIT);
-    let verdict = context.state.borrow_mut().writer.submit(change.id, body, give_up);
-    context.write_wanted.notify_one();
+    let expires_at = clock::now().after(CHANGE_TIMEOUT);
+    let verdict = context.state.borrow_mut().writer.submit(change.id, body, expires_at);
+    context.writer_notify.notify_one();
     let context = context.clone();
     tokio::task::spawn_local(async move {
-        let answer = match wait_until(verdict, give_up).await {
+        let answer = match wait_for_verdict(verdict, expires_at).await {
             Some(verdict) => ChangeReply::Settled { verdict },
             None => match context.state.borrow_mut().writer.withdraw(&change.id) {
                 true => ChangeReply::Unknown,
@@ -150,8 +150,8 @@
 }
 
 fn void_text(reason: sedgehill_core::state::VoidReason) -> String {
-    let word = serde_json::to_value(reason).expect("our types serialize");
-    word.as_str().unwrap_or_default().to_owned()
+    let reason_text = serde_json::to_value(reason).expect("our types serialize");
+    reason_text.as_str().unwrap_or_default().to_owned()
 }
 
 /// The allowed hall with the most free room, as the leads say; the room is a hint only.
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -11,14 +11,14 @@
 use crate::clock;
 use crate::connection::StopPhase;
 
-const TURN: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Kept of the time for what is in flight, to end the connections that are idle by then.
-const CLOSING_TIME: TimeSpan = TimeSpan(1_200);
+const FINAL_PHASE_TIME: TimeSpan = TimeSpan(1_200);
 /// How long handing over the leads may take.
-const HAND_OVER_LIMIT: TimeSpan = TimeSpan(3_000);
+const HAND_OVER_TIMEOUT: TimeSpan = TimeSpan(3_000);
 
 /// Hands over the leads when an operator drains this box, and lets it claim again afterwards.
-pub async fn follow_drain(context: ControlContext) {
+pub async fn watch_drain(context: ControlContext) {
     let mut was_leaving = false;
     loop {
         let leaving = context.state.borrow().is_leaving();
@@ -26,10 +26,10 @@
             hand_over(&context).await;
         }
         if !leaving && was_leaving {
-            context.state.borrow_mut().handed_over.clear();
+            context.state.borrow_mut().handed_over_halls.clear();
         }
         was_leaving = leaving;
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -40,19 +40,19 @@
     context.state.borrow_mut().stopping = true;
     publish::publish(&context);
     let connections = &context.shared.connections;
-    connections.begin(StopPhase::Noticing);
+    connections.enter_phase(StopPhase::Announcing);
     hand_over(&context).await;
     let drain = &context.shared.settings.drain;
     let lag = Duration::from_millis(drain.balancer_lag.as_millis());
     tokio::time::sleep(lag).await;
-    connections.begin(StopPhase::Ending);
+    connections.enter_phase(StopPhase::ClosingIdle);
     let end = clock::now().after(drain.limit);
-    let closing = clock::now().after(TimeSpan(drain.limit.0.saturating_sub(CLOSING_TIME.0)));
-    wait_while(closing, || connections.open() > 0).await;
-    connections.begin(StopPhase::Closing);
-    wait_while(end, || connections.open() > 0).await;
+    let closing = clock::now().after(TimeSpan(drain.limit.0.saturating_sub(FINAL_PHASE_TIME.0)));
+    wait_while(closing, || connections.open_count() > 0).await;
+    connections.enter_phase(StopPhase::ClosingAllIdle);
+    wait_while(end, || connections.open_count() > 0).await;
     info!(context.shared.log.logger, "stopped"; "cut_off" => context.shared.in_flight(),
-        "connections" => connections.open(), "ended_idle" => connections.ended_idle());
+        "connections" => connections.open_count(), "ended_idle" => connections.ended_idle());
 }
 
 async fn wait_for_signal() {
@@ -66,17 +66,17 @@
 
 async fn wait_while(end: Moment, mut waiting: impl FnMut() -> bool) {
     while waiting() && clock::now() < end {
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Stops placing, lets starts under way end, and gives up the leads.
 async fn hand_over(context: &ControlContext) {
-    let end = clock::now().after(HAND_OVER_LIMIT);
+    let end = clock::now().after(HAND_OVER_TIMEOUT);
     {
         let mut state = context.state.borrow_mut();
         let halls: Vec<_> = state.placers.keys().cloned().collect();
-        state.handed_over.extend(halls);
+        state.handed_over_halls.extend(halls);
     }
     wait_while(end, || {
         let state = context.state.borrow();
@@ -104,5 +104,5 @@
     for body in held {
         state.writer.submit_until(body, end);
     }
-    context.write_wanted.notify_one();
+    context.writer_notify.notify_one();
 }
--- a/crates/sedgehilld/src/filters/answer.rs
+++ b/crates/sedgehilld/src/filters/answer.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode};
 use sedgehill_core::ids::RequestId;
 
-use super::forward::{REFUSED_HEADER, REQUEST_ID_HEADER, end_to_end};
+use super::forward::{REFUSED_HEADER, REQUEST_ID_HEADER, end_to_end_headers};
 use super::outcome::RequestOutcome;
 
 /// The header that says how a request ended: `answered`, `not-run` or `unknown`.
@@ -15,18 +15,22 @@
 pub const REASON_HEADER: &str = "sedgehill-reason";
 
 /// Builds the answer to the caller. A draining box asks its callers to connect elsewhere.
-pub fn build(id: RequestId, outcome: RequestOutcome, draining: bool) -> Response<Full<Bytes>> {
+pub fn build_answer(
+    id: RequestId,
+    outcome: RequestOutcome,
+    draining: bool,
+) -> Response<Full<Bytes>> {
     let (name, reason) = (outcome.name(), outcome.reason());
     let mut response = match outcome {
-        RequestOutcome::Answered(answer) => pass_on(*answer),
+        RequestOutcome::Answered(answer) => forward_answer(*answer),
         RequestOutcome::NotRun(not_run) => {
-            let mut response = explain(not_run.status(), name, reason);
+            let mut response = build_error(not_run.status(), name, reason);
             if let Some(seconds) = not_run.retry_after() {
                 response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
             }
             response
         }
-        RequestOutcome::Unknown(unknown) => explain(unknown.status(), name, reason),
+        RequestOutcome::Unknown(unknown) => build_error(unknown.status(), name, reason),
     };
     let headers = response.headers_mut();
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static(name));
@@ -41,15 +45,15 @@
     response
 }
 
-fn pass_on(answer: Response<Bytes>) -> Response<Full<Bytes>> {
+fn forward_answer(answer: Response<Bytes>) -> Response<Full<Bytes>> {
     let (mut parts, body) = answer.into_parts();
-    parts.headers = end_to_end(&parts.headers);
+    parts.headers = end_to_end_headers(&parts.headers);
     parts.headers.remove(REFUSED_HEADER);
     parts.version = hyper::Version::HTTP_11;
     Response::from_parts(parts, Full::new(body))
 }
 
-fn explain(status: u16, outcome: &'static str, reason: &'static str) -> Response<Full<Bytes>> {
+fn build_error(status: u16, outcome: &'static str, reason: &'static str) -> Response<Full<Bytes>> {
     let body = format!("{{\"outcome\":\"{outcome}\",\"reason\":\"{reason}\"}}\n");
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = StatusCode::from_u16(status).expect("statuses are listed in range");
--- a/crates/sedgehilld/src/filters/claim.rs
+++ b/crates/sedgehilld/src/filters/claim.rs
@@ -28,7 +28,7 @@
 
 /// What a refused caller is told whose request has a key. A box that refuses by itself knows of its own attempt alone;
 /// under the same key the request may have run at another.
-pub async fn check_refusal(
+pub async fn check_key_of_refused(
     handle: &ControlHandle,
     key: Option<(OrgName, IdempotencyKey)>,
     arrived: Moment,
@@ -45,7 +45,7 @@
 }
 
 /// Gives the claim back if the request surely did not run, so that the caller may try again.
-pub fn settle(
+pub fn release_if_not_run(
     handle: &ControlHandle,
     context: &RequestContext,
     claim: RecordId,
--- a/crates/sedgehilld/src/filters/dispatch.rs
+++ b/crates/sedgehilld/src/filters/dispatch.rs
@@ -35,7 +35,7 @@
     }
 
     /// Notes what the attempt says about the endpoint.
-    pub fn set_evidence(&mut self, evidence: EndpointEvidence) {
+    pub fn set_outcome(&mut self, evidence: EndpointEvidence) {
         self.evidence = evidence;
     }
 }
--- a/crates/sedgehilld/src/filters/forward.rs
+++ b/crates/sedgehilld/src/filters/forward.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No byte of the request reached the endpoint, or the endpoint said that it did not begin.
-    NotBegun,
+    NotStarted,
     /// The request may have run.
     MayHaveRun(UnknownReason),
 }
@@ -55,7 +55,7 @@
     ) -> Option<RequestOutcome> {
         match self {
             AttemptFailure::MayHaveRun(reason) => Some(RequestOutcome::Unknown(reason)),
-            AttemptFailure::NotBegun => {
+            AttemptFailure::NotStarted => {
                 let again = record.attempts < MAX_ATTEMPTS && chain.budget.lock().try_take();
                 (!again).then_some(RequestOutcome::NotRun(NotRunReason::EndpointsRefused))
             }
@@ -78,8 +78,8 @@
     let limit = Duration::from_millis(context.kind.timeout.as_millis());
     let address = slot.choice().address;
     let Ok(mut connection) = chain.pool.checkout(address).await else {
-        slot.set_evidence(EndpointEvidence::Bad);
-        return Err(AttemptFailure::NotBegun);
+        slot.set_outcome(EndpointEvidence::Bad);
+        return Err(AttemptFailure::NotStarted);
     };
     let request = build_request(context, address);
     let max_answer = chain.shared.settings.limits.answer.0 as usize;
@@ -88,13 +88,13 @@
         Ok(result) => result,
         Err(_) => Err(AttemptFailure::MayHaveRun(UnknownReason::TimedOut)),
     };
-    slot.set_evidence(evidence_of(&result));
+    slot.set_outcome(endpoint_outcome(&result));
     if result.is_ok() {
         chain.pool.checkin(address, connection);
     }
     let answer = result?;
     match is_refusal(&answer) {
-        true => Err(AttemptFailure::NotBegun),
+        true => Err(AttemptFailure::NotStarted),
         false => Ok(answer),
     }
 }
@@ -105,12 +105,12 @@
     max_answer: usize,
 ) -> Result<Response<Bytes>, AttemptFailure> {
     if connection.sender.ready().await.is_err() {
-        return Err(AttemptFailure::NotBegun);
+        return Err(AttemptFailure::NotStarted);
     }
     let response = connection.sender.try_send_request(request).await.map_err(|mut error| {
         // The library gives the request back only if none of it was written.
         match error.take_message() {
-            Some(_) => AttemptFailure::NotBegun,
+            Some(_) => AttemptFailure::NotStarted,
             None => AttemptFailure::MayHaveRun(UnknownReason::ConnectionLost),
         }
     })?;
@@ -132,7 +132,7 @@
 }
 
 /// An endpoint that refuses or fails fast looks idle, so its failures count as such.
-fn evidence_of(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointEvidence {
+fn endpoint_outcome(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointEvidence {
     match result {
         Ok(answer) if !answer.status().is_server_error() => EndpointEvidence::Good,
         _ => EndpointEvidence::Bad,
@@ -148,7 +148,7 @@
     let mut request = Request::new(Full::new(context.body.clone()));
     *request.method_mut() = context.method.clone();
     *request.uri_mut() = context.target.parse().expect("a part of a valid path is valid");
-    *request.headers_mut() = end_to_end(&context.headers);
+    *request.headers_mut() = end_to_end_headers(&context.headers);
     let headers = request.headers_mut();
     headers.insert(header::HOST, header_value(&address));
     headers.insert(REQUEST_ID_HEADER, header_value(&context.id));
@@ -162,7 +162,7 @@
 
 /// The headers that go on to the other side: all but those of the connection, and those that the
 /// connection header names.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/sedgehilld/src/filters/identify.rs
+++ b/crates/sedgehilld/src/filters/identify.rs
@@ -23,7 +23,7 @@
 pub const DEADLINE_HEADER: &str = "sedgehill-deadline";
 
 /// How long a request is held at a box that woke from a pause.
-const FRESH_LIMIT: TimeSpan = TimeSpan(5_000);
+const MAX_FRESHNESS_WAIT: TimeSpan = TimeSpan(5_000);
 
 /// A request whose parts are known and checked.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     arrived: Moment,
     request: Request<Incoming>,
 ) -> Result<RequestContext, RequestOutcome> {
-    wait_fresh(shared, arrived).await;
+    wait_until_fresh(shared, arrived).await;
     if shared.health.load().health == BoxHealth::NotReady {
         return Err(RequestOutcome::NotRun(NotRunReason::NotReady));
     }
@@ -109,18 +109,18 @@
     if let Ok(found) = path.find(&shared.view.load_full()) {
         return Ok(found);
     }
-    if shared.proven_at() < arrived && !handle.prove_view(arrived).await {
-        return Err(not_run(NotRunReason::ViewUnproven));
+    if shared.current_as_of() < arrived && !handle.refresh_view(arrived).await {
+        return Err(not_run(NotRunReason::ViewNotCurrent));
     }
-    wait_fresh(shared, arrived).await;
+    wait_until_fresh(shared, arrived).await;
     path.find(&shared.view.load_full()).map_err(not_run)
 }
 
 /// Holds a request that arrives at a box just woken from a pause, until its controllers have looked
 /// at what changed meanwhile.
-async fn wait_fresh(shared: &SharedState, arrived: Moment) {
+async fn wait_until_fresh(shared: &SharedState, arrived: Moment) {
     const POLL: Duration = Duration::from_millis(10);
-    while !shared.is_fresh(clock::now()) && clock::now().since(arrived) < FRESH_LIMIT {
+    while !shared.is_fresh(clock::now()) && clock::now().since(arrived) < MAX_FRESHNESS_WAIT {
         tokio::time::sleep(POLL).await;
     }
 }
--- a/crates/sedgehilld/src/filters/limit.rs
+++ b/crates/sedgehilld/src/filters/limit.rs
@@ -6,7 +6,7 @@
 
 /// Refuses a request that is over the rate of its organisation.
 pub fn check(shared: &SharedState, context: &RequestContext) -> Result<(), RequestOutcome> {
-    match shared.take_token(&context.parameters, context.arrived) {
+    match shared.try_take_token(&context.parameters, context.arrived) {
         true => Ok(()),
         false => Err(RequestOutcome::NotRun(NotRunReason::RateLimit)),
     }
--- a/crates/sedgehilld/src/filters/mod.rs
+++ b/crates/sedgehilld/src/filters/mod.rs
@@ -31,7 +31,7 @@
 use outcome::RequestRecord;
 use pool::EndpointPool;
 
-pub use answer::build as build_answer;
+pub use answer::build_answer;
 pub use outcome::{RequestOutcome, UnknownReason};
 
 /// What the filters of one box share.
@@ -61,15 +61,15 @@
     chain: Arc<FilterChain>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let _guard = chain.shared.enter();
+    let _guard = chain.shared.track_in_flight();
     let id = RequestId(Uuid::now_v7());
     let mut record = RequestRecord::default();
     let path = request.uri().path().to_owned();
     let outcome = match run_filters(&chain, id, request, &mut record).await {
         Ok(outcome) | Err(outcome) => outcome,
     };
-    note_outcome(&chain, id, &path, &record, &outcome);
-    answer::build(id, outcome, chain.shared.is_draining())
+    record_outcome(&chain, id, &path, &record, &outcome);
+    answer::build_answer(id, outcome, chain.shared.is_draining())
 }
 
 async fn run_filters(
@@ -83,12 +83,12 @@
     let (context, claim) = match admit(chain, id, arrived, request).await {
         Ok(admitted) => admitted,
         Err(outcome) => {
-            return Err(claim::check_refusal(&chain.handle, key, arrived, outcome).await);
+            return Err(claim::check_key_of_refused(&chain.handle, key, arrived, outcome).await);
         }
     };
-    let outcome = run_attempts(chain, &context, record).await;
+    let outcome = send_with_retries(chain, &context, record).await;
     if let Some(claim) = claim {
-        claim::settle(&chain.handle, &context, claim, &outcome);
+        claim::release_if_not_run(&chain.handle, &context, claim, &outcome);
     }
     Ok(outcome)
 }
@@ -106,7 +106,7 @@
     Ok((context, claim))
 }
 
-async fn run_attempts(
+async fn send_with_retries(
     chain: &FilterChain,
     context: &RequestContext,
     record: &mut RequestRecord,
@@ -119,8 +119,8 @@
             Ok(slot) => slot,
             Err(outcome) => return outcome,
         };
-        chain.metrics.note_wait(started.elapsed().as_secs_f64());
-        record.note_attempt(slot.choice(), started.elapsed());
+        chain.metrics.record_wait(started.elapsed().as_secs_f64());
+        record.record_attempt(slot.choice(), started.elapsed());
         let endpoint = slot.choice().endpoint.clone();
         let result = forward::forward(chain, context, slot).await;
         match result {
@@ -137,7 +137,7 @@
     }
 }
 
-fn note_outcome(
+fn record_outcome(
     chain: &FilterChain,
     id: RequestId,
     path: &str,
@@ -158,10 +158,10 @@
             "outcome" => name,
             "reason" => reason,
             "applied" => applied.0,
-            "view_age_ms" => clock::now().since(chain.shared.proven_at()).0,
+            "view_age_ms" => clock::now().since(chain.shared.current_as_of()).0,
         );
     }
-    chain.shared.remember(RequestTrace {
+    chain.shared.record_trace(RequestTrace {
         id,
         at_ms: clock::unix_ms(),
         endpoint: record.endpoint.clone(),
--- a/crates/sedgehilld/src/filters/outcome.rs
+++ b/crates/sedgehilld/src/filters/outcome.rs
@@ -86,7 +86,7 @@
         /// The claim could not be recorded, since the log does not answer.
         LogUnavailable = "log-unavailable", 503;
         /// The box could not read what is in force now, and knows no such service or parameters.
-        ViewUnproven = "view-unproven", 503;
+        ViewNotCurrent = "view-unproven", 503;
         /// The box does not take requests.
         NotReady = "not-ready", 503;
         /// The organisation sends more than its rate.
@@ -133,9 +133,9 @@
             | NotRunReason::QueueFull
             | NotRunReason::Deadline
             | NotRunReason::EndpointsRefused => Some(SOON),
-            NotRunReason::LogUnavailable | NotRunReason::ViewUnproven | NotRunReason::NotReady => {
-                Some(LATER)
-            }
+            NotRunReason::LogUnavailable
+            | NotRunReason::ViewNotCurrent
+            | NotRunReason::NotReady => Some(LATER),
             _ => None,
         }
     }
@@ -156,7 +156,7 @@
 
 impl RequestRecord {
     /// Notes one more attempt.
-    pub fn note_attempt(&mut self, choice: &DispatchChoice, wait: Duration) {
+    pub fn record_attempt(&mut self, choice: &DispatchChoice, wait: Duration) {
         self.endpoint = Some(choice.endpoint.clone());
         self.candidates = choice.candidates;
         self.attempts += 1;
--- a/crates/sedgehilld/src/filters/pool.rs
+++ b/crates/sedgehilld/src/filters/pool.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 /// How long an endpoint may take to accept a connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One connection to an endpoint, with no request on it.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
 }
 
 async fn connect(address: SocketAddr) -> Result<EndpointConnection, std::io::Error> {
-    let stream = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address)).await??;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let stream = stream.into_std()?;
     let probe = stream.try_clone()?;
--- a/crates/sedgehilld/src/shared.rs
+++ b/crates/sedgehilld/src/shared.rs
@@ -18,18 +18,18 @@
 use tokio::sync::oneshot;
 
 use crate::clock;
-use crate::connection::ConnectionDesk;
+use crate::connection::ConnectionManager;
 use crate::logging::LogSink;
 use crate::settings::BoxSettings;
-use crate::traffic::{answer_in_advance, connection_limits};
+use crate::traffic::{build_idle_response, caller_limits};
 
 /// Requests whose way is remembered for reading back.
-const KEPT_TRACES: usize = 8_192;
+const MAX_TRACES: usize = 8_192;
 
 /// Controllers that did not run for this long were paused, and what they knew may be stale.
-pub const PAUSE_LIMIT: TimeSpan = TimeSpan(1_000);
+pub const PAUSE_THRESHOLD: TimeSpan = TimeSpan(1_000);
 
-const EJECT_POLICY: EjectPolicy =
+const EJECTION_POLICY: EjectPolicy =
     EjectPolicy { failures: 3, first: TimeSpan(1_000), longest: TimeSpan(30_000), max_percent: 50 };
 
 /// What the traffic threads know of the cluster, replaced as a whole.
@@ -45,7 +45,7 @@
 
 impl TrafficView {
     /// The view of a state.
-    pub fn of(state: &ClusterState) -> TrafficView {
+    pub fn from_state(state: &ClusterState) -> TrafficView {
         use sedgehill_core::spec::{ConfigSpec, WorkShape};
         let mut view = TrafficView { applied: state.next, ..TrafficView::default() };
         for version in state.configs.values().filter_map(|versions| versions.last()) {
@@ -66,11 +66,11 @@
 }
 
 /// A request that waits: where its endpoint is sent.
-pub type Waiter = oneshot::Sender<DispatchChoice>;
+pub type ChoiceSender = oneshot::Sender<DispatchChoice>;
 
 /// The endpoints and the waiting requests of one service.
 pub struct ServiceQueue {
-    queue: Mutex<DispatchQueue<Waiter>>,
+    queue: Mutex<DispatchQueue<ChoiceSender>>,
 }
 
 impl ServiceQueue {
@@ -79,12 +79,12 @@
             count: settings.limits.waiting,
             bytes: settings.limits.waiting_bytes.0 as usize,
         };
-        let queue = DispatchQueue::new(settings.hall.clone(), limits, EJECT_POLICY);
+        let queue = DispatchQueue::new(settings.hall.clone(), limits, EJECTION_POLICY);
         ServiceQueue { queue: Mutex::new(queue) }
     }
 
     /// Works on the queue under its lock.
-    pub fn with<R>(&self, work: impl FnOnce(&mut DispatchQueue<Waiter>) -> R) -> R {
+    pub fn with<R>(&self, work: impl FnOnce(&mut DispatchQueue<ChoiceSender>) -> R) -> R {
         work(&mut self.queue.lock())
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Gives room to those that wait, and takes out those whose deadline has passed.
-    pub fn turn(&self) {
+    pub fn process_waiting(&self) {
         let now = clock::now();
         let (expired, chosen) = self.with(|queue| (queue.expire(now), queue.hand_out(now)));
         // A dropped waiter is how a request learns that its deadline has passed.
@@ -109,7 +109,7 @@
         self.deliver(chosen);
     }
 
-    fn deliver(&self, chosen: Vec<(DispatchChoice, Waiter)>) {
+    fn deliver(&self, chosen: Vec<(DispatchChoice, ChoiceSender)>) {
         for (choice, waiter) in chosen {
             if let Err(choice) = waiter.send(choice) {
                 // The caller went while its request waited.
@@ -157,9 +157,9 @@
     /// When the controllers last found the view to be fresh.
     fresh_at: std::sync::atomic::AtomicU64,
     /// When the read of the log was begun that the view is known to reach to the end of.
-    proven_at: std::sync::atomic::AtomicU64,
+    current_as_of: std::sync::atomic::AtomicU64,
     /// The connections of callers.
-    pub connections: Arc<ConnectionDesk>,
+    pub connections: Arc<ConnectionManager>,
 }
 
 impl SharedState {
@@ -169,10 +169,10 @@
             health: BoxHealth::NotReady,
             reason: "has not read the log yet".to_owned(),
         };
-        let connections = ConnectionDesk::new(
+        let connections = ConnectionManager::new(
             log.logger.clone(),
-            connection_limits(&settings),
-            answer_in_advance,
+            caller_limits(&settings),
+            build_idle_response,
         );
         SharedState {
             settings,
@@ -185,7 +185,7 @@
             traces: Mutex::default(),
             in_flight: std::sync::atomic::AtomicUsize::new(0),
             fresh_at: std::sync::atomic::AtomicU64::new(0),
-            proven_at: std::sync::atomic::AtomicU64::new(0),
+            current_as_of: std::sync::atomic::AtomicU64::new(0),
             connections,
         }
     }
@@ -215,7 +215,7 @@
     }
 
     /// Whether the rate of an organisation allows one more request now.
-    pub fn take_token(&self, parameters: &OrgParameters, now: Moment) -> bool {
+    pub fn try_take_token(&self, parameters: &OrgParameters, now: Moment) -> bool {
         let Some(rate) = parameters.rate else { return true };
         let key = (parameters.organisation.clone(), parameters.template.clone());
         let mut buckets = self.buckets.lock();
@@ -227,9 +227,9 @@
     }
 
     /// Remembers how a request went.
-    pub fn remember(&self, trace: RequestTrace) {
+    pub fn record_trace(&self, trace: RequestTrace) {
         let mut traces = self.traces.lock();
-        if traces.len() >= KEPT_TRACES {
+        if traces.len() >= MAX_TRACES {
             traces.pop_front();
         }
         traces.push_back(trace);
@@ -241,30 +241,30 @@
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlightGuard {
+    pub fn track_in_flight(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         InFlightGuard { shared: self.clone() }
     }
 
     /// Notes that the view is fresh as of `now`.
-    pub fn set_fresh(&self, now: Moment) {
+    pub fn record_fresh(&self, now: Moment) {
         self.fresh_at.store(now.0, std::sync::atomic::Ordering::Release);
     }
 
     /// Whether the view may be acted on. It may not after a pause until the controllers have looked.
     pub fn is_fresh(&self, now: Moment) -> bool {
         let fresh_at = Moment(self.fresh_at.load(std::sync::atomic::Ordering::Acquire));
-        now.since(fresh_at) <= PAUSE_LIMIT
+        now.since(fresh_at) <= PAUSE_THRESHOLD
     }
 
     /// Notes that the view holds all that was in the log at `moment`.
-    pub fn set_proven(&self, moment: Moment) {
-        self.proven_at.fetch_max(moment.0, std::sync::atomic::Ordering::AcqRel);
+    pub fn set_current_as_of(&self, moment: Moment) {
+        self.current_as_of.fetch_max(moment.0, std::sync::atomic::Ordering::AcqRel);
     }
 
     /// The last moment of which the view is known to hold all that was in the log.
-    pub fn proven_at(&self) -> Moment {
-        Moment(self.proven_at.load(std::sync::atomic::Ordering::Acquire))
+    pub fn current_as_of(&self) -> Moment {
+        Moment(self.current_as_of.load(std::sync::atomic::Ordering::Acquire))
     }
 
     /// Requests in flight.
--- a/crates/sedgehilld/src/telemetry.rs
+++ b/crates/sedgehilld/src/telemetry.rs
@@ -7,7 +7,7 @@
 use sedgehill_cell::organisation::KeyOwner;
 
 const REQUESTS: &str = "sedgehill_requests_total";
-const UPKEEP_EVERY: Duration = Duration::from_secs(2);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(2);
 /// Bounds of the buckets of times, in seconds.
 const TIME_BUCKETS: [f64; 10] = [0.0005, 0.001, 0.005, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0, 30.0];
 
@@ -46,7 +46,7 @@
     }
 
     /// Notes how long a request waited for an endpoint.
-    pub fn note_wait(&self, seconds: f64) {
+    pub fn record_wait(&self, seconds: f64) {
         self.wait.record(seconds);
     }
 }
@@ -55,7 +55,7 @@
 /// until somebody reads the metrics.
 pub async fn run_upkeep(handle: PrometheusHandle) {
     loop {
-        tokio::time::sleep(UPKEEP_EVERY).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         handle.run_upkeep();
     }
 }
--- a/crates/sedgehilld/src/traffic.rs
+++ b/crates/sedgehilld/src/traffic.rs
@@ -22,17 +22,17 @@
 const MAX_HEADERS: usize = 100;
 
 /// The bounds of a caller's connection.
-pub fn connection_limits(settings: &BoxSettings) -> ConnectionLimits {
+pub fn caller_limits(settings: &BoxSettings) -> ConnectionLimits {
     ConnectionLimits {
-        header_bytes: MAX_HEADER_BYTES,
-        headers: Some(MAX_HEADERS),
-        head_time: Some(Duration::from_millis(settings.limits.receive.as_millis())),
+        max_header_bytes: MAX_HEADER_BYTES,
+        max_headers: Some(MAX_HEADERS),
+        header_timeout: Some(Duration::from_millis(settings.limits.receive.as_millis())),
     }
 }
 
 /// What a caller is told whose request may cross the end of its idle connection. The box has read nothing of it, so
 /// it does not know the key under which the request may have run elsewhere.
-pub fn answer_in_advance() -> Response<Full<Bytes>> {
+pub fn build_idle_response() -> Response<Full<Bytes>> {
     let outcome = RequestOutcome::Unknown(UnknownReason::ConnectionEnded);
     build_answer(RequestId(Uuid::now_v7()), outcome, true)
 }
