--- a/crates/sedgehilld/src/filters/answer.rs
+++ b/crates/sedgehilld/src/filters/answer.rs
@@ -1,4 +1,4 @@
-//! What the caller is told.
+//! Builds the response to the caller from the outcome of a request.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -9,12 +9,12 @@
 use super::forward::{REFUSED_HEADER, REQUEST_ID_HEADER, end_to_end_headers};
 use super::outcome::RequestOutcome;
 
-/// The header that says how a request ended: `answered`, `not-run` or `unknown`.
+/// Header that carries the outcome of a request: `answered`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "sedgehill-outcome";
-/// The header that says why it was not answered.
+/// Header that carries the reason why a request was not answered.
 pub const REASON_HEADER: &str = "sedgehill-reason";
 
-/// Builds the answer to the caller. A draining box asks its callers to connect elsewhere.
+/// Builds the response to the caller. A draining box closes the connection, so that the caller connects to another box.
 pub fn build_answer(
     id: RequestId,
     outcome: RequestOutcome,
@@ -37,7 +37,7 @@
     if !reason.is_empty() {
         headers.insert(REASON_HEADER, HeaderValue::from_static(reason));
     }
-    let id = HeaderValue::from_str(&id.to_string()).expect("an id is valid in a header");
+    let id = HeaderValue::from_str(&id.to_string()).expect("a request id is a valid header value");
     headers.insert(REQUEST_ID_HEADER, id);
     if draining {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -45,6 +45,7 @@
     response
 }
 
+/// Converts the answer of an endpoint. The headers of the connection and of a refusal are not forwarded.
 fn forward_answer(answer: Response<Bytes>) -> Response<Full<Bytes>> {
     let (mut parts, body) = answer.into_parts();
     parts.headers = end_to_end_headers(&parts.headers);
@@ -56,7 +57,8 @@
 fn build_error(status: u16, outcome: &'static str, reason: &'static str) -> Response<Full<Bytes>> {
     let body = format!("{{\"outcome\":\"{outcome}\",\"reason\":\"{reason}\"}}\n");
     let mut response = Response::new(Full::new(Bytes::from(body)));
-    *response.status_mut() = StatusCode::from_u16(status).expect("statuses are listed in range");
+    *response.status_mut() =
+        StatusCode::from_u16(status).expect("the status of each reason is valid");
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
--- a/crates/sedgehilld/src/filters/claim.rs
+++ b/crates/sedgehilld/src/filters/claim.rs
@@ -1,4 +1,4 @@
-//! Once-only requests: the right to run one is claimed in the log before it goes anywhere.
+//! Claims the idempotency keys of once-only requests in the log, before a request is sent to an endpoint.
 
 use sedgehill_core::ids::{IdempotencyKey, OrgName, RecordId};
 use sedgehill_core::state::VoidReason;
@@ -9,7 +9,7 @@
 use super::outcome::{NotRunReason, RequestOutcome, UnknownReason};
 use crate::controllers::{ClaimReply, ControlHandle};
 
-/// Claims the key of a request, if it has one. Returns the record of the claim.
+/// Claims the idempotency key of a request, if it has one. Returns the id of the claim's record.
 pub async fn claim(
     handle: &ControlHandle,
     context: &RequestContext,
@@ -26,8 +26,9 @@
     }
 }
 
-/// What a refused caller is told whose request has a key. A box that refuses by itself knows of its own attempt alone;
-/// under the same key the request may have run at another.
+/// Returns the outcome to report for a refused request that may have an idempotency key. The refusal only says that
+/// this box did not run the request; another box may have run it under the same key. Unless the key is known to be
+/// free, `NotRun` becomes `Unknown`.
 pub async fn check_key_of_refused(
     handle: &ControlHandle,
     key: Option<(OrgName, IdempotencyKey)>,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Gives the claim back if the request surely did not run, so that the caller may try again.
+/// Releases the claim if the request surely did not run, so that the caller may retry with the same key.
 pub fn release_if_not_run(
     handle: &ControlHandle,
     context: &RequestContext,
--- a/crates/sedgehilld/src/filters/dispatch.rs
+++ b/crates/sedgehilld/src/filters/dispatch.rs
@@ -1,4 +1,4 @@
-//! Waits for an endpoint with room.
+//! Reserves a slot of an endpoint for a request, and lets the request wait if there is none.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,46 +15,47 @@
 use crate::clock;
 use crate::shared::{ServiceQueue, SharedState};
 
-/// A slot of an endpoint, given back when dropped.
+/// A reserved slot of an endpoint, which is released when dropped.
 pub struct EndpointSlot {
     queue: Arc<ServiceQueue>,
     choice: DispatchChoice,
-    taken: Instant,
-    evidence: EndpointEvidence,
+    reserved_at: Instant,
+    outcome: EndpointEvidence,
 }
 
 impl EndpointSlot {
     fn new(queue: Arc<ServiceQueue>, choice: DispatchChoice) -> EndpointSlot {
-        // A caller that goes away says nothing about the endpoint.
-        EndpointSlot { queue, choice, taken: Instant::now(), evidence: EndpointEvidence::Neutral }
+        // Stays neutral if the caller closes its connection, which says nothing about the endpoint.
+        let outcome = EndpointEvidence::Neutral;
+        EndpointSlot { queue, choice, reserved_at: Instant::now(), outcome }
     }
 
-    /// The decision that gave the slot.
+    /// Returns the dispatch decision that reserved the slot.
     pub fn choice(&self) -> &DispatchChoice {
         &self.choice
     }
 
-    /// Notes what the attempt says about the endpoint.
-    pub fn set_outcome(&mut self, evidence: EndpointEvidence) {
-        self.evidence = evidence;
+    /// Sets the outcome of the attempt, which counts for or against the endpoint when the slot is released.
+    pub fn set_outcome(&mut self, outcome: EndpointEvidence) {
+        self.outcome = outcome;
     }
 }
 
 impl Drop for EndpointSlot {
     fn drop(&mut self) {
-        let held = TimeSpan(self.taken.elapsed().as_millis() as u64);
-        self.queue.release(&self.choice.endpoint, self.evidence, held);
+        let held = TimeSpan(self.reserved_at.elapsed().as_millis() as u64);
+        self.queue.release(&self.choice.endpoint, self.outcome, held);
     }
 }
 
-/// A request that waits. If its caller goes after an endpoint was sent and before it was read, the
-/// slot is given back.
-struct WaitingSlot {
+/// A request that waits for a slot. If it is dropped after a slot was sent to it and before it received the slot, the
+/// slot is released.
+struct SlotReceiver {
     queue: Arc<ServiceQueue>,
     receiver: oneshot::Receiver<DispatchChoice>,
 }
 
-impl Drop for WaitingSlot {
+impl Drop for SlotReceiver {
     fn drop(&mut self) {
         self.receiver.close();
         if let Ok(choice) = self.receiver.try_recv() {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Gets a slot of an endpoint, at once or by waiting.
+/// Reserves a slot of an endpoint for the request, and waits for one if necessary.
 pub async fn dispatch(
     shared: &SharedState,
     context: &RequestContext,
@@ -72,11 +73,11 @@
     let queue = shared
         .queue(&context.service)
         .ok_or(RequestOutcome::NotRun(NotRunReason::NoSuchService))?;
-    let patience = TimeSpan(context.kind.patience.0 + context.parameters.tolerable_delay.0);
+    let tolerable_wait = TimeSpan(context.kind.patience.0 + context.parameters.tolerable_delay.0);
     let request = DispatchRequest {
         organisation: context.parameters.organisation.clone(),
         halls: context.parameters.halls.clone(),
-        due: context.arrived.after(patience),
+        due: context.arrived.after(tolerable_wait),
         deadline: context.deadline,
         queue_limit: context.parameters.queue,
         bytes: context.body.len(),
@@ -85,23 +86,23 @@
     let (sender, receiver) = oneshot::channel();
     match queue.with(|queue| queue.offer(request, sender, clock::now())) {
         DispatchOffer::Chosen(choice, _) => Ok(EndpointSlot::new(queue, choice)),
-        DispatchOffer::Refused(refusal, _) => Err(refused(refusal)),
-        DispatchOffer::Waiting => wait(queue, receiver).await,
+        DispatchOffer::Refused(refusal, _) => Err(refusal_outcome(refusal)),
+        DispatchOffer::Waiting => wait_for_slot(queue, receiver).await,
     }
 }
 
-async fn wait(
+async fn wait_for_slot(
     queue: Arc<ServiceQueue>,
     receiver: oneshot::Receiver<DispatchChoice>,
 ) -> Result<EndpointSlot, RequestOutcome> {
-    let mut waiting = WaitingSlot { queue: queue.clone(), receiver };
-    match (&mut waiting.receiver).await {
+    let mut slot_receiver = SlotReceiver { queue: queue.clone(), receiver };
+    match (&mut slot_receiver.receiver).await {
         Ok(choice) => Ok(EndpointSlot::new(queue, choice)),
         Err(_) => Err(RequestOutcome::NotRun(NotRunReason::Deadline)),
     }
 }
 
-fn refused(refusal: DispatchRefusal) -> RequestOutcome {
+fn refusal_outcome(refusal: DispatchRefusal) -> RequestOutcome {
     RequestOutcome::NotRun(match refusal {
         DispatchRefusal::OrganisationQueueFull => NotRunReason::QueueLimit,
         DispatchRefusal::QueueFull => NotRunReason::QueueFull,
--- a/crates/sedgehilld/src/filters/forward.rs
+++ b/crates/sedgehilld/src/filters/forward.rs
@@ -1,4 +1,4 @@
-//! One attempt at an endpoint, and what its end proves.
+//! Forwards a request to an endpoint, and decides from a failure whether the request may have run.
 
 use std::time::Duration;
 
@@ -15,18 +15,21 @@
 use super::outcome::{NotRunReason, RequestOutcome, RequestRecord, UnknownReason};
 use super::pool::EndpointConnection;
 
-/// The header by which an endpoint says, with status 503, that it did not begin a request.
+/// Header of a 503 answer by which an endpoint says that it did not start the request.
 pub const REFUSED_HEADER: &str = "sedgehill-refused";
-/// The header by which an endpoint learns the id of a request.
+/// Header that carries the id of a request, to the endpoint and back to the caller.
 pub const REQUEST_ID_HEADER: &str = "sedgehill-request-id";
 
-/// Attempts at endpoints for one request.
+/// Header that carries the organisation of a request to the endpoint.
+const ORGANISATION_HEADER: &str = "sedgehill-organisation";
+
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 4;
-/// The longest pause before another attempt, in milliseconds.
-const MAX_BACK_OFF_MS: u64 = 20;
+/// Maximum delay before a retry, in milliseconds.
+const MAX_RETRY_DELAY_MS: u64 = 20;
 
-/// Headers that concern one connection only.
-const HOP_HEADERS: [HeaderName; 8] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -37,17 +40,17 @@
     header::CONTENT_LENGTH,
 ];
 
-/// Why an attempt brought no answer.
+/// The reason why an attempt brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No byte of the request reached the endpoint, or the endpoint said that it did not begin.
+    /// No byte of the request reached the endpoint, or the endpoint said that it did not start the request.
     NotStarted,
     /// The request may have run.
     MayHaveRun(UnknownReason),
 }
 
 impl AttemptFailure {
-    /// How the request ends, or none if another attempt may be made.
+    /// Returns the outcome of the request, or `None` if the request may be retried.
     pub fn into_outcome(
         self,
         chain: &FilterChain,
@@ -56,35 +59,36 @@
         match self {
             AttemptFailure::MayHaveRun(reason) => Some(RequestOutcome::Unknown(reason)),
             AttemptFailure::NotStarted => {
-                let again = record.attempts < MAX_ATTEMPTS && chain.budget.lock().try_take();
-                (!again).then_some(RequestOutcome::NotRun(NotRunReason::EndpointsRefused))
+                let may_retry =
+                    record.attempts < MAX_ATTEMPTS && chain.retry_budget.lock().try_take();
+                (!may_retry).then_some(RequestOutcome::NotRun(NotRunReason::EndpointsRefused))
             }
         }
     }
 }
 
-/// Waits a short random time, so that many failed attempts do not come back at once.
+/// Waits for a short random time before a retry, so that many failed attempts do not return at the same moment.
 pub async fn back_off() {
-    let pause = rand::rng().random_range(1..=MAX_BACK_OFF_MS);
-    tokio::time::sleep(Duration::from_millis(pause)).await;
+    let delay_ms = rand::rng().random_range(1..=MAX_RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
 
-/// Sends a request to the endpoint of a slot and reads the whole answer.
+/// Sends a request to the endpoint of a slot and reads the complete answer.
 pub async fn forward(
     chain: &FilterChain,
     context: &RequestContext,
     mut slot: EndpointSlot,
 ) -> Result<Response<Bytes>, AttemptFailure> {
-    let limit = Duration::from_millis(context.kind.timeout.as_millis());
+    let timeout = Duration::from_millis(context.kind.timeout.as_millis());
     let address = slot.choice().address;
     let Ok(mut connection) = chain.pool.checkout(address).await else {
         slot.set_outcome(EndpointEvidence::Bad);
         return Err(AttemptFailure::NotStarted);
     };
     let request = build_request(context, address);
-    let max_answer = chain.shared.settings.limits.answer.0 as usize;
+    let max_answer = chain.shared.settings.limits.max_answer.0 as usize;
     let exchange = exchange(&mut connection, request, max_answer);
-    let result = match tokio::time::timeout(limit, exchange).await {
+    let result = match tokio::time::timeout(timeout, exchange).await {
         Ok(result) => result,
         Err(_) => Err(AttemptFailure::MayHaveRun(UnknownReason::TimedOut)),
     };
@@ -108,7 +112,7 @@
         return Err(AttemptFailure::NotStarted);
     }
     let response = connection.sender.try_send_request(request).await.map_err(|mut error| {
-        // The library gives the request back only if none of it was written.
+        // Hyper returns the request only if no byte of it was written.
         match error.take_message() {
             Some(_) => AttemptFailure::NotStarted,
             None => AttemptFailure::MayHaveRun(UnknownReason::ConnectionLost),
@@ -131,7 +135,8 @@
     }
 }
 
-/// An endpoint that refuses or fails fast looks idle, so its failures count as such.
+/// Returns what an attempt says about the endpoint. Refusals and fast failures count against it, because a failing
+/// endpoint looks idle and would attract more requests.
 fn endpoint_outcome(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointEvidence {
     match result {
         Ok(answer) if !answer.status().is_server_error() => EndpointEvidence::Good,
@@ -147,35 +152,35 @@
 fn build_request(context: &RequestContext, address: std::net::SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(context.body.clone()));
     *request.method_mut() = context.method.clone();
-    *request.uri_mut() = context.target.parse().expect("a part of a valid path is valid");
+    *request.uri_mut() = context.target.parse().expect("the tail of a valid path is valid");
     *request.headers_mut() = end_to_end_headers(&context.headers);
     let headers = request.headers_mut();
     headers.insert(header::HOST, header_value(&address));
     headers.insert(REQUEST_ID_HEADER, header_value(&context.id));
-    headers.insert("sedgehill-organisation", header_value(&context.parameters.organisation));
+    headers.insert(ORGANISATION_HEADER, header_value(&context.parameters.organisation));
     request
 }
 
 fn header_value(value: &impl ToString) -> HeaderValue {
-    HeaderValue::from_str(&value.to_string()).expect("ids and addresses are valid in headers")
+    HeaderValue::from_str(&value.to_string()).expect("ids and addresses are valid header values")
 }
 
-/// The headers that go on to the other side: all but those of the connection, and those that the
-/// connection header names.
+/// Returns the headers that are forwarded: all except the hop-by-hop headers and those that the `Connection` header
+/// names.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = headers.clone();
-    for name in HOP_HEADERS {
-        kept.remove(name);
+    let mut forwarded = headers.clone();
+    for name in HOP_BY_HOP_HEADERS {
+        forwarded.remove(name);
     }
-    for name in named {
-        kept.remove(name.as_str());
+    for name in connection_options {
+        forwarded.remove(name.as_str());
     }
-    kept
+    forwarded
 }
--- a/crates/sedgehilld/src/filters/identify.rs
+++ b/crates/sedgehilld/src/filters/identify.rs
@@ -1,4 +1,4 @@
-//! Who asks for what: from a raw request to a checked [`RequestContext`].
+//! Identifies the organisation, service and kind of a raw request, and checks it into a [`RequestContext`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,49 +17,49 @@
 use crate::controllers::ControlHandle;
 use crate::shared::{SharedState, TrafficView};
 
-/// The header that carries the key of a once-only request.
+/// Header that carries the idempotency key of a once-only request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// The header in which a caller says how long it waits, such as `2s`.
+/// Header in which a caller says how long it waits for an answer, such as `2s`.
 pub const DEADLINE_HEADER: &str = "sedgehill-deadline";
 
-/// How long a request is held at a box that woke from a pause.
+/// How long a request waits for the controllers to refresh the state of a box that resumes after a pause.
 const MAX_FRESHNESS_WAIT: TimeSpan = TimeSpan(5_000);
 
-/// A request whose parts are known and checked.
+/// A checked request with its complete body.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// The request.
+    /// Id that this box assigned to the request.
     pub id: RequestId,
-    /// The service that it is for.
+    /// Service that the request is for.
     pub service: TemplateName,
-    /// What the organisation has filled in for the service.
+    /// Parameters of the organisation for the service.
     pub parameters: Arc<OrgParameters>,
-    /// The kind of work.
+    /// Kind of the request.
     pub kind: KindShape,
-    /// The key of a once-only request.
+    /// Idempotency key, if the request has one.
     pub key: Option<IdempotencyKey>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Moment,
-    /// When it is given up if it still waits.
+    /// When the request is refused if it still waits for an endpoint.
     pub deadline: Moment,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// The path and query for the endpoint.
+    /// Path and query to send to the endpoint.
     pub target: String,
-    /// Its headers.
+    /// Headers of the caller.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// The key of a request and whose it is, if it has a readable one.
+/// Returns the organisation and idempotency key of a request, if both are readable.
 pub fn find_key(request: &Request<Incoming>) -> Option<(OrgName, IdempotencyKey)> {
     let path = RequestPath::parse(request.uri().path())?;
     let key = parse_header::<IdempotencyKey>(request.headers(), KEY_HEADER).ok()??;
     Some((path.organisation, key))
 }
 
-/// Reads a request that arrived at `arrived` and checks it against what is in force.
+/// Reads a request that arrived at `arrived` and checks it against the current configuration.
 pub async fn identify(
     shared: &SharedState,
     handle: &ControlHandle,
@@ -79,7 +79,7 @@
     if kind.once_only && key.is_none() {
         return Err(not_run(NotRunReason::KeyMissing));
     }
-    let patience =
+    let timeout =
         parse_header::<TimeSpan>(&parts.headers, DEADLINE_HEADER)?.unwrap_or(kind.timeout);
     let body = read_body(shared, body).await?;
     Ok(RequestContext {
@@ -89,7 +89,7 @@
         kind,
         key,
         arrived,
-        deadline: arrived.after(patience),
+        deadline: arrived.after(timeout),
         method: parts.method,
         target: path.target
             + &parts.uri.query().map(|query| format!("?{query}")).unwrap_or_default(),
@@ -98,16 +98,16 @@
     })
 }
 
-/// Finds what a path asks for. What this box lacks may be in force all the same, so it is refused only by a view that
-/// is as new as the request.
+/// Finds the kind and the parameters for a path. If the view lacks them, a newer configuration may have them, so a
+/// request is refused only once the view is as new as the request.
 async fn find_kind(
     shared: &SharedState,
     handle: &ControlHandle,
     path: &RequestPath,
     arrived: Moment,
 ) -> Result<(KindShape, Arc<OrgParameters>), RequestOutcome> {
-    if let Ok(found) = path.find(&shared.view.load_full()) {
-        return Ok(found);
+    if let Ok(kind_and_parameters) = path.find(&shared.view.load_full()) {
+        return Ok(kind_and_parameters);
     }
     if shared.current_as_of() < arrived && !handle.refresh_view(arrived).await {
         return Err(not_run(NotRunReason::ViewNotCurrent));
@@ -116,12 +116,12 @@
     path.find(&shared.view.load_full()).map_err(not_run)
 }
 
-/// Holds a request that arrives at a box just woken from a pause, until its controllers have looked
-/// at what changed meanwhile.
+/// Delays a request after a pause of the process until the controllers have refreshed their state, for at most
+/// [`MAX_FRESHNESS_WAIT`].
 async fn wait_until_fresh(shared: &SharedState, arrived: Moment) {
-    const POLL: Duration = Duration::from_millis(10);
+    const POLL_INTERVAL: Duration = Duration::from_millis(10);
     while !shared.is_fresh(clock::now()) && clock::now().since(arrived) < MAX_FRESHNESS_WAIT {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -129,11 +129,12 @@
     RequestOutcome::NotRun(reason)
 }
 
-/// The parts of `/ORGANISATION/SERVICE/KIND[/REST]`.
+/// The parts of the path `/ORGANISATION/SERVICE/KIND[/REST]`.
 struct RequestPath {
     organisation: OrgName,
     service: TemplateName,
     kind: KindName,
+    // Path for the endpoint: `/KIND[/REST]`.
     target: String,
 }
 
@@ -150,12 +151,13 @@
     fn find(&self, view: &TrafficView) -> Result<(KindShape, Arc<OrgParameters>), NotRunReason> {
         let shape = view.services.get(&self.service).ok_or(NotRunReason::NoSuchService)?;
         let kind = shape.kinds.get(&self.kind).ok_or(NotRunReason::NoSuchService)?;
-        let owner = (self.organisation.clone(), self.service.clone());
-        let parameters = view.parameters.get(&owner).ok_or(NotRunReason::NoParameters)?;
+        let key = (self.organisation.clone(), self.service.clone());
+        let parameters = view.parameters.get(&key).ok_or(NotRunReason::NoParameters)?;
         Ok((kind.clone(), parameters.clone()))
     }
 }
 
+/// Parses a header that may be absent. A header that occurs twice is refused.
 fn parse_header<T: std::str::FromStr>(
     headers: &HeaderMap,
     name: &'static str,
@@ -169,12 +171,12 @@
     }
 }
 
-/// Reads the whole body before anything else happens, so that a slow caller holds no endpoint.
+/// Reads the complete body. This happens before a slot is reserved, so that a slow caller occupies no endpoint.
 async fn read_body(shared: &SharedState, body: Incoming) -> Result<Bytes, RequestOutcome> {
     let limits = &shared.settings.limits;
-    let limited = Limited::new(body, limits.body.0 as usize);
-    let time = Duration::from_millis(limits.receive.as_millis());
-    match tokio::time::timeout(time, limited.collect()).await {
+    let limited = Limited::new(body, limits.max_body.0 as usize);
+    let timeout = Duration::from_millis(limits.receive_timeout.as_millis());
+    match tokio::time::timeout(timeout, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             Err(not_run(NotRunReason::BodyTooLarge))
--- a/crates/sedgehilld/src/filters/mod.rs
+++ b/crates/sedgehilld/src/filters/mod.rs
@@ -1,5 +1,5 @@
-//! The filters that each request passes, in order: identify, limit, claim, dispatch and forward,
-//! answer. Each ends the request with a [`RequestOutcome`] or hands it on.
+//! The filters through which each request passes, in this order: identify, limit, claim, dispatch, forward, answer.
+//! Each filter ends the request with a [`RequestOutcome`] or passes it on to the next.
 
 mod answer;
 mod claim;
@@ -34,34 +34,34 @@
 pub use answer::build_answer;
 pub use outcome::{RequestOutcome, UnknownReason};
 
-/// What the filters of one box share.
+/// The state that the filters of a box share.
 pub struct FilterChain {
     shared: Arc<SharedState>,
     handle: ControlHandle,
     pool: EndpointPool,
-    budget: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     metrics: RequestMetrics,
 }
 
 impl FilterChain {
-    /// The filters of a box.
+    /// Creates the filters of a box.
     pub fn new(shared: Arc<SharedState>, handle: ControlHandle) -> FilterChain {
         FilterChain {
             shared,
             handle,
             pool: EndpointPool::default(),
-            budget: Mutex::default(),
+            retry_budget: Mutex::default(),
             metrics: RequestMetrics::new(),
         }
     }
 }
 
-/// Runs one request through the filters and answers it.
+/// Runs a request through the filters and returns the response.
 pub async fn run_chain(
     chain: Arc<FilterChain>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let _guard = chain.shared.track_in_flight();
+    let _in_flight = chain.shared.track_in_flight();
     let id = RequestId(Uuid::now_v7());
     let mut record = RequestRecord::default();
     let path = request.uri().path().to_owned();
@@ -93,7 +93,7 @@
     Ok(outcome)
 }
 
-/// Everything before a request may go to an endpoint. Nothing of a refused one was claimed.
+/// Runs the filters that come before a request may be sent to an endpoint. A request that it refuses holds no claim on its key.
 async fn admit(
     chain: &FilterChain,
     id: RequestId,
@@ -111,11 +111,11 @@
     context: &RequestContext,
     record: &mut RequestRecord,
 ) -> RequestOutcome {
-    chain.budget.lock().note_request();
+    chain.retry_budget.lock().note_request();
     let started = Instant::now();
-    let mut avoid = Vec::new();
+    let mut failed_endpoints = Vec::new();
     loop {
-        let slot = match dispatch::dispatch(&chain.shared, context, &avoid).await {
+        let slot = match dispatch::dispatch(&chain.shared, context, &failed_endpoints).await {
             Ok(slot) => slot,
             Err(outcome) => return outcome,
         };
@@ -129,7 +129,7 @@
                 Some(outcome) => return outcome,
                 None => {
                     telemetry::count_retry();
-                    avoid.push(endpoint);
+                    failed_endpoints.push(endpoint);
                     forward::back_off().await;
                 }
             },
@@ -137,6 +137,7 @@
     }
 }
 
+/// Counts and logs a finished request, and keeps its trace.
 fn record_outcome(
     chain: &FilterChain,
     id: RequestId,
@@ -163,7 +164,7 @@
     }
     chain.shared.record_trace(RequestTrace {
         id,
-        at_ms: clock::unix_ms(),
+        ended_at_ms: clock::unix_ms(),
         endpoint: record.endpoint.clone(),
         candidates: record.candidates,
         outcome: name,
--- a/crates/sedgehilld/src/filters/outcome.rs
+++ b/crates/sedgehilld/src/filters/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request can end.
+//! The outcomes of a request and their reasons.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use sedgehill_core::dispatch::DispatchChoice;
 use sedgehill_core::ids::EndpointId;
 
-/// How a request ended, as its caller is told.
+/// The outcome of a request, as reported to its caller.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// An endpoint answered, and this is its whole answer.
+    /// An endpoint answered; holds the complete answer.
     Answered(Box<Response<Bytes>>),
     /// The request surely did not run.
     NotRun(NotRunReason),
@@ -19,7 +19,7 @@
 }
 
 impl RequestOutcome {
-    /// The word for it in headers, logs and metrics.
+    /// Returns the name of the outcome in headers, logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             RequestOutcome::Answered(_) => "answered",
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The word for the reason.
+    /// Returns the name of the reason; empty for an answer.
     pub fn reason(&self) -> &'static str {
         match self {
             RequestOutcome::Answered(_) => "",
@@ -38,8 +38,9 @@
     }
 }
 
+/// Defines an enum of reasons, with the name and the HTTP status of each.
 macro_rules! reasons {
-    ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident = $word:literal, $status:literal;)* }) => {
+    ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident = $text:literal, $status:literal;)* }) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum $name {
@@ -47,14 +48,14 @@
         }
 
         impl $name {
-            /// The word for it in headers, logs and metrics.
+            /// Returns the name of the reason in headers, logs and metrics.
             pub fn name(self) -> &'static str {
                 match self {
-                    $($name::$variant => $word,)*
+                    $($name::$variant => $text,)*
                 }
             }
 
-            /// The HTTP status that goes with it.
+            /// Returns the HTTP status of the response.
             pub fn status(self) -> u16 {
                 match self {
                     $($name::$variant => $status,)*
@@ -65,97 +66,97 @@
 }
 
 reasons! {
-    /// Why a request did not run.
+    /// The reason why a request did not run.
     NotRunReason {
-        /// The path does not name an organisation, a template and a kind.
+        /// The path does not name an organisation, a service and a kind.
         BadPath = "bad-path", 404;
-        /// There is no such service or kind.
+        /// No service or kind has this name.
         NoSuchService = "no-such-service", 404;
         /// The organisation has no parameters for the service.
         NoParameters = "no-parameters", 403;
-        /// A header is not what it should be.
+        /// The idempotency key or the deadline is malformed, or given twice.
         BadHeader = "bad-header", 400;
-        /// The body is longer than is allowed.
+        /// The body is longer than the settings allow.
         BodyTooLarge = "body-too-large", 413;
-        /// The body did not arrive whole in time.
+        /// The body did not arrive completely in time.
         BodyIncomplete = "body-incomplete", 408;
-        /// The kind is once-only and no key came with the request.
+        /// The kind is once-only and the request has no idempotency key.
         KeyMissing = "key-missing", 400;
-        /// The key is older than the claim window, or from the future.
+        /// The idempotency key is older than the claim window, or lies in the future.
         KeyOutsideWindow = "key-outside-window", 409;
-        /// The claim could not be recorded, since the log does not answer.
+        /// The claim of the key could not be recorded in the log in time.
         LogUnavailable = "log-unavailable", 503;
-        /// The box could not read what is in force now, and knows no such service or parameters.
+        /// The box does not know the service or the parameters, and could not read the current configuration.
         ViewNotCurrent = "view-unproven", 503;
-        /// The box does not take requests.
+        /// The box accepts no requests at present.
         NotReady = "not-ready", 503;
-        /// The organisation sends more than its rate.
+        /// The organisation exceeds its rate.
         RateLimit = "rate-limit", 429;
-        /// The organisation has as many requests waiting as it may.
+        /// The organisation has reached its limit of waiting requests.
         QueueLimit = "queue-limit", 429;
-        /// The box has as many requests waiting as it can hold.
+        /// The box has reached its limit of waiting requests for the service.
         QueueFull = "queue-full", 503;
-        /// It would have waited, or did wait, until its deadline.
+        /// The request waited until its deadline, or is expected to.
         Deadline = "deadline", 503;
-        /// No endpoint could be reached, or all refused.
+        /// Endpoints could not be reached or refused the request, and it may not be retried again.
         EndpointsRefused = "endpoints-refused", 503;
     }
 }
 
 reasons! {
-    /// Why it is not known whether a request ran.
+    /// The reason why it is not known whether a request ran.
     UnknownReason {
         /// The endpoint closed the connection after the request was sent.
         ConnectionLost = "connection-lost", 502;
-        /// The answer was cut short.
+        /// The connection failed while the box read the answer.
         AnswerCut = "answer-cut", 502;
-        /// The answer is longer than a box passes on.
+        /// The answer is longer than the settings allow.
         AnswerTooLong = "answer-too-long", 502;
         /// The endpoint did not answer in time.
         TimedOut = "timed-out", 504;
-        /// Another request with the same key was sent before, and its answer is not kept.
+        /// The idempotency key is claimed by an earlier request, whose answer is not kept.
         KeyClaimed = "key-claimed", 409;
-        /// The box ended the connection, and has read nothing of the request.
+        /// The box closed the idle connection without reading the request.
         ConnectionEnded = "connection-ended", 408;
-        /// The request was not begun here, and whether it ran elsewhere under its key cannot be told.
+        /// This box did not run the request, but could not find out whether another box ran it under the same key.
         KeyUnread = "key-unread", 504;
     }
 }
 
 impl NotRunReason {
-    /// After how many seconds the caller may come back, where that helps.
+    /// Returns after how many seconds the caller may retry, for reasons that pass.
     pub fn retry_after(self) -> Option<u32> {
-        const SOON: u32 = 1;
-        const LATER: u32 = 5;
+        const SHORT_DELAY_SECONDS: u32 = 1;
+        const LONG_DELAY_SECONDS: u32 = 5;
         match self {
             NotRunReason::RateLimit
             | NotRunReason::QueueLimit
             | NotRunReason::QueueFull
             | NotRunReason::Deadline
-            | NotRunReason::EndpointsRefused => Some(SOON),
+            | NotRunReason::EndpointsRefused => Some(SHORT_DELAY_SECONDS),
             NotRunReason::LogUnavailable
             | NotRunReason::ViewNotCurrent
-            | NotRunReason::NotReady => Some(LATER),
+            | NotRunReason::NotReady => Some(LONG_DELAY_SECONDS),
             _ => None,
         }
     }
 }
 
-/// What is noted of a request on its way.
+/// What is recorded about the attempts of a request, for its log line and its trace.
 #[derive(Debug, Default)]
 pub struct RequestRecord {
-    /// The endpoint of the last attempt.
+    /// Endpoint of the last attempt.
     pub endpoint: Option<EndpointId>,
-    /// Endpoints with room when it was chosen.
+    /// Number of endpoints with a free slot when that endpoint was chosen.
     pub candidates: usize,
-    /// Attempts so far.
+    /// Number of attempts.
     pub attempts: u32,
-    /// From arrival until the last endpoint was chosen.
+    /// Time from admission until the last endpoint was chosen.
     pub wait: Duration,
 }
 
 impl RequestRecord {
-    /// Notes one more attempt.
+    /// Records an attempt.
     pub fn record_attempt(&mut self, choice: &DispatchChoice, wait: Duration) {
         self.endpoint = Some(choice.endpoint.clone());
         self.candidates = choice.candidates;
--- a/crates/sedgehilld/src/filters/pool.rs
+++ b/crates/sedgehilld/src/filters/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints.
+//! Pools idle connections to endpoints.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,43 +11,41 @@
 use parking_lot::Mutex;
 use tokio::net::TcpStream;
 
-/// How long an endpoint may take to accept a connection.
+/// Timeout of connecting to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One connection to an endpoint, with no request on it.
+/// A connection to an endpoint.
 #[derive(Debug)]
 pub struct EndpointConnection {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// The same socket once more, to ask the kernel about it.
-    probe: std::net::TcpStream,
+    /// Duplicate handle of the socket, to check whether the endpoint has closed it.
+    socket: std::net::TcpStream,
 }
 
 impl EndpointConnection {
-    /// Whether a request may be sent. The kernel is asked, since on a busy box the library may not
-    /// have heard yet that the endpoint has closed: a request written then could not be told from one
-    /// that ran.
+    /// Returns whether a request may be sent. Peeks at the socket, because on a busy box hyper may not have processed
+    /// yet that the endpoint closed the connection. A request written to a closed connection fails like one that ran.
     fn is_open(&self) -> bool {
         let mut byte = [0];
-        let silent = match self.probe.peek(&mut byte) {
+        let is_idle = match self.socket.peek(&mut byte) {
             Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
-            // The end of the stream, or bytes that belong to no request.
+            // The end of the stream, or bytes that answer no request.
             Ok(_) => false,
         };
-        silent && self.sender.is_ready()
+        is_idle && self.sender.is_ready()
     }
 }
 
-/// Idle connections by endpoint. A connection comes back only after a whole answer was read from
-/// it, so that a late answer can never meet another request. How many there are is bounded by the
-/// slots of the endpoints.
+/// Idle connections by endpoint address. A connection is returned only after a complete answer was read from it, so
+/// that a late answer never reaches another request. The slots of the endpoints bound the number of connections.
 #[derive(Debug, Default)]
 pub struct EndpointPool {
     idle: Mutex<HashMap<SocketAddr, Vec<EndpointConnection>>>,
 }
 
 impl EndpointPool {
-    /// An idle connection that is still open, or a new one.
+    /// Returns an idle connection that is still open, or else a new one.
     pub async fn checkout(
         &self,
         address: SocketAddr,
@@ -64,7 +62,7 @@
         self.idle.lock().get_mut(&address)?.pop()
     }
 
-    /// Takes back a connection on which nothing is under way.
+    /// Returns a connection to the pool, after its answer was read.
     pub fn checkin(&self, address: SocketAddr, connection: EndpointConnection) {
         if !connection.sender.is_closed() {
             self.idle.lock().entry(address).or_default().push(connection);
@@ -76,10 +74,10 @@
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let stream = stream.into_std()?;
-    let probe = stream.try_clone()?;
+    let socket = stream.try_clone()?;
     let stream = TcpStream::from_std(stream)?;
     let (sender, connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
     tokio::spawn(connection);
-    Ok(EndpointConnection { sender, probe })
+    Ok(EndpointConnection { sender, socket })
 }
