--- a/crates/sedgehilld/src/connection.rs
+++ b/crates/sedgehilld/src/connection.rs
@@ -1,11 +1,12 @@
-//! Callers' connections over HTTP/1.1, and how a planned stop ends them without cutting off a call.
+//! Serves callers' HTTP/1.1 connections, and closes them in a planned stop without cutting off a call.
 //!
-//! A server cannot take a kept connection back: the caller may send its next call at the moment at which the server
-//! closes. So a stop goes in phases. While [`StopPhase::Noticing`], each answer says that its connection ends with it.
-//! While [`StopPhase::Ending`], no connection is taken any more, and one on which nothing came for [`IDLE_LIMIT`] ends
-//! with an answer in advance, which says that nothing was done. A call that crosses it is answered by that, wholly and
-//! truly. The socket is closed only when the caller has closed, or has had time to read: closing one with unread bytes
-//! resets the connection and may destroy an answer.
+//! A server cannot close a keep-alive connection safely by itself: the caller may send its next call at that moment.
+//! A planned stop therefore has several phases. From [`StopPhase::Announcing`] on, each response carries
+//! `connection: close`. From [`StopPhase::ClosingIdle`] on, no connection is accepted, and the box sends an unsolicited
+//! response on each connection that was idle for [`IDLE_TIMEOUT`] before closing it. A call that is in transit at that
+//! time receives this response, which is a true answer because the call was not read. The socket is closed only after
+//! the caller has closed its side or had [`CLOSE_TIMEOUT`] to read: closing a socket with unread bytes resets the
+//! connection, and the caller may lose the response.
 
 use std::convert::Infallible;
 use std::io::IoSlice;
@@ -31,38 +32,38 @@
 
 use crate::{clock, telemetry};
 
-/// A caller that pauses for longer between two calls on one connection may meet the answer in advance.
+/// Time without a call after which a stop closes a connection with the idle response.
 const IDLE_TIMEOUT: TimeSpan = TimeSpan(3_500);
-/// How long a caller has to read the last answer and to close.
+/// How long a caller has to read the last response and to close its side.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between two looks at a connection on which a call is under way.
+/// Interval of checking whether the call in progress on a connection has finished.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far a planned stop has come.
+/// The phase of a planned stop. Later phases compare as greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
     /// The box is not stopping.
     Serving,
-    /// Each answer says that its connection ends.
+    /// Each response carries `connection: close`.
     Announcing,
-    /// No connection is taken, and idle ones are ended.
+    /// No connection is accepted, and connections are closed once they were idle for [`IDLE_TIMEOUT`].
     ClosingIdle,
-    /// The process is about to end: what is idle is ended at once.
+    /// The process is about to exit: idle connections are closed at once.
     ClosingAllIdle,
 }
 
-/// Bounds of a connection.
+/// Limits of a caller's connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// The most header bytes of a call. A buffer begins small and grows up to it.
+    /// Maximum total size of the headers of a call, in bytes. The buffer of a connection grows up to it as needed.
     pub max_header_bytes: usize,
-    /// The most headers of a call; the library's bound if none.
+    /// Maximum number of headers of a call; `None` for hyper's default.
     pub max_headers: Option<usize>,
-    /// How long the head of a call may take to arrive; any time if none.
+    /// How long the head of a call may take to arrive; `None` for no limit.
     pub header_timeout: Option<Duration>,
 }
 
-/// What all connections of callers share.
+/// Accepts callers' connections, counts the open ones, and closes them in a planned stop.
 pub struct ConnectionManager {
     log: Logger,
     limits: ConnectionLimits,
@@ -73,7 +74,8 @@
 }
 
 impl ConnectionManager {
-    /// A desk without connections. `advance` makes the answer in advance.
+    /// Creates a manager without connections. `idle_response` builds the response that is sent on an idle connection
+    /// before it is closed.
     pub fn new(
         log: Logger,
         limits: ConnectionLimits,
@@ -89,17 +91,17 @@
         })
     }
 
-    /// Begins a phase of the stop.
+    /// Starts a phase of the planned stop.
     pub fn enter_phase(&self, phase: StopPhase) {
         self.phase.send_replace(phase);
     }
 
-    /// Open connections, and listeners that take further ones.
+    /// Returns the number of open connections, plus one for each listener that still accepts connections.
     pub fn open_count(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Connections that were ended by an answer in advance.
+    /// Returns the number of connections that were closed with the idle response.
     pub fn ended_idle(&self) -> usize {
         self.ended_idle.load(Ordering::SeqCst)
     }
@@ -109,7 +111,7 @@
         OpenGuard { manager: self.clone() }
     }
 
-    /// Takes connections until the stop has come to its end, and hands each to `spawn`.
+    /// Accepts connections and passes each to `spawn`, until [`StopPhase::ClosingIdle`]; then closes the listener.
     pub async fn accept(self: &Arc<Self>, listener: TcpListener, spawn: impl Fn(CallerConnection)) {
         let _guard = self.track();
         let mut phase = self.phase.subscribe();
@@ -122,13 +124,13 @@
     }
 }
 
-/// Resolves once a phase has begun.
-async fn wait_for_phase(phase: &mut watch::Receiver<StopPhase>, wanted: StopPhase) {
-    // An error means that the box is gone, which is the end of all phases.
-    let _ = phase.wait_for(|now| *now >= wanted).await;
+/// Returns once the stop has reached a phase.
+async fn wait_for_phase(phase: &mut watch::Receiver<StopPhase>, target: StopPhase) {
+    // An error means that the manager was dropped, which ends the stop.
+    let _ = phase.wait_for(|current| *current >= target).await;
 }
 
-/// Counts a connection as open until it is dropped.
+/// Counts a connection or listener as open until it is dropped.
 struct OpenGuard {
     manager: Arc<ConnectionManager>,
 }
@@ -139,14 +141,15 @@
     }
 }
 
-/// When calls were under way on a connection.
+/// Tracks the calls on a connection, to tell whether and since when it is idle.
 struct CallActivity {
     opened_at: Moment,
-    calls: AtomicUsize,
+    call_count: AtomicUsize,
     call_in_progress: AtomicBool,
-    /// Part of an answer waits for the caller to read.
+    /// Whether part of a response waits for the caller to read.
     write_blocked: AtomicBool,
-    last: AtomicU64,
+    /// When the last call or write ended, in milliseconds of [`clock::now`].
+    last_active: AtomicU64,
 }
 
 impl CallActivity {
@@ -154,44 +157,45 @@
         let now = clock::now();
         CallActivity {
             opened_at: now,
-            calls: AtomicUsize::new(0),
+            call_count: AtomicUsize::new(0),
             call_in_progress: AtomicBool::new(false),
             write_blocked: AtomicBool::new(false),
-            last: AtomicU64::new(now.0),
+            last_active: AtomicU64::new(now.0),
         }
     }
 
-    fn begin(&self) {
-        self.calls.fetch_add(1, Ordering::SeqCst);
+    fn begin_call(&self) {
+        self.call_count.fetch_add(1, Ordering::SeqCst);
         self.call_in_progress.store(true, Ordering::SeqCst);
     }
 
-    fn end(&self) {
-        self.last.store(clock::now().0, Ordering::SeqCst);
+    fn end_call(&self) {
+        self.last_active.store(clock::now().0, Ordering::SeqCst);
         self.call_in_progress.store(false, Ordering::SeqCst);
     }
 
-    /// Notes how a write went.
-    fn note_write(&self, is_pending: bool) {
+    /// Records whether a write is blocked. The end of a blocked write counts as activity.
+    fn record_write(&self, is_pending: bool) {
         if self.write_blocked.swap(is_pending, Ordering::SeqCst) && !is_pending {
-            self.last.store(clock::now().0, Ordering::SeqCst);
+            self.last_active.store(clock::now().0, Ordering::SeqCst);
         }
     }
 
-    /// How long nothing was under way; none while a call or its answer is.
-    fn idle(&self, now: Moment) -> Option<TimeSpan> {
+    /// Returns how long the connection has been idle, or `None` while a call is in progress or its response is not
+    /// written.
+    fn idle_time(&self, now: Moment) -> Option<TimeSpan> {
         let busy = self.call_in_progress.load(Ordering::SeqCst)
             || self.write_blocked.load(Ordering::SeqCst);
-        let last = Moment(self.last.load(Ordering::SeqCst));
-        (!busy).then(|| now.since(last))
+        let last_active = Moment(self.last_active.load(Ordering::SeqCst));
+        (!busy).then(|| now.since(last_active))
     }
 }
 
-/// A stream that notes whether its caller keeps an answer waiting. The library hands a call over as answered when it has
-/// the answer, not when it is written.
+/// A TCP stream that records whether a write is blocked because the caller does not read. It is needed because hyper
+/// finishes a call when it has received the response, not when it has written it.
 struct MonitoredStream {
     stream: TcpStream,
-    calls: Arc<CallActivity>,
+    activity: Arc<CallActivity>,
 }
 
 impl AsyncRead for MonitoredStream {
@@ -211,7 +215,7 @@
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.calls.note_write(written.is_pending());
+        self.activity.record_write(written.is_pending());
         written
     }
 
@@ -221,7 +225,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.calls.note_write(written.is_pending());
+        self.activity.record_write(written.is_pending());
         written
     }
 
@@ -244,35 +248,35 @@
     }
 }
 
-/// A connection that was taken and not served yet.
+/// A caller's connection that is accepted and not yet served.
 pub struct CallerConnection {
     stream: TcpStream,
     guard: OpenGuard,
 }
 
 impl CallerConnection {
-    /// Serves calls until the connection ends.
+    /// Serves calls with `handle` until the caller or a planned stop closes the connection.
     pub async fn serve<F>(self, handle: impl Fn(Request<Incoming>) -> F)
     where
         F: Future<Output = Response<Full<Bytes>>>,
     {
         let CallerConnection { stream, guard } = self;
         let manager = &guard.manager;
-        // A connection that ended already is noticed by the first read.
+        // An error means that the connection is closed, which the first read reports.
         let _ = stream.set_nodelay(true);
-        let calls = Arc::new(CallActivity::new());
-        let stream = MonitoredStream { stream, calls: calls.clone() };
+        let activity = Arc::new(CallActivity::new());
+        let stream = MonitoredStream { stream, activity: activity.clone() };
         let phase = manager.phase.subscribe();
         let service = service_fn(|request: Request<Incoming>| {
-            calls.begin();
-            let answering = handle(request);
-            let (calls, phase) = (calls.clone(), phase.clone());
+            activity.begin_call();
+            let response = handle(request);
+            let (activity, phase) = (activity.clone(), phase.clone());
             Box::pin(async move {
-                let mut response = answering.await;
+                let mut response = response.await;
                 if *phase.borrow() > StopPhase::Serving {
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                calls.end();
+                activity.end_call();
                 Ok::<_, Infallible>(response)
             })
         });
@@ -280,7 +284,7 @@
         loop {
             let mut phase = phase.clone();
             tokio::select! {
-                // A call that came while the process stood still is read before its time is taken as over.
+                // After a pause of the process, reads a call that arrived meanwhile before it checks the idle time.
                 biased;
                 result = std::future::poll_fn(|context| connection.poll_without_shutdown(context)) => {
                     let stream = connection.into_parts().io.into_inner();
@@ -289,29 +293,29 @@
                     }
                     return;
                 }
-                () = wait_until_idle(&calls, &mut phase) => {}
+                () = wait_until_idle(&activity, &mut phase) => {}
             }
-            if calls.idle(clock::now()).is_some() {
+            if activity.idle_time(clock::now()).is_some() {
                 break;
             }
         }
         let parts = connection.into_parts();
-        manager.close_idle(parts.io.into_inner().stream, parts.read_buf.len(), &calls).await;
+        manager.close_idle(parts.io.into_inner().stream, parts.read_buf.len(), &activity).await;
     }
 }
 
-/// Resolves once a stop is to end a connection on which no call is under way.
-async fn wait_until_idle(calls: &CallActivity, phase: &mut watch::Receiver<StopPhase>) {
+/// Returns once a planned stop is due to close the connection because it is idle.
+async fn wait_until_idle(activity: &CallActivity, phase: &mut watch::Receiver<StopPhase>) {
     wait_for_phase(phase, StopPhase::ClosingIdle).await;
     loop {
         let is_last = *phase.borrow() == StopPhase::ClosingAllIdle;
-        let pause = match calls.idle(clock::now()) {
-            Some(idle) if is_last || idle >= IDLE_TIMEOUT => return,
-            Some(idle) => Duration::from_millis(IDLE_TIMEOUT.0 - idle.0),
+        let delay = match activity.idle_time(clock::now()) {
+            Some(idle_time) if is_last || idle_time >= IDLE_TIMEOUT => return,
+            Some(idle_time) => Duration::from_millis(IDLE_TIMEOUT.0 - idle_time.0),
             None => POLL_INTERVAL,
         };
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             () = wait_for_phase(phase, StopPhase::ClosingAllIdle), if !is_last => {}
         }
     }
@@ -324,59 +328,66 @@
             .timer(TokioTimer::new())
             .header_read_timeout(self.limits.header_timeout)
             .max_buf_size(self.limits.max_header_bytes);
-        if let Some(headers) = self.limits.max_headers {
-            builder.max_headers(headers);
+        if let Some(max_headers) = self.limits.max_headers {
+            builder.max_headers(max_headers);
         }
         builder
     }
 
-    /// Closes a connection after its last answer.
+    /// Closes a connection after its last response.
     async fn close(&self, mut stream: TcpStream) {
-        // An error means that the caller is gone.
+        // An error means that the caller has closed the connection.
         let _ = stream.shutdown().await;
         if *self.phase.borrow() > StopPhase::Serving {
             read_until_closed(&mut stream).await;
         }
     }
 
-    /// Ends a connection on which nothing came for long.
-    async fn close_idle(&self, mut stream: TcpStream, unread: usize, calls: &CallActivity) {
-        let idle = calls.idle(clock::now()).unwrap_or_default();
-        let idle_response = encode((self.idle_response)()).await;
-        let written = tokio::time::timeout(CLOSE_TIMEOUT, stream.write_all(&idle_response)).await;
-        // An error means that the caller is gone.
+    /// Sends the idle response on an idle connection and closes it. `buffered_bytes` of a further call may be in the
+    /// read buffer already.
+    async fn close_idle(
+        &self,
+        mut stream: TcpStream,
+        buffered_bytes: usize,
+        activity: &CallActivity,
+    ) {
+        let idle_time = activity.idle_time(clock::now()).unwrap_or_default();
+        let idle_response = encode_response((self.idle_response)()).await;
+        let write_result =
+            tokio::time::timeout(CLOSE_TIMEOUT, stream.write_all(&idle_response)).await;
+        // An error means that the caller has closed the connection.
         let _ = stream.shutdown().await;
-        let crossed = unread + read_until_closed(&mut stream).await;
+        let unread_bytes = buffered_bytes + read_until_closed(&mut stream).await;
         self.ended_idle.fetch_add(1, Ordering::SeqCst);
-        let cause = if crossed > 0 { "idle_call_crossed" } else { "idle" };
+        let cause = if unread_bytes > 0 { "idle_call_crossed" } else { "idle" };
         telemetry::count_connection_end(cause);
-        if crossed > 0 {
-            let is_written = matches!(written, Ok(Ok(())));
-            info!(self.log, "connection ended while a call was on its way";
-                "age_ms" => clock::now().since(calls.opened_at).0,
-                "calls" => calls.calls.load(Ordering::SeqCst), "idle_ms" => idle.0,
-                "unread_bytes" => crossed, "answered" => is_written);
+        if unread_bytes > 0 {
+            let is_written = matches!(write_result, Ok(Ok(())));
+            info!(self.log, "idle connection closed while a call was in transit";
+                "age_ms" => clock::now().since(activity.opened_at).0,
+                "calls" => activity.call_count.load(Ordering::SeqCst), "idle_ms" => idle_time.0,
+                "unread_bytes" => unread_bytes, "answered" => is_written);
         }
     }
 }
 
-/// Reads until the caller closes, for as long as it has time to; how many bytes came.
+/// Reads and discards bytes until the caller closes its side, for at most [`CLOSE_TIMEOUT`]. Returns their number.
 async fn read_until_closed(stream: &mut TcpStream) -> usize {
-    let mut count = 0;
+    let mut total_bytes = 0;
     let reading = async {
-        let mut bytes = [0; 1_024];
-        // An error ends the connection as well.
-        while let Ok(read @ 1..) = stream.read(&mut bytes).await {
-            count += read;
+        let mut buffer = [0; 1_024];
+        // An error means that the connection is closed.
+        while let Ok(byte_count @ 1..) = stream.read(&mut buffer).await {
+            total_bytes += byte_count;
         }
     };
-    // A caller that does not close has had time to read.
+    // The caller has had time to read the response, whether it closed its side or not.
     let _ = tokio::time::timeout(CLOSE_TIMEOUT, reading).await;
-    count
+    total_bytes
 }
 
-/// An answer as bytes, for a connection that the library serves no longer.
-async fn encode(response: Response<Full<Bytes>>) -> Vec<u8> {
+/// Encodes a response as HTTP/1.1, for a connection that hyper no longer serves.
+async fn encode_response(response: Response<Full<Bytes>>) -> Vec<u8> {
     let (parts, body) = response.into_parts();
     let body = body.collect().await.unwrap_or_else(|never| match never {}).to_bytes();
     let reason = parts.status.canonical_reason().unwrap_or_default();
@@ -387,8 +398,8 @@
         bytes.extend_from_slice(value.as_bytes());
         bytes.extend_from_slice(b"\r\n");
     }
-    let end = format!("connection: close\r\ncontent-length: {}\r\n\r\n", body.len());
-    bytes.extend_from_slice(end.as_bytes());
+    let last_headers = format!("connection: close\r\ncontent-length: {}\r\n\r\n", body.len());
+    bytes.extend_from_slice(last_headers.as_bytes());
     bytes.extend_from_slice(&body);
     bytes
 }
--- a/crates/sedgehilld/src/shared.rs
+++ b/crates/sedgehilld/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes and the traffic threads read.
+//! The state that the control thread publishes and the traffic threads read.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -23,28 +23,29 @@
 use crate::settings::BoxSettings;
 use crate::traffic::{build_idle_response, caller_limits};
 
-/// Requests whose way is remembered for reading back.
+/// Maximum number of request traces that are kept for operators.
 const MAX_TRACES: usize = 8_192;
 
-/// Controllers that did not run for this long were paused, and what they knew may be stale.
+/// Gap between two runs of the controllers that counts as a pause of the process, after which their state may be
+/// stale.
 pub const PAUSE_THRESHOLD: TimeSpan = TimeSpan(1_000);
 
 const EJECTION_POLICY: EjectPolicy =
     EjectPolicy { failures: 3, first: TimeSpan(1_000), longest: TimeSpan(30_000), max_percent: 50 };
 
-/// What the traffic threads know of the cluster, replaced as a whole.
+/// The configuration that traffic threads use. An update replaces the whole view.
 #[derive(Debug, Default)]
 pub struct TrafficView {
-    /// The offset up to which the log is in force.
+    /// The next log offset to apply; the view reflects every entry before it.
     pub applied: Offset,
-    /// The services.
+    /// The services by name.
     pub services: HashMap<TemplateName, Arc<ServiceShape>>,
     /// The parameters of each organisation for each service.
     pub parameters: HashMap<(OrgName, TemplateName), Arc<OrgParameters>>,
 }
 
 impl TrafficView {
-    /// The view of a state.
+    /// Extracts the services and parameters from the cluster state.
     pub fn from_state(state: &ClusterState) -> TrafficView {
         use sedgehill_core::spec::{ConfigSpec, WorkShape};
         let mut view = TrafficView { applied: state.next, ..TrafficView::default() };
@@ -65,10 +66,11 @@
     }
 }
 
-/// A request that waits: where its endpoint is sent.
+/// The channel on which a waiting request receives its endpoint. Dropping it tells the request that its deadline has
+/// passed.
 pub type ChoiceSender = oneshot::Sender<DispatchChoice>;
 
-/// The endpoints and the waiting requests of one service.
+/// The dispatch queue of one service, shared between threads.
 pub struct ServiceQueue {
     queue: Mutex<DispatchQueue<ChoiceSender>>,
 }
@@ -76,94 +78,94 @@
 impl ServiceQueue {
     fn new(settings: &BoxSettings) -> ServiceQueue {
         let limits = QueueLimits {
-            count: settings.limits.waiting,
-            bytes: settings.limits.waiting_bytes.0 as usize,
+            count: settings.limits.max_waiting,
+            bytes: settings.limits.max_waiting_bytes.0 as usize,
         };
         let queue = DispatchQueue::new(settings.hall.clone(), limits, EJECTION_POLICY);
         ServiceQueue { queue: Mutex::new(queue) }
     }
 
-    /// Works on the queue under its lock.
-    pub fn with<R>(&self, work: impl FnOnce(&mut DispatchQueue<ChoiceSender>) -> R) -> R {
-        work(&mut self.queue.lock())
+    /// Calls `function` with the locked queue.
+    pub fn with<R>(&self, function: impl FnOnce(&mut DispatchQueue<ChoiceSender>) -> R) -> R {
+        function(&mut self.queue.lock())
     }
 
-    /// Takes in the endpoints as the controllers see them.
+    /// Replaces the list of endpoints, and dispatches waiting requests to those that have free slots.
     pub fn sync(&self, views: Vec<EndpointView>) {
         let chosen = self.with(|queue| queue.sync(views, clock::now()));
         self.deliver(chosen);
     }
 
-    /// Gives room to those that wait, and takes out those whose deadline has passed.
+    /// Removes waiting requests whose deadline has passed, and dispatches others to free slots.
     pub fn process_waiting(&self) {
         let now = clock::now();
         let (expired, chosen) = self.with(|queue| (queue.expire(now), queue.hand_out(now)));
-        // A dropped waiter is how a request learns that its deadline has passed.
+        // Dropping the sender tells a request that its deadline has passed.
         drop(expired);
         self.deliver(chosen);
     }
 
-    /// Gives back a slot.
-    pub fn release(&self, endpoint: &EndpointId, evidence: EndpointEvidence, held: TimeSpan) {
-        let chosen = self.with(|queue| queue.release(endpoint, evidence, held, clock::now()));
+    /// Returns a slot that was held for the given time, and dispatches a waiting request to it.
+    pub fn release(&self, endpoint: &EndpointId, outcome: EndpointEvidence, held: TimeSpan) {
+        let chosen = self.with(|queue| queue.release(endpoint, outcome, held, clock::now()));
         self.deliver(chosen);
     }
 
     fn deliver(&self, chosen: Vec<(DispatchChoice, ChoiceSender)>) {
-        for (choice, waiter) in chosen {
-            if let Err(choice) = waiter.send(choice) {
-                // The caller went while its request waited.
+        for (choice, sender) in chosen {
+            if let Err(choice) = sender.send(choice) {
+                // The caller closed its connection while the request waited.
                 self.release(&choice.endpoint, EndpointEvidence::Neutral, TimeSpan(0));
             }
         }
     }
 }
 
-/// How a request went, for reading back.
+/// The outcome of a finished request, kept for operators.
 #[derive(Debug, Clone)]
 pub struct RequestTrace {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// When it ended, in milliseconds of Unix time.
-    pub at_ms: u64,
-    /// The endpoint that it went to last, if any.
+    /// When the request ended, in milliseconds since the Unix epoch.
+    pub ended_at_ms: u64,
+    /// Endpoint of the last attempt, if there was one.
     pub endpoint: Option<EndpointId>,
-    /// Endpoints with room when that was chosen.
+    /// Number of endpoints with a free slot when that endpoint was chosen.
     pub candidates: usize,
-    /// How it ended.
+    /// Outcome of the request: `answered`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Why.
+    /// Reason why the request was not answered; empty if it was.
     pub reason: &'static str,
-    /// The offset up to which the log was in force.
+    /// The next log offset to apply when the request ended.
     pub applied: Offset,
 }
 
-/// Everything that threads share.
+/// The state that all threads of a box share.
 pub struct SharedState {
-    /// The settings.
+    /// Settings of the box.
     pub settings: BoxSettings,
-    /// Where to log.
+    /// Logger of the box.
     pub log: LogSink,
-    /// What renders the metrics.
+    /// Renders the metrics as text.
     pub metrics: PrometheusHandle,
-    /// What traffic knows of the cluster.
+    /// The published configuration of the cluster.
     pub view: ArcSwap<TrafficView>,
-    /// Whether the box takes requests.
+    /// Whether the box accepts requests, and why not.
     pub health: ArcSwap<HealthReport>,
     queues: ArcSwap<BTreeMap<TemplateName, Arc<ServiceQueue>>>,
     buckets: Mutex<HashMap<(OrgName, TemplateName), TokenBucket>>,
     traces: Mutex<VecDeque<RequestTrace>>,
     in_flight: std::sync::atomic::AtomicUsize,
-    /// When the controllers last found the view to be fresh.
+    /// When the controllers last published, in milliseconds of [`clock::now`].
     fresh_at: std::sync::atomic::AtomicU64,
-    /// When the read of the log was begun that the view is known to reach to the end of.
+    /// The moment up to which the view is known to include every entry of the log, in milliseconds of [`clock::now`].
     current_as_of: std::sync::atomic::AtomicU64,
-    /// The connections of callers.
+    /// Manages the connections of callers.
     pub connections: Arc<ConnectionManager>,
 }
 
 impl SharedState {
-    /// The state of a box that has just started.
+    /// Creates the state of a box that has just started and is not ready.
     pub fn new(settings: BoxSettings, log: LogSink, metrics: PrometheusHandle) -> SharedState {
         let health = HealthReport {
             health: BoxHealth::NotReady,
@@ -190,31 +192,31 @@
         }
     }
 
-    /// The queue of a service, if the box knows the service.
+    /// Returns the queue of a service, if the box knows the service.
     pub fn queue(&self, service: &TemplateName) -> Option<Arc<ServiceQueue>> {
         self.queues.load().get(service).cloned()
     }
 
-    /// All queues.
+    /// Returns the queues of all services.
     pub fn queues(&self) -> Arc<BTreeMap<TemplateName, Arc<ServiceQueue>>> {
         self.queues.load_full()
     }
 
-    /// Makes sure that there is a queue for each service.
+    /// Creates a queue for each of the given services that has none.
     pub fn ensure_queues<'a>(&self, services: impl Iterator<Item = &'a TemplateName>) {
         let mut queues = (*self.queues.load_full()).clone();
-        let before = queues.len();
+        let previous_count = queues.len();
         for service in services {
             queues
                 .entry(service.clone())
                 .or_insert_with(|| Arc::new(ServiceQueue::new(&self.settings)));
         }
-        if queues.len() != before {
+        if queues.len() != previous_count {
             self.queues.store(Arc::new(queues));
         }
     }
 
-    /// Whether the rate of an organisation allows one more request now.
+    /// Takes a token from the rate limit of an organisation for a service. Returns whether the request is allowed.
     pub fn try_take_token(&self, parameters: &OrgParameters, now: Moment) -> bool {
         let Some(rate) = parameters.rate else { return true };
         let key = (parameters.organisation.clone(), parameters.template.clone());
@@ -226,7 +228,7 @@
         bucket.try_take(now)
     }
 
-    /// Remembers how a request went.
+    /// Stores the trace of a finished request, in place of the oldest if there are [`MAX_TRACES`].
     pub fn record_trace(&self, trace: RequestTrace) {
         let mut traces = self.traces.lock();
         if traces.len() >= MAX_TRACES {
@@ -235,7 +237,7 @@
         traces.push_back(trace);
     }
 
-    /// How a request went, if that is still remembered.
+    /// Returns the trace of a request, if it is still kept.
     pub fn trace(&self, id: &RequestId) -> Option<RequestTrace> {
         self.traces.lock().iter().rev().find(|trace| trace.id == *id).cloned()
     }
@@ -246,39 +248,40 @@
         InFlightGuard { shared: self.clone() }
     }
 
-    /// Notes that the view is fresh as of `now`.
+    /// Records that the controllers published at `now`.
     pub fn record_fresh(&self, now: Moment) {
         self.fresh_at.store(now.0, std::sync::atomic::Ordering::Release);
     }
 
-    /// Whether the view may be acted on. It may not after a pause until the controllers have looked.
+    /// Returns whether the view may be used. After a pause of the process it may not, until the controllers have
+    /// published again.
     pub fn is_fresh(&self, now: Moment) -> bool {
         let fresh_at = Moment(self.fresh_at.load(std::sync::atomic::Ordering::Acquire));
         now.since(fresh_at) <= PAUSE_THRESHOLD
     }
 
-    /// Notes that the view holds all that was in the log at `moment`.
+    /// Records that the view includes every entry that was in the log at `moment`.
     pub fn set_current_as_of(&self, moment: Moment) {
         self.current_as_of.fetch_max(moment.0, std::sync::atomic::Ordering::AcqRel);
     }
 
-    /// The last moment of which the view is known to hold all that was in the log.
+    /// Returns the latest moment for which the view is known to include every entry that was then in the log.
     pub fn current_as_of(&self) -> Moment {
         Moment(self.current_as_of.load(std::sync::atomic::Ordering::Acquire))
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(std::sync::atomic::Ordering::SeqCst)
     }
 
-    /// Whether the box is draining.
+    /// Returns whether the box is draining.
     pub fn is_draining(&self) -> bool {
         self.health.load().health == BoxHealth::Draining
     }
 }
 
-/// Counts one request in flight while it lives.
+/// Counts a request as in flight until it is dropped.
 pub struct InFlightGuard {
     shared: Arc<SharedState>,
 }
