--- a/crates/sedgehilld/src/admin.rs
+++ b/crates/sedgehilld/src/admin.rs
@@ -1,4 +1,4 @@
-//! The pages for operators: health, metrics, and what the command line asks for.
+//! The HTTP interface for operators: health, metrics, and the calls of the command-line tool.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,20 +13,20 @@
 use crate::controllers::{ControlHandle, ControlState};
 use crate::shared::SharedState;
 
-/// The largest change that is read, in bytes.
+/// Maximum size of the body of a change, in bytes.
 const MAX_CHANGE_BYTES: u64 = 1 << 20;
 
-/// Serves operators until the process ends.
+/// Serves operators' calls until the process ends.
 pub async fn serve(listener: TcpListener, shared: Arc<SharedState>, handle: ControlHandle) {
-    let routes = pages(shared).or(reads(handle.clone())).or(changes(handle));
+    let routes = monitoring_routes(shared).or(read_routes(handle.clone())).or(change_route(handle));
     warp::serve(routes).incoming(listener).run().await;
 }
 
-fn pages(
+fn monitoring_routes(
     shared: Arc<SharedState>,
 ) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone {
-    let health_of = shared.clone();
-    let health = warp::path!("health").and(warp::get()).map(move || health_page(&health_of));
+    let health_state = shared.clone();
+    let health = warp::path!("health").and(warp::get()).map(move || health_page(&health_state));
     let metrics = warp::path!("metrics").and(warp::get()).map(move || shared.metrics.render());
     health.or(metrics)
 }
@@ -40,7 +40,9 @@
     warp::reply::with_status(warp::reply::json(&**report), status)
 }
 
-fn reads(handle: ControlHandle) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone {
+fn read_routes(
+    handle: ControlHandle,
+) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone {
     let with_handle = warp::any().map(move || handle.clone());
     let status = warp::path!("v1" / "status")
         .and(with_handle.clone())
@@ -81,7 +83,7 @@
     })
 }
 
-fn changes(
+fn change_route(
     handle: ControlHandle,
 ) -> impl Filter<Extract = (impl Reply,), Error = Rejection> + Clone {
     warp::path!("v1" / "change")
--- a/crates/sedgehilld/src/cell/figures.rs
+++ b/crates/sedgehilld/src/cell/figures.rs
@@ -59,7 +59,7 @@
 }
 
 fn write(figures: &[OrganisationFigures]) {
-    for one in figures.iter().take(telemetry::LABELLED_ORGANISATIONS) {
+    for one in figures.iter().take(telemetry::MAX_LABELLED_ORGANISATIONS) {
         let cores = |count: CoreCount| count.0 as f64 / THOUSANDTHS;
         let set = |metric, value| telemetry::set_organisation_gauge(metric, &one.name.0, value);
         set("sedgehill_cell_organisation_running_cores", cores(one.running.cores));
--- a/crates/sedgehilld/src/controllers/placement.rs
+++ b/crates/sedgehilld/src/controllers/placement.rs
@@ -101,7 +101,7 @@
     held: HeldLead,
     now: Moment,
 ) -> Vec<PlaceAction> {
-    let timing = state.shared.settings.place;
+    let timing = state.shared.settings.placement;
     let Some(cluster) = state.fold.state() else { return Vec::new() };
     let fresh = || HallPlacer::new(hall.clone(), held.epoch, timing, now);
     let placer = state.placers.entry(hall.clone()).or_insert_with(fresh);
--- a/crates/sedgehilld/src/controllers/reports.rs
+++ b/crates/sedgehilld/src/controllers/reports.rs
@@ -154,7 +154,7 @@
             reason => reason.to_owned(),
         };
         Some(DecisionRecord {
-            at_ms: trace.at_ms,
+            at_ms: trace.ended_at_ms,
             decided_by: self.own_id().clone(),
             subject: id.to_string(),
             decision,
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -46,8 +46,8 @@
     let lag = Duration::from_millis(drain.balancer_lag.as_millis());
     tokio::time::sleep(lag).await;
     connections.enter_phase(StopPhase::ClosingIdle);
-    let end = clock::now().after(drain.limit);
-    let closing = clock::now().after(TimeSpan(drain.limit.0.saturating_sub(FINAL_PHASE_TIME.0)));
+    let end = clock::now().after(drain.timeout);
+    let closing = clock::now().after(TimeSpan(drain.timeout.0.saturating_sub(FINAL_PHASE_TIME.0)));
     wait_while(closing, || connections.open_count() > 0).await;
     connections.enter_phase(StopPhase::ClosingAllIdle);
     wait_while(end, || connections.open_count() > 0).await;
--- a/crates/sedgehilld/src/logging.rs
+++ b/crates/sedgehilld/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines as JSON, never holding up whoever logs.
+//! Writes log lines as JSON. Logging never blocks: lines are dropped and counted when the output is too slow.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,27 +8,28 @@
 use crate::clock;
 use crate::settings::BoxSettings;
 
-/// Lines that wait for the sink before further ones are dropped.
-const LINE_QUEUE: usize = 8_192;
+/// Maximum number of lines that wait to be written; further lines are dropped.
+const LINE_QUEUE_LENGTH: usize = 8_192;
 
-/// The longest line that is written at once, in bytes.
-const LINE_BYTES: usize = 16 << 10;
+/// Size of the line buffer in bytes. A longer line is written in several pieces.
+const LINE_BUFFER_BYTES: usize = 16 << 10;
 
-/// A logger, and the count of lines that its sink was too slow for.
+/// A logger, with the count of its dropped lines.
 #[derive(Debug, Clone)]
 pub struct LogSink {
-    /// Where to log.
+    /// The logger.
     pub logger: Logger,
     dropped: Arc<AtomicU64>,
 }
 
 impl LogSink {
-    /// Lines dropped since the start.
+    /// Returns the number of lines dropped since the start of the process.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
+/// Passes lines to the writer thread, and counts those that do not fit into its queue.
 struct CountingDrain {
     core: slog_async::AsyncCore,
     dropped: Arc<AtomicU64>,
@@ -57,9 +58,9 @@
 }
 
 fn build_sink(name: &str, sink: impl std::io::Write + Send + 'static) -> LogSink {
-    // A line is written in many small pieces.
-    let sink = std::io::LineWriter::with_capacity(LINE_BYTES, sink);
-    // The library's own time stamp looks up the time zone for each line.
+    // The serializer emits a line in many small writes, so these are buffered.
+    let sink = std::io::LineWriter::with_capacity(LINE_BUFFER_BYTES, sink);
+    // The default time stamp of slog-json looks up the time zone for each line, so it is not used.
     let lines = slog_json::Json::new(sink)
         .add_key_value(o!(
             "ts" => FnValue(|_| clock::unix_ms()),
@@ -68,7 +69,8 @@
         ))
         .build()
         .ignore_res();
-    let core = slog_async::AsyncCore::custom(lines).chan_size(LINE_QUEUE).blocking(false).build();
+    let core =
+        slog_async::AsyncCore::custom(lines).chan_size(LINE_QUEUE_LENGTH).blocking(false).build();
     let dropped = Arc::new(AtomicU64::new(0));
     let drain = CountingDrain { core, dropped: dropped.clone() };
     let logger = Logger::root(drain, o!("box" => name.to_owned()));
--- a/crates/sedgehilld/src/main.rs
+++ b/crates/sedgehilld/src/main.rs
@@ -1,7 +1,10 @@
 //! `sedgehilld`: the daemon that runs on every entry box.
 //!
-//! One thread runs the [`controllers`], which own all state and publish immutable views of it. The
-//! other threads run the [`filters`], through which each request passes, and read those views.
+//! One thread runs the [`controllers`], which own the mutable state and publish immutable views of it. The other
+//! threads accept requests, run each one through the [`filters`], and read the published views.
+//!
+//! With the subcommand `cell` the daemon runs in cell mode instead: the module [`cell`] accepts jobs and schedules
+//! them on the workers of the platform.
 
 mod admin;
 mod cell;
@@ -27,8 +30,8 @@
 use crate::settings::{BoxSettings, SettingsError};
 use crate::shared::SharedState;
 
-// Faster on many threads. A box in cell mode is built without it: on one thread the C library's
-// allocator takes half the memory.
+// Mimalloc is faster with many threads. Boxes in cell mode are built without this feature, because they use one
+// thread, on which the allocator of the C library needs half the memory.
 #[cfg(feature = "mimalloc")]
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
@@ -54,37 +57,37 @@
 const EXIT_FAILED: u8 = 1;
 const EXIT_USAGE: u8 = 2;
 const EXIT_SETTINGS: u8 = 3;
-/// The exit code after a broken invariant.
-const EXIT_INVARIANT: i32 = 70;
+/// Exit code after a panic on any thread.
+const EXIT_PANIC: i32 = 70;
 
 quick_error! {
-    /// Why the daemon could not run.
+    /// An error that prevents the daemon from running.
     #[derive(Debug)]
     enum DaemonError {
-        /// The settings are wrong.
+        /// The settings file is unreadable or invalid.
         Settings(cause: SettingsError) {
             from()
             display("could not use the settings")
             source(cause)
         }
-        /// The links to peers are not usable.
+        /// The socket for connections between boxes could not be set up.
         Peer(cause: sedgehill_peer::PeerError) {
             from()
             display("could not open the links to peers")
             source(cause)
         }
-        /// The identity files are not usable.
+        /// The certificate, key or authority file is unusable.
         Identity(cause: sedgehill_peer::IdentityError) {
             from()
             display("could not use the certificates")
             source(cause)
         }
-        /// An address cannot be listened on.
+        /// The daemon cannot listen on an address.
         Listen(address: std::net::SocketAddr, cause: std::io::Error) {
             display("could not listen on {address}")
             source(cause)
         }
-        /// The threads could not be started.
+        /// A Tokio runtime could not be started.
         Runtime(cause: std::io::Error) {
             display("could not start the threads")
             source(cause)
@@ -93,8 +96,10 @@
 }
 
 struct DaemonArgs {
+    // Whether the daemon runs in cell mode.
     cell: bool,
     settings: PathBuf,
+    // Whether to check the settings and exit.
     check: bool,
 }
 
@@ -164,7 +169,7 @@
         eprintln!("checked {}", args.settings.display());
         return Ok(());
     }
-    stop_on_broken_invariant();
+    exit_on_panic();
     cell::run(settings)
 }
 
@@ -176,24 +181,24 @@
         eprintln!("checked {}", args.settings.display());
         return Ok(());
     }
-    stop_on_broken_invariant();
+    exit_on_panic();
     let log = logging::build_logger(&settings);
     let metrics = telemetry::install();
     let shared = Arc::new(SharedState::new(settings, log, metrics));
-    let (handle, inbox) = mpsc::channel(CONTROL_QUEUE_LENGTH);
-    let handle = ControlHandle::new(handle);
-    let traffic = start_traffic(shared.clone(), handle)?;
-    let result = run_control(shared, identity, inbox);
-    traffic.shutdown_background();
+    let (sender, requests) = mpsc::channel(CONTROL_QUEUE_LENGTH);
+    let handle = ControlHandle::new(sender);
+    let traffic_runtime = start_traffic(shared.clone(), handle)?;
+    let result = run_control(shared, identity, requests);
+    traffic_runtime.shutdown_background();
     result
 }
 
-/// A broken invariant stops the process, whichever thread finds it.
-fn stop_on_broken_invariant() {
-    let report = std::panic::take_hook();
+/// Makes a panic on any thread end the process, since a broken invariant leaves the shared state unusable.
+fn exit_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
-        std::process::exit(EXIT_INVARIANT);
+        default_hook(info);
+        std::process::exit(EXIT_PANIC);
     }));
 }
 
@@ -207,23 +212,23 @@
         .enable_all()
         .build()
         .map_err(DaemonError::Runtime)?;
-    let listen = shared.settings.listen.clone();
-    let traffic = runtime
-        .block_on(tokio::net::TcpListener::bind(listen.traffic))
-        .map_err(|error| DaemonError::Listen(listen.traffic, error))?;
-    let admin = runtime
-        .block_on(tokio::net::TcpListener::bind(listen.admin))
-        .map_err(|error| DaemonError::Listen(listen.admin, error))?;
+    let addresses = shared.settings.listen.clone();
+    let traffic_listener = runtime
+        .block_on(tokio::net::TcpListener::bind(addresses.traffic))
+        .map_err(|error| DaemonError::Listen(addresses.traffic, error))?;
+    let admin_listener = runtime
+        .block_on(tokio::net::TcpListener::bind(addresses.admin))
+        .map_err(|error| DaemonError::Listen(addresses.admin, error))?;
     runtime.spawn(telemetry::run_upkeep(shared.metrics.clone()));
-    runtime.spawn(traffic::serve(traffic, shared.clone(), handle.clone()));
-    runtime.spawn(admin::serve(admin, shared, handle));
+    runtime.spawn(traffic::serve(traffic_listener, shared.clone(), handle.clone()));
+    runtime.spawn(admin::serve(admin_listener, shared, handle));
     Ok(runtime)
 }
 
 fn run_control(
     shared: Arc<SharedState>,
     identity: PeerIdentity,
-    inbox: mpsc::Receiver<controllers::ControlRequest>,
+    requests: mpsc::Receiver<controllers::ControlRequest>,
 ) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -231,8 +236,8 @@
         .map_err(DaemonError::Runtime)?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async move {
-        let (link, peers) = PeerLink::bind(shared.settings.listen.peer, &identity)?;
-        controllers::run(shared, link, peers, inbox).await;
+        let (link, peer_requests) = PeerLink::bind(shared.settings.listen.peer, &identity)?;
+        controllers::run(shared, link, peer_requests, requests).await;
         Ok(())
     })
 }
--- a/crates/sedgehilld/src/settings.rs
+++ b/crates/sedgehilld/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one box, from JSON to checked types.
+//! The settings of one box: reads the JSON file and converts it to checked types.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,20 +13,20 @@
 use serde_json::{Map, Value};
 
 quick_error! {
-    /// Why settings cannot be used.
+    /// An error in a settings file.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// The file cannot be read.
+        /// The file could not be read.
         Read(path: PathBuf, cause: std::io::Error) {
             display("could not read {}", path.display())
             source(cause)
         }
-        /// The file is not JSON.
+        /// The file does not hold a JSON object.
         Parse(path: PathBuf, cause: serde_json::Error) {
             display("{} is not a JSON object", path.display())
             source(cause)
         }
-        /// The file has wrong settings.
+        /// Settings are missing, unknown or invalid; the cause lists each one.
         Check(path: PathBuf, cause: ManifestErrors) {
             display("{} has wrong settings", path.display())
             source(cause)
@@ -34,119 +34,119 @@
     }
 }
 
-/// Where a box listens.
+/// The addresses on which a box listens.
 #[derive(Debug, Clone)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers' requests.
     pub traffic: SocketAddr,
-    /// For operators.
+    /// Address for operators: health, metrics and changes.
     pub admin: SocketAddr,
-    /// For other boxes.
+    /// Address for messages of other boxes.
     pub peer: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// The log.
+    /// Address of the replicated log.
     pub log: SocketAddr,
-    /// The list of boxes, endpoints and workers.
+    /// Address of the service that lists boxes, endpoints and workers.
     pub list: SocketAddr,
 }
 
-/// The files of this box's identity, in PEM.
+/// The PEM files with which this box authenticates itself to other boxes.
 #[derive(Debug, Clone)]
 pub struct TlsSettings {
-    /// Its certificate.
+    /// Certificate of this box.
     pub certificate: PathBuf,
-    /// The key of the certificate.
+    /// Private key of the certificate.
     pub key: PathBuf,
-    /// The authority that signs the certificates of all boxes.
+    /// Certificate of the authority that signs the certificates of all boxes.
     pub authority: PathBuf,
 }
 
-/// How the log is used.
+/// Intervals of writing to the log.
 #[derive(Debug, Clone)]
 pub struct LogSettings {
-    /// The least time between two appends of this box.
+    /// Minimum time between two appends of this box.
     pub append_every: TimeSpan,
-    /// Entries after which a box appends a snapshot.
+    /// Number of log entries after which a box appends a snapshot.
     pub snapshot_every: u64,
 }
 
-/// What callers may send, and how much may wait.
+/// Limits on requests, answers and the queue of each service.
 #[derive(Debug, Clone)]
 pub struct LimitSettings {
-    /// The largest body of a request.
-    pub body: MemorySize,
-    /// The largest answer of an endpoint.
-    pub answer: MemorySize,
-    /// How long a caller may take to send a request.
-    pub receive: TimeSpan,
-    /// Requests that may wait for one service.
-    pub waiting: usize,
-    /// Bytes of bodies that may wait for one service.
-    pub waiting_bytes: MemorySize,
+    /// Maximum size of the body of a request.
+    pub max_body: MemorySize,
+    /// Maximum size of the body of an endpoint's answer.
+    pub max_answer: MemorySize,
+    /// How long a caller may take to send the head of a request, and again to send its body.
+    pub receive_timeout: TimeSpan,
+    /// Maximum number of waiting requests of one service.
+    pub max_waiting: usize,
+    /// Maximum total size of the bodies of one service's waiting requests.
+    pub max_waiting_bytes: MemorySize,
 }
 
-/// How a box stops.
+/// Timing of a planned stop.
 #[derive(Debug, Clone)]
 pub struct DrainSettings {
-    /// How long the balancer may still send work after the box says that it is draining.
+    /// How long the load balancer may keep sending requests after the box reports that it is draining.
     pub balancer_lag: TimeSpan,
-    /// How long requests in flight may take to finish.
-    pub limit: TimeSpan,
+    /// How long connections with requests in flight may take to finish after that.
+    pub timeout: TimeSpan,
 }
 
 /// The settings of one box.
 #[derive(Debug, Clone)]
 pub struct BoxSettings {
-    /// Its name.
+    /// Name of the box.
     pub id: BoxId,
-    /// Its data hall.
+    /// Data hall in which the box stands.
     pub hall: HallName,
-    /// Where it listens.
+    /// Addresses on which the box listens.
     pub listen: ListenSettings,
-    /// Where the platform is.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Its identity.
+    /// Certificate files of the box.
     pub tls: TlsSettings,
-    /// Threads for traffic.
+    /// Number of threads that serve callers.
     pub traffic_threads: usize,
-    /// How the log is used.
+    /// Intervals of writing to the log.
     pub log: LogSettings,
-    /// The terms of leads.
+    /// Term and renewal of the leads of halls.
     pub lead: LeadTiming,
-    /// Leases and syncs.
-    pub place: PlaceTiming,
-    /// Heartbeats.
+    /// Timing of the leases and syncs of workers.
+    pub placement: PlaceTiming,
+    /// Timeouts after which a silent box counts as suspect or gone.
     pub member: MemberTiming,
-    /// How often heartbeats are sent and the platform's list is read.
+    /// Interval of sending heartbeats and of reading the platform's list.
     pub heartbeat_every: TimeSpan,
-    /// What callers may send.
+    /// Limits on requests, answers and queues.
     pub limits: LimitSettings,
-    /// How the box stops.
+    /// Timing of a planned stop.
     pub drain: DrainSettings,
-    /// Whether each decision is logged.
+    /// Whether to log each placement decision and each request.
     pub log_decisions: bool,
 }
 
 impl BoxSettings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<BoxSettings, SettingsError> {
         let raw = RawSettings(read_object(path)?);
         raw.try_into().map_err(|errors| SettingsError::Check(path.to_owned(), errors))
     }
 }
 
-/// Reads a file that holds one JSON object.
+/// Reads a settings file, which holds one JSON object.
 pub(crate) fn read_object(path: &Path) -> Result<Map<String, Value>, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| SettingsError::Read(path.to_owned(), error))?;
     serde_json::from_str(&text).map_err(|error| SettingsError::Parse(path.to_owned(), error))
 }
 
-/// Settings as written, nothing checked.
+/// The unchecked JSON object of a settings file.
 #[derive(Debug)]
 pub struct RawSettings(Map<String, Value>);
 
@@ -187,7 +187,7 @@
     let traffic_threads = reader.number_or("traffic_threads", 1, MAX_THREADS, 2);
     let log = optional_group(reader, "log", read_log);
     let lead = optional_group(reader, "lead", read_lead);
-    let place = optional_group(reader, "placement", read_place);
+    let placement = optional_group(reader, "placement", read_placement);
     let member = optional_group(reader, "members", read_member);
     let heartbeat_every = reader.text_or("heartbeat_every", TimeSpan(500));
     let limits = optional_group(reader, "limits", read_limits);
@@ -202,7 +202,7 @@
         traffic_threads: traffic_threads? as usize,
         log: log?,
         lead: lead?,
-        place: place?,
+        placement: placement?,
         member: member?,
         heartbeat_every: heartbeat_every?,
         limits: limits?,
@@ -211,6 +211,7 @@
     })
 }
 
+/// Reads a nested object that must be present.
 pub(crate) fn required_group<T>(
     reader: &mut FieldReader<'_>,
     key: &'static str,
@@ -220,7 +221,7 @@
     read_group(reader, key, fields, read)
 }
 
-/// A group that may be absent; each key in it has a default.
+/// Reads a nested object that may be absent, in which case each of its keys takes its default.
 pub(crate) fn optional_group<T>(
     reader: &mut FieldReader<'_>,
     key: &'static str,
@@ -261,7 +262,7 @@
     Some(LeadTiming { term: term?, margin: margin?, renew_every: renew_every?, stagger: stagger? })
 }
 
-fn read_place(group: &mut FieldReader<'_>) -> Option<PlaceTiming> {
+fn read_placement(group: &mut FieldReader<'_>) -> Option<PlaceTiming> {
     let lease = group.text_or("lease", TimeSpan(20_000));
     let settle = group.text_or("settle", TimeSpan(2_000));
     let sync_every = group.text_or("sync_every", TimeSpan(2_000));
@@ -275,53 +276,53 @@
 }
 
 fn read_limits(group: &mut FieldReader<'_>) -> Option<LimitSettings> {
-    let body = group.text_or("body", MemorySize(1 << 20));
-    let answer = group.text_or("answer", MemorySize(8 << 20));
-    let receive = group.text_or("receive", TimeSpan(10_000));
-    let waiting = group.number_or("waiting", 1, 1_000_000, 4_000);
-    let waiting_bytes = group.text_or("waiting_bytes", MemorySize(64 << 20));
+    let max_body = group.text_or("body", MemorySize(1 << 20));
+    let max_answer = group.text_or("answer", MemorySize(8 << 20));
+    let receive_timeout = group.text_or("receive", TimeSpan(10_000));
+    let max_waiting = group.number_or("waiting", 1, 1_000_000, 4_000);
+    let max_waiting_bytes = group.text_or("waiting_bytes", MemorySize(64 << 20));
     Some(LimitSettings {
-        body: body?,
-        answer: answer?,
-        receive: receive?,
-        waiting: waiting? as usize,
-        waiting_bytes: waiting_bytes?,
+        max_body: max_body?,
+        max_answer: max_answer?,
+        receive_timeout: receive_timeout?,
+        max_waiting: max_waiting? as usize,
+        max_waiting_bytes: max_waiting_bytes?,
     })
 }
 
 fn read_drain(group: &mut FieldReader<'_>) -> Option<DrainSettings> {
     let balancer_lag = group.text_or("balancer_lag", TimeSpan(3_000));
-    let limit = group.text_or("limit", TimeSpan(60_000));
-    Some(DrainSettings { balancer_lag: balancer_lag?, limit: limit? })
+    let timeout = group.text_or("limit", TimeSpan(60_000));
+    Some(DrainSettings { balancer_lag: balancer_lag?, timeout: timeout? })
 }
 
-/// Times that only make sense together.
+/// Checks times that depend on each other, and adds an error for each violation. Returns whether all are valid.
 fn check_timing(settings: &BoxSettings, errors: &mut Vec<ManifestError>) -> bool {
     let lead = &settings.lead;
-    let before = errors.len();
-    let mut demand = |holds: bool, path: &str, message: String| {
-        if !holds {
+    let previous_count = errors.len();
+    let mut require = |is_valid: bool, path: &str, message: String| {
+        if !is_valid {
             errors.push(ManifestError { path: path.to_owned(), message });
         }
     };
-    demand(
+    require(
         lead.renew_every.0 * 2 <= lead.term.0,
         "lead.renew_every",
         format!("expected at most half of `lead.term` ({}), found {}", lead.term, lead.renew_every),
     );
-    demand(
+    require(
         lead.margin.0 > 0,
         "lead.margin",
-        "expected more than zero: it covers messages under way".to_owned(),
+        "expected more than zero: the margin covers messages in transit".to_owned(),
     );
-    let place = &settings.place;
-    demand(
-        place.sync_every.0 * 3 <= place.lease.0,
+    let placement = &settings.placement;
+    require(
+        placement.sync_every.0 * 3 <= placement.lease.0,
         "placement.sync_every",
         format!(
             "expected at most a third of `placement.lease` ({}), found {}",
-            place.lease, place.sync_every
+            placement.lease, placement.sync_every
         ),
     );
-    errors.len() == before
+    errors.len() == previous_count
 }
--- a/crates/sedgehilld/src/traffic.rs
+++ b/crates/sedgehilld/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections and runs each request through the filters.
+//! Accepts callers' connections and runs each request through the filters.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,28 +16,29 @@
 use crate::settings::BoxSettings;
 use crate::shared::SharedState;
 
-/// The most header bytes of a request.
+/// Maximum total size of the headers of a request, in bytes.
 const MAX_HEADER_BYTES: usize = 64 << 10;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// The bounds of a caller's connection.
+/// Returns the limits of callers' connections.
 pub fn caller_limits(settings: &BoxSettings) -> ConnectionLimits {
     ConnectionLimits {
         max_header_bytes: MAX_HEADER_BYTES,
         max_headers: Some(MAX_HEADERS),
-        header_timeout: Some(Duration::from_millis(settings.limits.receive.as_millis())),
+        header_timeout: Some(Duration::from_millis(settings.limits.receive_timeout.as_millis())),
     }
 }
 
-/// What a caller is told whose request may cross the end of its idle connection. The box has read nothing of it, so
-/// it does not know the key under which the request may have run elsewhere.
+/// Builds the response that is sent when the box closes an idle connection, and that answers a request already on its
+/// way. The box has read nothing of that request, so it does not know the idempotency key under which the request may
+/// have run elsewhere: the outcome is `unknown`.
 pub fn build_idle_response() -> Response<Full<Bytes>> {
     let outcome = RequestOutcome::Unknown(UnknownReason::ConnectionEnded);
     build_answer(RequestId(Uuid::now_v7()), outcome, true)
 }
 
-/// Serves callers until the stop has come to its end.
+/// Serves callers until a planned stop closes the listener.
 pub async fn serve(listener: TcpListener, shared: Arc<SharedState>, handle: ControlHandle) {
     let chain = Arc::new(FilterChain::new(shared.clone(), handle));
     let spawn = |connection: CallerConnection| {
