--- a/crates/sedgehilld/src/controllers/leads.rs
+++ b/crates/sedgehilld/src/controllers/leads.rs
@@ -1,4 +1,4 @@
-//! Claims and renews the leads of halls.
+//! Claims and renews the leads of data halls.
 
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,7 +14,7 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks after the leads for as long as the box runs.
+/// Claims and renews leads until the process ends.
 pub async fn run(context: ControlContext) {
     loop {
         if tick(&mut context.state.borrow_mut()) {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Appends what is due. Returns whether there was anything.
+/// Submits the claims and renewals that are due. Returns whether there are any.
 fn tick(state: &mut ControlState) -> bool {
     let now = clock::now();
     let Some(cluster) = state.fold.state() else { return false };
@@ -40,14 +40,15 @@
         }
     }
     let bodies = due_records(state, now);
-    let any = !bodies.is_empty();
+    let has_records = !bodies.is_empty();
     for body in bodies {
-        // Late, a claim or renewal would hold for too short a time to be of use.
+        // The term counts from the first sending, so a later append would have no effect.
         state.writer.submit_until(body, now.after(timing.term));
     }
-    any
+    has_records
 }
 
+/// Returns the claims and renewals that are due.
 fn due_records(state: &mut ControlState, now: Moment) -> Vec<RecordBody> {
     let leaving = state.is_leaving();
     let boxes = members::active_boxes(state, now);
@@ -71,14 +72,14 @@
     bodies
 }
 
-/// How many boxes are preferred to this one for a hall: an order that differs from hall to hall, so
-/// that the leads spread over the boxes.
+/// Returns how many boxes have precedence over this one for the lead of a hall. The order differs between halls (it is
+/// rendezvous hashing), so that the leads spread over the boxes.
 fn rank(hall: &HallName, own_id: &BoxId, boxes: &[BoxId]) -> usize {
-    let weight = |id: &BoxId| {
+    let priority = |id: &BoxId| {
         let mut hasher = DefaultHasher::new();
         (hall, id).hash(&mut hasher);
         (hasher.finish(), id.clone())
     };
-    let mine = weight(own_id);
-    boxes.iter().filter(|id| weight(id) > mine).count()
+    let own_priority = priority(own_id);
+    boxes.iter().filter(|id| priority(id) > own_priority).count()
 }
--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -1,4 +1,5 @@
-//! Reads the log and folds it; while the log is away, takes newer state from a peer.
+//! Reads the log and folds its entries into the cluster state. While the log does not answer, adopts newer state of a
+//! peer.
 
 use std::time::Duration;
 
@@ -14,21 +15,22 @@
 use super::{ControlContext, ControlState};
 use crate::clock;
 
-/// How long the log is asked to wait for something new.
+/// How long the log waits for a new entry before it answers a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two reads of a box that woke and waits for its other controllers to look.
+/// Interval of reads after a pause of the process, until the other controllers have refreshed their state.
 const RESUME_READ_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest pause after a failed read, in milliseconds.
+/// Maximum delay after a failed read, in milliseconds.
 const MAX_RETRY_DELAY_MS: u64 = 500;
-/// By how much of the interval a snapshot is put off at random, so that boxes do not all write one.
+/// Maximum random delay of a snapshot, as a fraction of the snapshot interval. It keeps boxes from all writing a snapshot
+/// at once.
 const SNAPSHOT_JITTER: f64 = 0.3;
 
-/// Reads for as long as the box runs.
+/// Reads the log until the process ends.
 pub async fn run(context: ControlContext) {
     let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
     loop {
         let from = context.state.borrow().fold.next();
-        // Before there is a state the log is not asked to wait: an empty one may stay so for long.
+        // Without a state the read does not wait, because an empty log may stay empty for long.
         let has_state = context.state.borrow().cluster().is_some();
         let is_resumed = context.state.borrow().resumed_at.is_none();
         let wait = if has_state && is_resumed { READ_TIMEOUT } else { Duration::ZERO };
@@ -37,10 +39,10 @@
         context.state.borrow_mut().log_read_started_at = started_at;
         match result {
             Ok(reply) => {
-                let idle = reply.entries.is_empty() && !has_state;
+                let is_stateless = reply.entries.is_empty() && !has_state;
                 apply_reply(&context, reply, started_at);
-                if idle && context.state.borrow().cluster().is_none() {
-                    // The log has forgotten its beginning and shows no snapshot yet.
+                if is_stateless && context.state.borrow().cluster().is_none() {
+                    // The log no longer has its first entries, and no snapshot was read yet.
                     adopt_peer_state(&context).await;
                     tokio::time::sleep(READ_TIMEOUT).await;
                 } else if !is_resumed {
@@ -50,13 +52,14 @@
             Err(error) => {
                 context.state.borrow_mut().log_error = error.to_string();
                 adopt_peer_state(&context).await;
-                let pause = rand::rng().random_range(MAX_RETRY_DELAY_MS / 5..MAX_RETRY_DELAY_MS);
-                tokio::time::sleep(Duration::from_millis(pause)).await;
+                let delay_ms = rand::rng().random_range(MAX_RETRY_DELAY_MS / 5..MAX_RETRY_DELAY_MS);
+                tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             }
         }
     }
 }
 
+/// Folds the entries of a reply into the state. The read was started at `started_at`.
 pub fn apply_reply(context: &ControlContext, reply: ReadReply, started_at: Moment) {
     let now = clock::now();
     let changed = !reply.entries.is_empty();
@@ -75,13 +78,13 @@
         submit_snapshot_if_due(&mut state);
     }
     if changed {
-        after_change(context);
+        publish_change(context);
     }
     context.writer_notify.notify_one();
 }
 
-/// Lets the other controllers act on what is in force now.
-fn after_change(context: &ControlContext) {
+/// Publishes the changed state and wakes the placement controller.
+fn publish_change(context: &ControlContext) {
     super::publish::publish(context);
     context.placement_notify.notify_one();
 }
@@ -95,6 +98,7 @@
     observe_leads(state, now);
 }
 
+/// Records up to which offset the snapshots of an entry cover the log.
 fn record_snapshots(state: &mut ControlState, entry: &LogEntry) {
     for record in &entry.batch.records {
         if let RecordBody::Snapshot { at, .. } = &record.body {
@@ -103,6 +107,7 @@
     }
 }
 
+/// Informs the lead timers about the recorded leads.
 fn observe_leads(state: &mut ControlState, now: Moment) {
     let Some(cluster) = state.fold.state() else { return };
     for (hall, timer) in &mut state.leads {
@@ -111,7 +116,7 @@
     }
 }
 
-/// Tells whoever waits for a record what became of it.
+/// Acts on the verdict on a record of this box, and sends it to the task that waits for the record.
 fn handle_verdict(state: &mut ControlState, id: RecordId, verdict: &RecordVerdict, now: Moment) {
     let Some(pending) = state.writer.remove(&id) else { return };
     observe_leads(state, now);
@@ -141,12 +146,12 @@
     }
 }
 
-/// Appends a snapshot well before the log forgets what it replaces, unless another box did.
+/// Submits a snapshot once enough entries follow the last one of any box, well before the log drops old entries.
 fn submit_snapshot_if_due(state: &mut ControlState) {
-    let every = state.shared.settings.log.snapshot_every as f64;
+    let interval = state.shared.settings.log.snapshot_every as f64;
     let Some(last) = state.cluster().and_then(|cluster| cluster.last()) else { return };
-    let due =
-        state.last_snapshot as f64 + every * (1.0 + rand::rng().random_range(0.0..SNAPSHOT_JITTER));
+    let due = state.last_snapshot as f64
+        + interval * (1.0 + rand::rng().random_range(0.0..SNAPSHOT_JITTER));
     if (last.0 as f64) < due || state.writer.has_snapshot() {
         return;
     }
@@ -156,13 +161,13 @@
     state.writer.submit_unattended(body, clock::now());
 }
 
-/// While the log does not answer, asks a peer that has read further.
+/// Adopts the state of a peer that has applied more of the log, if there is one.
 async fn adopt_peer_state(context: &ControlContext) {
     let Some((peer, address)) = find_newer_peer(&context.state.borrow()) else { return };
     let reply = context.link.request(&peer, address, &PeerMessage::SnapshotRequest).await;
     let Ok(PeerMessage::SnapshotReply(Some(bytes))) = reply else { return };
     let Ok(cluster) = serde_json::from_slice(&bytes) else {
-        warn!(context.shared.log.logger, "a peer sent a snapshot that cannot be read"; "peer" => %peer);
+        warn!(context.shared.log.logger, "state of a peer not readable"; "peer" => %peer);
         return;
     };
     let adopted = {
@@ -173,22 +178,22 @@
     };
     if adopted {
         info!(context.shared.log.logger, "state taken from a peer"; "peer" => %peer);
-        after_change(context);
+        publish_change(context);
     }
 }
 
-/// A peer that has applied more of the log than this box. Before the first state, any peer that has
-/// one will do.
+/// Returns the peer that has applied the most of the log, if that is more than this box. Any peer counts if this box has
+/// no state.
 fn find_newer_peer(
     state: &ControlState,
 ) -> Option<(sedgehill_core::ids::BoxId, std::net::SocketAddr)> {
     let now = clock::now();
-    let held = state.cluster().map(|cluster| cluster.next);
-    let best = state
+    let own_applied = state.cluster().map(|cluster| cluster.next);
+    let newest = state
         .members
         .heartbeats(now)
-        .filter(|beat| held.is_none_or(|held| beat.applied > held))
-        .max_by_key(|beat| beat.applied)?;
-    let listing = state.list.boxes.iter().find(|listing| listing.id == best.from)?;
+        .filter(|heartbeat| own_applied.is_none_or(|applied| heartbeat.applied > applied))
+        .max_by_key(|heartbeat| heartbeat.applied)?;
+    let listing = state.list.boxes.iter().find(|listing| listing.id == newest.from)?;
     Some((listing.id.clone(), listing.peer_address))
 }
--- a/crates/sedgehilld/src/controllers/log_writer.rs
+++ b/crates/sedgehilld/src/controllers/log_writer.rs
@@ -1,7 +1,7 @@
-//! Appends records in batches and keeps each until it is read back.
+//! Appends records to the log in batches, and keeps each until it is read back.
 //!
-//! An append whose answer is lost may have taken effect, so its records are appended again with the
-//! same ids; the fold gives a second copy no effect.
+//! An append whose answer is lost may have taken effect, so its records are appended again with the same ids. The fold
+//! ignores a second record with the same id.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,31 +20,31 @@
 use crate::clock;
 use crate::telemetry;
 
-/// The most records in one append.
-const MAX_BATCH: usize = 500;
-/// How long a record that nobody waits for is appended again before it is given up.
+/// Maximum number of records in one append.
+const MAX_BATCH_RECORDS: usize = 500;
+/// How long a record without a waiting task is appended again before it is dropped.
 const UNATTENDED_TIMEOUT: TimeSpan = TimeSpan(120_000);
-/// The pause after a failed append, in milliseconds; it doubles up to [`MAX_PAUSE_MS`].
+/// Delay after the first failed append, in milliseconds. It doubles up to [`MAX_RETRY_DELAY_MS`].
 const MIN_RETRY_DELAY_MS: u64 = 50;
-/// The longest pause after a failed append, in milliseconds.
+/// Maximum delay after a failed append, in milliseconds, without the random part.
 const MAX_RETRY_DELAY_MS: u64 = 1_000;
 
-/// A record on its way to the log and back.
+/// A record that is not yet read back from the log.
 #[derive(Debug)]
 pub struct PendingRecord {
     /// The record.
     pub record: LogRecord,
-    /// When it was first sent, if it was.
+    /// When the record was first sent; `None` if no append of it can have taken effect.
     pub first_sent: Option<Moment>,
-    /// Who waits for its verdict.
+    /// Sender to the task that waits for the verdict, if there is one.
     pub reply: Option<oneshot::Sender<RecordVerdict>>,
-    /// When it is given up.
+    /// When the writer drops the record.
     expires_at: Moment,
-    /// Where it stands, once the log has said so.
+    /// Offset at which the log has acknowledged the record.
     acknowledged: Option<Offset>,
 }
 
-/// The records that are on their way.
+/// The pending records of a box: to be appended, or appended and not yet read back.
 #[derive(Debug)]
 pub struct LogWriter {
     own_id: BoxId,
@@ -52,17 +52,17 @@
 }
 
 impl LogWriter {
-    /// A writer of a box, with nothing on its way.
+    /// Creates a writer without pending records for the box `own_id`.
     pub fn new(own_id: BoxId) -> LogWriter {
         LogWriter { own_id, pending: BTreeMap::new() }
     }
 
-    /// A new id. Ids of one box ascend, and records are appended in the order of their ids.
+    /// Returns a new record id. The ids of a box ascend, and records are appended in the order of their ids.
     pub fn new_id() -> RecordId {
         RecordId(Uuid::now_v7())
     }
 
-    /// Hands over a record whose verdict someone waits for until `give_up`.
+    /// Adds a record and returns the receiver of its verdict. The record is dropped at `expires_at`.
     pub fn submit(
         &mut self,
         id: RecordId,
@@ -74,12 +74,12 @@
         verdict
     }
 
-    /// Hands over a record that nobody waits for.
+    /// Adds a record for whose verdict no task waits.
     pub fn submit_unattended(&mut self, body: RecordBody, now: Moment) {
         self.insert(Self::new_id(), body, now.after(UNATTENDED_TIMEOUT), None);
     }
 
-    /// Hands over a record that is worthless after `give_up`.
+    /// Adds a record that has no use after `expires_at`, and for whose verdict no task waits.
     pub fn submit_until(&mut self, body: RecordBody, expires_at: Moment) {
         self.insert(Self::new_id(), body, expires_at, None);
     }
@@ -97,44 +97,45 @@
         self.pending.insert(id, pending);
     }
 
-    /// Takes out a record whose verdict was read.
+    /// Removes a record whose verdict was read.
     pub fn remove(&mut self, id: &RecordId) -> Option<PendingRecord> {
         self.pending.remove(id)
     }
 
-    /// Takes out a record that nobody waits for any more. Returns whether it may take effect yet.
+    /// Removes a record for which no task waits any more. Returns whether it may still take effect.
     pub fn withdraw(&mut self, id: &RecordId) -> bool {
         self.pending.remove(id).is_some_and(|pending| pending.first_sent.is_some())
     }
 
-    /// Whether a snapshot is on its way.
+    /// Returns whether a snapshot is pending.
     pub fn has_snapshot(&self) -> bool {
         self.has_pending(|body| matches!(body, RecordBody::Snapshot { .. }))
     }
 
-    /// Whether a record on its way fits a check.
-    pub fn has_pending(&self, check: impl Fn(&RecordBody) -> bool) -> bool {
-        self.pending.values().any(|pending| check(&pending.record.body))
+    /// Returns whether a pending record satisfies the predicate.
+    pub fn has_pending(&self, predicate: impl Fn(&RecordBody) -> bool) -> bool {
+        self.pending.values().any(|pending| predicate(&pending.record.body))
     }
 
-    /// Records on their way.
+    /// Returns the number of pending records.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// The records to append now, each noted as sent.
+    /// Drops expired records, and returns the records to append next, which it marks as sent.
     fn next_batch(&mut self, now: Moment) -> RecordBatch {
         self.pending.retain(|_, pending| pending.expires_at > now);
         let unacknowledged =
             self.pending.values_mut().filter(|pending| pending.acknowledged.is_none());
         let mut batch = RecordBatch::default();
-        for pending in unacknowledged.take(MAX_BATCH) {
+        for pending in unacknowledged.take(MAX_BATCH_RECORDS) {
             pending.first_sent.get_or_insert(now);
             batch.records.push(pending.record.clone());
         }
         batch
     }
 
+    /// Records that the log has acknowledged a batch.
     fn acknowledge(&mut self, batch: &RecordBatch, offset: Offset) {
         for record in &batch.records {
             if let Some(pending) = self.pending.get_mut(&record.id) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Forgets that records were sent, after an append that surely had no effect.
+    /// Marks records as not sent, after their first append surely had no effect.
     fn mark_unsent(&mut self, batch: &RecordBatch, sent: Moment) {
         for record in &batch.records {
             if let Some(pending) = self.pending.get_mut(&record.id) {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Sends records again that the log said it has, but that were not there to read.
+    /// Marks acknowledged records for another append if the log was applied beyond their offset without them.
     fn resend_missing(&mut self, applied: Offset) {
         for pending in self.pending.values_mut() {
             pending.acknowledged = pending.acknowledged.filter(|offset| *offset >= applied);
@@ -160,10 +161,11 @@
     }
 }
 
-/// Appends for as long as the box runs.
+/// Appends pending records until the process ends.
 pub async fn run(context: ControlContext) {
     let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
-    let every = Duration::from_millis(context.shared.settings.log.append_every.as_millis());
+    let append_interval =
+        Duration::from_millis(context.shared.settings.log.append_every.as_millis());
     let mut retry_delay_ms = MIN_RETRY_DELAY_MS;
     loop {
         let batch = next_batch(&mut context.state.borrow_mut());
@@ -177,7 +179,7 @@
                 telemetry::count_append("acknowledged");
                 context.state.borrow_mut().writer.acknowledge(&batch, offset);
                 retry_delay_ms = MIN_RETRY_DELAY_MS;
-                tokio::time::sleep(every).await;
+                tokio::time::sleep(append_interval).await;
             }
             Err(error) => {
                 record_failure(&context, &batch, &error, sent);
--- a/crates/sedgehilld/src/controllers/members.rs
+++ b/crates/sedgehilld/src/controllers/members.rs
@@ -1,4 +1,4 @@
-//! Keeps track of the other boxes and of what the platform lists.
+//! Tracks the other boxes by their heartbeats, and reads the platform's list of boxes, endpoints and workers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,16 +15,17 @@
 use crate::clock;
 use crate::shared::PAUSE_THRESHOLD;
 
-/// Reads the platform's list for as long as the box runs.
+/// Reads the platform's list until the process ends.
 pub async fn read_list(context: ControlContext) {
     let client = ListClient::new(context.caller.clone(), context.shared.settings.platform.list);
-    let every = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
+    let interval = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     loop {
         let started_at = clock::now();
         let result = client.fetch().await;
-        let paused = clock::now().since(started_at) > PAUSE_THRESHOLD;
+        // A list that was fetched across a pause of the process may be stale.
+        let was_paused = clock::now().since(started_at) > PAUSE_THRESHOLD;
         if let Ok(list) = result
-            && !paused
+            && !was_paused
         {
             let changed = {
                 let mut state = context.state.borrow_mut();
@@ -39,18 +40,18 @@
             }
         }
         context.state.borrow_mut().list_read_started_at = started_at;
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Sends heartbeats for as long as the box runs.
+/// Sends heartbeats to all other boxes until the process ends.
 pub async fn send_heartbeats(context: ControlContext) {
-    let every = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
+    let interval = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     let mut sequence = 0;
     loop {
         sequence += 1;
         broadcast_heartbeat(&context, sequence);
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
@@ -62,7 +63,7 @@
     for (peer, address) in peers {
         let (link, message) = (context.link.clone(), message.clone());
         tokio::task::spawn_local(async move {
-            // A heartbeat that is lost is followed by the next.
+            // A lost heartbeat needs no retry, since another follows.
             let _ = link.send(&peer, address, &message).await;
         });
     }
@@ -89,6 +90,7 @@
     leaving.map(|endpoint| endpoint.id.clone())
 }
 
+/// Returns the other listed boxes and their addresses.
 pub fn peer_addresses(state: &ControlState) -> Vec<(BoxId, SocketAddr)> {
     state
         .list
@@ -99,19 +101,21 @@
         .collect()
 }
 
-/// Endpoints that are leaving, as this box or any peer has heard.
+/// Returns the endpoints that the platform's list shows as leaving, to this box or to a peer.
 pub fn leaving_endpoints(state: &ControlState, now: Moment) -> BTreeSet<EndpointId> {
-    let heard =
-        state.members.heartbeats(now).flat_map(|beat| beat.leaving_endpoints.iter().cloned());
-    listed_leaving_endpoints(state).chain(heard).collect()
+    let reported = state
+        .members
+        .heartbeats(now)
+        .flat_map(|heartbeat| heartbeat.leaving_endpoints.iter().cloned());
+    listed_leaving_endpoints(state).chain(reported).collect()
 }
 
-/// The boxes that take work, this one included, in order of name. A box that is listed counts until
-/// it could have been heard of.
+/// Returns the boxes that accept work, including this one, in order of name. For some time after its start this box
+/// also counts all listed boxes, since their heartbeats may not have arrived yet.
 pub fn active_boxes(state: &ControlState, now: Moment) -> Vec<BoxId> {
-    let settling = now.since(state.started_at) < state.shared.settings.member.gone_after;
+    let is_starting = now.since(state.started_at) < state.shared.settings.member.gone_after;
     let mut boxes: BTreeSet<BoxId> = state.members.live(now).into_iter().collect();
-    let listed = state.list.boxes.iter().filter(|listing| settling && !listing.leaving);
+    let listed = state.list.boxes.iter().filter(|listing| is_starting && !listing.leaving);
     boxes.extend(listed.map(|listing| listing.id.clone()));
     for listing in state.list.boxes.iter().filter(|listing| listing.leaving) {
         boxes.remove(&listing.id);
@@ -120,7 +124,7 @@
     boxes.into_iter().collect()
 }
 
-/// Whether this box is listed with peers and hears of none of them.
+/// Returns whether other boxes are listed and all of them are suspect or gone.
 pub fn is_cut_off_from_peers(state: &ControlState, now: Moment) -> bool {
     let mut peers =
         state.list.boxes.iter().filter(|listing| listing.id != *state.own_id()).peekable();
@@ -128,9 +132,9 @@
         && peers.all(|listing| state.members.state(&listing.id, now) >= MemberState::Suspect)
 }
 
-/// Takes in what peers say for as long as the box runs.
-pub async fn handle_messages(context: ControlContext, mut peers: mpsc::Receiver<PeerRequest>) {
-    while let Some(request) = peers.recv().await {
+/// Handles the messages of other boxes until the process ends.
+pub async fn handle_messages(context: ControlContext, mut requests: mpsc::Receiver<PeerRequest>) {
+    while let Some(request) = requests.recv().await {
         match request.message {
             PeerMessage::Heartbeat(heartbeat) => handle_heartbeat(&context, heartbeat),
             PeerMessage::SnapshotRequest => {
@@ -144,7 +148,7 @@
             PeerMessage::ClaimRequest { organisation, key } => {
                 let status = refresh::own_claim_status(&context.state.borrow(), &organisation, key);
                 if let Some(reply) = request.reply {
-                    // The box that asked may have gone.
+                    // An error means that the connection to the other box is closed.
                     let _ = reply.send(PeerMessage::ClaimReply(status));
                 }
             }
@@ -157,9 +161,9 @@
     let now = clock::now();
     let changed = {
         let mut state = context.state.borrow_mut();
-        let before = (active_boxes(&state, now), leaving_endpoints(&state, now));
+        let previous = (active_boxes(&state, now), leaving_endpoints(&state, now));
         state.members.heard(heartbeat, now);
-        before != (active_boxes(&state, now), leaving_endpoints(&state, now))
+        previous != (active_boxes(&state, now), leaving_endpoints(&state, now))
     };
     if changed {
         publish::publish(context);
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -1,5 +1,5 @@
-//! The controllers: each keeps one part of the state right. All run on one thread, so they share
-//! the state without locks; what other threads need, they publish.
+//! The controllers, each of which maintains one part of the state of a box. All run on one thread, so they share the
+//! state without locks, and publish what the other threads need.
 
 mod leads;
 mod log_reader;
@@ -34,88 +34,89 @@
 use log_writer::LogWriter;
 use placement::OrderChannel;
 
-/// Requests to the control thread that wait before traffic is told that it is busy.
+/// Capacity of the queue of requests to the control thread. Traffic threads treat a full queue as a failure; operators'
+/// requests wait for room.
 pub const CONTROL_QUEUE_LENGTH: usize = 4_096;
-/// Orders under way to workers at once.
+/// Maximum number of start orders to workers in flight at once.
 const MAX_CONCURRENT_ORDERS: usize = 32;
-/// Decisions that are remembered for reading back.
+/// Maximum number of placement decisions that are kept for operators.
 const MAX_DECISIONS: usize = 4_096;
 
-/// What other threads ask of the control thread.
+/// A request of another thread to the control thread.
 pub enum ControlRequest {
-    /// Claim a once-only request.
+    /// Claims the idempotency key of a once-only request in the log.
     ClaimKey {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The key.
+        /// Key to claim.
         key: IdempotencyKey,
-        /// When the caller gives up.
+        /// Deadline of the caller's request.
         deadline: Moment,
-        /// Where the answer goes.
+        /// Receives the result.
         reply: oneshot::Sender<ClaimReply>,
     },
-    /// Bring the view up to date with all that was in the log at a moment.
+    /// Updates the view so that it includes every entry that was in the log at a moment.
     RefreshView {
         /// The moment.
         since: Moment,
-        /// Where the answer goes: whether it worked.
+        /// Receives whether the view was updated in time.
         reply: oneshot::Sender<bool>,
     },
-    /// Find out whether a key is claimed.
+    /// Finds out whether an idempotency key is claimed.
     FindClaim {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The key.
+        /// Key to look up.
         key: IdempotencyKey,
-        /// When its request came.
+        /// When the request with this key arrived.
         since: Moment,
-        /// Where the answer goes.
+        /// Receives the status of the key.
         reply: oneshot::Sender<ClaimStatus>,
     },
-    /// Give a claim back.
+    /// Releases the claim of a key whose request surely did not run.
     ReleaseKey {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The key.
+        /// Claimed key.
         key: IdempotencyKey,
-        /// The record of the claim.
+        /// Id of the claim's record.
         claim: RecordId,
     },
-    /// Make an operator's change.
+    /// Executes an operator's change.
     Change {
         /// The change.
         change: ChangeRequest,
-        /// Where the answer goes.
+        /// Receives the result.
         reply: oneshot::Sender<ChangeReply>,
     },
-    /// Read the state.
+    /// Calls a function with the state, to read from it.
     Read(Box<dyn FnOnce(&ControlState) + Send>),
 }
 
-/// What became of a claim.
+/// The result of claiming a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimReply {
-    /// The request may run, once.
+    /// The claim is recorded under this id, and the request may run once.
     Granted(RecordId),
-    /// It may not.
+    /// The log contains the claim, but it is void. The request must not run.
     Void(VoidReason),
-    /// The claim was not read back in time. The request does not run.
+    /// The claim was not read back from the log in time. The request must not run.
     NotRecorded,
 }
 
-/// Reaches the control thread from other threads.
+/// Sends requests from other threads to the control thread.
 #[derive(Clone)]
 pub struct ControlHandle {
     sender: mpsc::Sender<ControlRequest>,
 }
 
 impl ControlHandle {
-    /// A handle that sends to `sender`.
+    /// Creates a handle that sends to `sender`.
     pub fn new(sender: mpsc::Sender<ControlRequest>) -> ControlHandle {
         ControlHandle { sender }
     }
 
-    /// Claims a once-only request.
+    /// Claims the idempotency key of a once-only request.
     pub async fn claim_key(
         &self,
         organisation: OrgName,
@@ -130,14 +131,15 @@
         replied.await.unwrap_or(ClaimReply::NotRecorded)
     }
 
-    /// Brings the view up to date with all that was in the log at `since`. Returns whether that worked in time.
+    /// Updates the view so that it includes every entry that was in the log at `since`. Returns whether that was done in
+    /// time.
     pub async fn refresh_view(&self, since: Moment) -> bool {
         let (reply, replied) = oneshot::channel();
         let sent = self.sender.try_send(ControlRequest::RefreshView { since, reply });
         sent.is_ok() && replied.await.unwrap_or(false)
     }
 
-    /// Finds out whether the key of a request that came at `since` is claimed.
+    /// Finds out whether the key of a request that arrived at `since` is claimed.
     pub async fn find_claim(
         &self,
         organisation: OrgName,
@@ -152,12 +154,13 @@
         }
     }
 
-    /// Gives a claim back. If the control thread is too busy the claim stays, which is safe.
+    /// Releases a claim. If the queue of the control thread is full, the claim remains: the caller cannot retry with the
+    /// key, but no request runs twice.
     pub fn release_key(&self, organisation: OrgName, key: IdempotencyKey, claim: RecordId) {
         let _ = self.sender.try_send(ControlRequest::ReleaseKey { organisation, key, claim });
     }
 
-    /// Makes an operator's change.
+    /// Executes an operator's change and returns its result.
     pub async fn change(&self, change: ChangeRequest) -> ChangeReply {
         let (reply, replied) = oneshot::channel();
         if self.sender.send(ControlRequest::Change { change, reply }).await.is_err() {
@@ -166,48 +169,57 @@
         replied.await.unwrap_or(ChangeReply::Unknown)
     }
 
-    /// Reads something of the state; none if the box is stopping.
+    /// Calls `read` with the state and returns its result, or `None` if the box is stopping.
     pub async fn read<R: Send + 'static>(
         &self,
         read: impl FnOnce(&ControlState) -> R + Send + 'static,
     ) -> Option<R> {
         let (reply, replied) = oneshot::channel();
-        let run = move |state: &ControlState| {
+        let read_and_reply = move |state: &ControlState| {
             let _ = reply.send(read(state));
         };
-        self.sender.send(ControlRequest::Read(Box::new(run))).await.ok()?;
+        self.sender.send(ControlRequest::Read(Box::new(read_and_reply))).await.ok()?;
         replied.await.ok()
     }
 }
 
-/// Everything that the controllers own.
+/// The state that the controllers own.
 pub struct ControlState {
     shared: Arc<SharedState>,
     incarnation: Incarnation,
     started_at: Moment,
+    /// Folds the log into the state of the cluster.
     fold: LogFold,
+    /// When the log last answered a read.
     last_log_reply_at: Moment,
+    /// Error of the last failed read of the log.
     log_error: String,
+    /// Highest offset that a snapshot in the log covers.
     last_snapshot: u64,
     writer: LogWriter,
     members: MemberTable,
     list: PlatformList,
+    /// Whether the platform's list was read at least once.
     list_loaded: bool,
-    /// When the last look at the log that has ended was begun.
+    /// When the last finished read of the log, successful or not, was started.
     log_read_started_at: Moment,
-    /// When the last read was begun that reached the end of the log.
+    /// When the last read that reached the end of the log was started. The state includes every entry that was in the
+    /// log at that time.
     log_current_as_of: Moment,
     refreshes: refresh::RefreshQueue,
-    /// When the last look at the list that has ended was begun.
+    /// When the last finished read of the platform's list, successful or not, was started.
     list_read_started_at: Moment,
+    /// When the controllers last tried to publish.
     last_published: Moment,
-    /// When the box last woke from a pause, until it has looked at everything again.
+    /// When the process resumed after a pause; `None` once the log and the list were read again.
     resumed_at: Option<Moment>,
     leads: BTreeMap<HallName, LeadTimer>,
     placers: BTreeMap<HallName, HallPlacer>,
     order_channels: BTreeMap<HallName, OrderChannel>,
     decisions: VecDeque<DecisionRecord>,
+    /// Whether a planned stop has started.
     stopping: bool,
+    /// Halls whose lead this box gives up, so that it neither places tasks there nor renews the lead.
     handed_over_halls: BTreeSet<HallName>,
 }
 
@@ -249,15 +261,16 @@
         self.fold.state()
     }
 
-    /// How long the log has been silent.
+    /// Returns how long the log has not answered.
     fn log_silence(&self, now: Moment) -> TimeSpan {
         now.since(self.last_log_reply_at)
     }
 
-    /// Whether this box is to take no further duties.
+    /// Returns whether this box reports itself as draining and holds no leads, because it stops or an operator drains
+    /// it.
     fn is_leaving(&self) -> bool {
-        let asked = |state: &ClusterState| state.draining.contains(self.own_id());
-        self.stopping || self.cluster().is_some_and(asked)
+        let is_drained = |state: &ClusterState| state.draining.contains(self.own_id());
+        self.stopping || self.cluster().is_some_and(is_drained)
     }
 
     fn record_decision(&mut self, decision: DecisionRecord) {
@@ -268,20 +281,20 @@
     }
 }
 
-/// What the controllers share.
+/// The state and the handles that the controllers share.
 #[derive(Clone)]
 struct ControlContext {
     state: Rc<RefCell<ControlState>>,
     shared: Arc<SharedState>,
     link: PeerLink,
     caller: JsonCaller,
-    /// Wakes the log writer.
+    /// Wakes the log writer when records are to be appended.
     writer_notify: Rc<Notify>,
-    /// Wakes the placement controller.
+    /// Wakes the placement controller before its next tick.
     placement_notify: Rc<Notify>,
-    /// Wakes the reader that proves that the state is new.
+    /// Wakes the refresh controller when a request needs the end of the log.
     refresh_notify: Rc<Notify>,
-    /// Bounds the orders under way to workers: each needs memory for its connection.
+    /// Bounds the start orders in flight, since each needs memory for its connection.
     order_permits: Rc<Semaphore>,
 }
 
--- a/crates/sedgehilld/src/controllers/placement.rs
+++ b/crates/sedgehilld/src/controllers/placement.rs
@@ -1,4 +1,4 @@
-//! Drives the [`HallPlacer`] of each hall that this box leads.
+//! Runs the [`HallPlacer`] of each data hall that this box leads, and executes its decisions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,13 +21,14 @@
 use crate::clock;
 use crate::telemetry;
 
-/// The longest time between two looks at a hall.
+/// Maximum time between two ticks of a hall.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The way of orders to the workers of one hall under one epoch. Nothing is written on it once the
-/// lead has ended, also if it was decided before.
+/// Sends orders to the workers of a hall under one epoch of its lead. It writes nothing to the network after the lead
+/// has ended, not even orders that were decided before.
 pub struct OrderChannel {
     epoch: Epoch,
+    // End of the lead, in milliseconds of `clock::now`; 0 after the channel was dropped.
     until: Arc<AtomicU64>,
     client: WorkerClient,
 }
@@ -35,8 +36,8 @@
 impl OrderChannel {
     fn new(epoch: Epoch) -> OrderChannel {
         let until = Arc::new(AtomicU64::new(0));
-        let limit = until.clone();
-        let permit = Arc::new(move || clock::now() < Moment(limit.load(Ordering::SeqCst)));
+        let permit_until = until.clone();
+        let permit = Arc::new(move || clock::now() < Moment(permit_until.load(Ordering::SeqCst)));
         OrderChannel { epoch, until, client: WorkerClient::new(JsonCaller::fenced(permit)) }
     }
 }
@@ -47,14 +48,14 @@
     }
 }
 
-/// Places for as long as the box runs.
+/// Runs the placers until the process ends.
 pub async fn run(context: ControlContext) {
     loop {
         let halls: Vec<HallName> = context.state.borrow().leads.keys().cloned().collect();
         for hall in halls {
             tick_hall(&context, &hall);
         }
-        // Either something changed, or it is time to look again.
+        // Ticks again after a change, or after the interval.
         let _ = tokio::time::timeout(MAX_TICK_INTERVAL, context.placement_notify.notified()).await;
     }
 }
@@ -81,7 +82,7 @@
     }
 }
 
-/// Lets orders be written until the end of the lead, on a line of its epoch.
+/// Extends the order channel to the current end of the lead, and replaces a channel of an earlier epoch.
 fn renew_channel(state: &mut ControlState, hall: &HallName, held: HeldLead) {
     let channel =
         state.order_channels.entry(hall.clone()).or_insert_with(|| OrderChannel::new(held.epoch));
@@ -95,6 +96,7 @@
     state.leads.get(hall).and_then(|timer| timer.held_at(now))
 }
 
+/// Brings the placer up to date, and returns the actions that it decides on.
 fn tick_placer(
     state: &mut ControlState,
     hall: &HallName,
@@ -103,17 +105,18 @@
 ) -> Vec<PlaceAction> {
     let timing = state.shared.settings.placement;
     let Some(cluster) = state.fold.state() else { return Vec::new() };
-    let fresh = || HallPlacer::new(hall.clone(), held.epoch, timing, now);
-    let placer = state.placers.entry(hall.clone()).or_insert_with(fresh);
+    let new_placer = || HallPlacer::new(hall.clone(), held.epoch, timing, now);
+    let placer = state.placers.entry(hall.clone()).or_insert_with(new_placer);
     if placer.epoch() != held.epoch {
-        *placer = fresh();
+        *placer = new_placer();
     }
-    let empty = BTreeSet::new();
-    let roster = cluster.halls.get(hall).map_or(&empty, |hall| &hall.roster);
+    let empty_roster = BTreeSet::new();
+    let roster = cluster.halls.get(hall).map_or(&empty_roster, |hall| &hall.roster);
     placer.sync_workers(&state.list.workers, roster);
     placer.tick(cluster, now)
 }
 
+/// Counts and logs the decisions of a placer, and keeps them for operators.
 fn record_decisions(state: &mut ControlState, hall: &HallName, epoch: Epoch) {
     let Some(placer) = state.placers.get_mut(hall) else { return };
     let decisions = placer.take_decisions();
@@ -189,7 +192,8 @@
     state.list.workers.iter().find(|view| view.id == *worker).and_then(|view| view.address)
 }
 
-/// Orders a start, after one more look at the clock: the lead may have lapsed meanwhile.
+/// Sends a start order and reports the reply to the placer. It checks the lead again before sending, since the lead may
+/// have ended while the order waited for a permit.
 async fn start_task(
     context: ControlContext,
     client: WorkerClient,
@@ -197,7 +201,7 @@
     worker: WorkerId,
     start: TaskStart,
 ) {
-    let _order = context.order_permits.acquire().await.expect("it is never closed");
+    let _permit = context.order_permits.acquire().await.expect("the semaphore is never closed");
     let address = worker_address(&context.state.borrow(), &worker);
     let sent = clock::now();
     let held = held_lead(&context.state.borrow(), &hall, sent);
@@ -215,6 +219,7 @@
     }
 }
 
+/// Sends a sync to a worker and reports the reply to the placer.
 async fn sync_worker(
     context: ControlContext,
     client: WorkerClient,
--- a/crates/sedgehilld/src/controllers/publish.rs
+++ b/crates/sedgehilld/src/controllers/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes what the traffic threads need.
+//! Publishes the state that the traffic threads read: configuration, endpoints, health and metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::telemetry;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Turns between two looks at health and membership.
+/// Number of queue ticks between two publications.
 const TICKS_PER_PUBLISH: u32 = 4;
-/// How long a box that woke waits for the platform before it goes on with what it has.
+/// How long a box waits after a pause for the log and the list, before it continues with the state that it has.
 const RESUME_TIMEOUT: TimeSpan = TimeSpan(3_000);
-/// How long a box that hears of nobody believes that what it has is still in force.
+/// How long a box that is cut off from the log and from all other boxes remains ready with the state that it has.
 const ISOLATION_TIMEOUT: TimeSpan = TimeSpan(5_000);
 
-/// Keeps queues moving and health right for as long as the box runs.
+/// Processes the dispatch queues and publishes the state until the process ends.
 pub async fn run(context: ControlContext) {
     let mut ticks = 0;
     loop {
@@ -37,10 +37,10 @@
     }
 }
 
-/// Publishes everything as it is now.
+/// Publishes the current state. Does nothing after a pause until the state is refreshed.
 pub fn publish(context: &ControlContext) {
     let now = clock::now();
-    if !is_view_trusted(&mut context.state.borrow_mut(), now) {
+    if !check_for_pause(&mut context.state.borrow_mut(), now) {
         return;
     }
     context.shared.record_fresh(now);
@@ -62,22 +62,24 @@
     set_gauges(context, &state, now);
 }
 
-/// Whether everything was looked at since the last pause. The controllers run many times a second,
-/// so a long gap between two publications is a pause, and what was read before it may be stale.
-fn is_view_trusted(state: &mut ControlState, now: Moment) -> bool {
+/// Detects pauses of the process, and returns whether the log and the list were read since the last one. The
+/// controllers run many times a second, so a long gap between two publications means that the process was paused, and
+/// its state may be stale.
+fn check_for_pause(state: &mut ControlState, now: Moment) -> bool {
     if now.since(state.last_published) > PAUSE_THRESHOLD {
         state.resumed_at = Some(now);
     }
     state.last_published = now;
     let Some(resumed_at) = state.resumed_at else { return true };
-    let looked =
+    let is_refreshed =
         state.log_read_started_at >= resumed_at && state.list_read_started_at >= resumed_at;
-    if looked || now.since(resumed_at) > RESUME_TIMEOUT {
+    if is_refreshed || now.since(resumed_at) > RESUME_TIMEOUT {
         state.resumed_at = None;
     }
     state.resumed_at.is_none()
 }
 
+/// Returns the endpoints of a service, with this box's share of their slots.
 fn endpoint_views(
     state: &ControlState,
     view: &TrafficView,
@@ -113,6 +115,7 @@
     }
 }
 
+/// Determines whether the box is ready, draining or not ready, and why.
 fn health(state: &ControlState, now: Moment) -> HealthReport {
     let not_ready = |reason: String| HealthReport { health: BoxHealth::NotReady, reason };
     if state.is_leaving() {
@@ -125,8 +128,8 @@
     if !state.list_loaded {
         return not_ready("has not read the platform's list".to_owned());
     }
-    let silent = state.log_silence(now) > ISOLATION_TIMEOUT;
-    if silent && members::is_cut_off_from_peers(state, now) {
+    let is_log_silent = state.log_silence(now) > ISOLATION_TIMEOUT;
+    if is_log_silent && members::is_cut_off_from_peers(state, now) {
         return not_ready("cut off from the log and from every peer".to_owned());
     }
     HealthReport { health: BoxHealth::Ready, reason: String::new() }
--- a/crates/sedgehilld/src/controllers/refresh.rs
+++ b/crates/sedgehilld/src/controllers/refresh.rs
@@ -1,9 +1,9 @@
-//! Proves that the state of this box is as new as a request, and tells what is known of a key.
+//! Makes the state of this box as new as a request, and finds out whether an idempotency key is claimed.
 //!
-//! A box follows the log a little behind, and after a pause or an outage far behind. What it lacks may stand in the
-//! log, so it may not tell a caller that there is no such service, nor that a key has not run, before it has read the
-//! log to its end once more. While the log does not answer the other boxes are asked: only a box that claimed a key
-//! sends the request anywhere.
+//! The state of a box lags a little behind the log, and after a pause or an outage far behind. The box may therefore
+//! tell a caller that a service does not exist, or that no request has run under a key, only after it has read the log
+//! to its end again. While the log does not answer, the box asks the other boxes about a key: only a box that has
+//! claimed the key sends the request to an endpoint.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
 use super::{ControlContext, ControlState, log_reader, publish};
 use crate::clock;
 
-/// The longest that a request waits for a proof.
+/// Maximum time that a request waits for the log to be read to its end.
 const REFRESH_TIMEOUT: TimeSpan = TimeSpan(500);
-/// The longest that a request waits for what other boxes know of its key.
+/// Maximum time that a request waits for the answer of another box about its key.
 const PEER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Those that wait for the next read of the log that reaches its end.
+/// The requests that wait for the log to be read to its end.
 #[derive(Debug, Default)]
 pub struct RefreshQueue {
     waiting: Vec<oneshot::Sender<bool>>,
 }
 
-/// Reads the log to its end whenever a proof is wanted. Requests that come during a read share the next one.
+/// Reads the log to its end whenever a request waits for it. Requests that arrive during a read share the next one.
 pub async fn run(context: ControlContext) {
     let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
     loop {
@@ -39,14 +39,15 @@
             context.refresh_notify.notified().await;
             continue;
         }
-        let proven = read_to_end(&context, &client).await;
+        let is_current = read_to_end(&context, &client).await;
         for reply in waiting {
-            // Whoever asked may have gone.
-            let _ = reply.send(proven);
+            // An error means that the request has timed out.
+            let _ = reply.send(is_current);
         }
     }
 }
 
+/// Applies the log up to its end and publishes the state. Returns false if the log does not answer or has a gap.
 async fn read_to_end(context: &ControlContext, client: &LogClient) -> bool {
     let started_at = clock::now();
     loop {
@@ -58,13 +59,14 @@
             return true;
         }
         if context.state.borrow().fold.next() == from {
-            // The log has forgotten what joins it to the state of this box.
+            // The log no longer has the entries that follow the state of this box.
             return false;
         }
     }
 }
 
-/// Brings the state up to date with all that was in the log at `since`. Returns whether that worked in time.
+/// Updates the state so that it includes every entry that was in the log at `since`. Returns whether that was done in
+/// time.
 pub async fn refresh_state(context: &ControlContext, since: Moment) -> bool {
     if context.state.borrow().log_current_as_of >= since {
         return true;
@@ -72,33 +74,34 @@
     let (reply, replied) = oneshot::channel();
     context.state.borrow_mut().refreshes.waiting.push(reply);
     context.refresh_notify.notify_one();
-    let limit = Duration::from_millis(REFRESH_TIMEOUT.as_millis());
-    matches!(tokio::time::timeout(limit, replied).await, Ok(Ok(true)))
+    let timeout = Duration::from_millis(REFRESH_TIMEOUT.as_millis());
+    matches!(tokio::time::timeout(timeout, replied).await, Ok(Ok(true)))
 }
 
-/// Finds out whether the key of a request that came at `since` is claimed, in the log or on its way there.
+/// Finds out whether the key of a request that arrived at `since` is claimed, by a record in the log or one that a box
+/// is appending.
 pub async fn find_claim(
     context: &ControlContext,
     organisation: &OrgName,
     key: IdempotencyKey,
     since: Moment,
 ) -> ClaimStatus {
-    let proven = refresh_state(context, since).await;
-    let own = own_claim_status(&context.state.borrow(), organisation, key);
-    let status = match own {
+    let is_current = refresh_state(context, since).await;
+    let own_status = own_claim_status(&context.state.borrow(), organisation, key);
+    let status = match own_status {
         ClaimStatus::Claimed => ClaimStatus::Claimed,
-        _ if proven => ClaimStatus::Free,
+        _ if is_current => ClaimStatus::Free,
         ClaimStatus::Untold => ClaimStatus::Untold,
         ClaimStatus::Free => ask_peers(context, organisation, key).await,
     };
     info!(context.shared.log.logger, "key looked up"; "organisation" => %organisation, "key" => %key,
-        "sight" => format!("{status:?}"), "log_read" => proven,
+        "sight" => format!("{status:?}"), "log_read" => is_current,
         "log_age_ms" => clock::now().since(context.state.borrow().log_current_as_of).0);
     status
 }
 
-/// What this box knows by itself of a key. One that has started since the key was made may have claimed it in an
-/// earlier life, and cannot tell unless it has read the log.
+/// Returns what this box itself knows about a key. A process that started after the key was created does not know
+/// whether an earlier process of this box claimed it.
 pub fn own_claim_status(
     state: &ControlState,
     organisation: &OrgName,
@@ -108,12 +111,12 @@
         let claims = cluster.claims.get(organisation)?;
         claims.get(&key).map(|claim| !claim.released)
     };
-    let is_claimed = state.cluster().and_then(claims).unwrap_or(false);
+    let is_recorded = state.cluster().and_then(claims).unwrap_or(false);
     let is_pending = state.writer.has_pending(|body| {
         matches!(body, RecordBody::ClaimKey { organisation: owner, key: pending }
             if owner == organisation && *pending == key)
     });
-    if is_claimed || is_pending {
+    if is_recorded || is_pending {
         return ClaimStatus::Claimed;
     }
     match state.incarnation <= Incarnation(key.made_at_ms()) {
@@ -122,7 +125,7 @@
     }
 }
 
-/// Asks every listed box. The key is free only if each of them says so.
+/// Asks every other listed box about a key. The key counts as free only if all of them report it as free.
 async fn ask_peers(
     context: &ControlContext,
     organisation: &OrgName,
@@ -131,19 +134,19 @@
     let message = PeerMessage::ClaimRequest { organisation: organisation.clone(), key };
     let peers: Vec<(BoxId, std::net::SocketAddr)> =
         super::members::peer_addresses(&context.state.borrow());
-    let mut questions = JoinSet::new();
+    let mut requests = JoinSet::new();
     for (peer, address) in peers {
         let (link, message) = (context.link.clone(), message.clone());
-        questions.spawn_local(async move {
-            let question = link.request(&peer, address, &message);
-            match tokio::time::timeout(PEER_TIMEOUT, question).await {
+        requests.spawn_local(async move {
+            let request = link.request(&peer, address, &message);
+            match tokio::time::timeout(PEER_TIMEOUT, request).await {
                 Ok(Ok(PeerMessage::ClaimReply(status))) => status,
-                // A box that is silent may have claimed it.
+                // A box that does not answer may have claimed the key.
                 _ => ClaimStatus::Untold,
             }
         });
     }
-    let statuses = questions.join_all().await;
+    let statuses = requests.join_all().await;
     [ClaimStatus::Claimed, ClaimStatus::Untold]
         .into_iter()
         .find(|status| statuses.contains(status))
--- a/crates/sedgehilld/src/controllers/reports.rs
+++ b/crates/sedgehilld/src/controllers/reports.rs
@@ -1,4 +1,4 @@
-//! What operators read back.
+//! Builds the reports that operators read.
 
 use sedgehill_core::ids::{JobId, RequestId, TaskId};
 use sedgehill_core::spec::ConfigKey;
@@ -11,13 +11,13 @@
 use crate::clock;
 
 impl ControlState {
-    /// Every version kept under a key.
+    /// Returns all stored versions of a configuration key.
     pub fn history(&self, key: &ConfigKey) -> ConfigHistory {
         let versions = self.cluster().and_then(|cluster| cluster.configs.get(key));
         ConfigHistory { versions: versions.cloned().unwrap_or_default() }
     }
 
-    /// Every key and its version in force.
+    /// Returns all configuration keys with their current versions.
     pub fn listing(&self) -> Vec<ConfigListing> {
         let Some(cluster) = self.cluster() else { return Vec::new() };
         cluster
@@ -30,7 +30,7 @@
             .collect()
     }
 
-    /// Every job, the oldest first.
+    /// Returns all jobs, the oldest first.
     pub fn jobs(&self) -> Vec<JobListing> {
         let Some(cluster) = self.cluster() else { return Vec::new() };
         let mut jobs: Vec<JobListing> =
@@ -39,7 +39,7 @@
         jobs
     }
 
-    /// The box at a glance.
+    /// Returns the status of the box, its peers, halls and services.
     pub fn status(&self) -> BoxStatus {
         let now = clock::now();
         let peers = self.members.states(now).into_iter();
@@ -88,12 +88,12 @@
             &std::sync::Arc<crate::shared::ServiceQueue>,
         )| {
             let listed = self.list.endpoints.iter().filter(|listing| listing.service == *service);
-            let (gone, working): (Vec<_>, Vec<_>) =
+            let (leaving_listings, active_listings): (Vec<_>, Vec<_>) =
                 listed.partition(|listing| leaving.contains(&listing.id));
             ServiceStatus {
                 service: service.clone(),
-                endpoints: working.len(),
-                leaving: gone.into_iter().map(|listing| listing.id.clone()).collect(),
+                endpoints: active_listings.len(),
+                leaving: leaving_listings.into_iter().map(|listing| listing.id.clone()).collect(),
                 waiting: queue.with(|queue| queue.waiting()),
                 under_way: queue.with(|queue| queue.busy()),
             }
@@ -101,7 +101,7 @@
         queues.iter().map(status).collect()
     }
 
-    /// What this box can tell of a job, task or request.
+    /// Returns what this box knows about the job, task or request with this id.
     pub fn explain(&self, subject: &str) -> ExplainReport {
         let mut report = ExplainReport::default();
         let task: Option<TaskId> = subject.parse().ok();
@@ -116,15 +116,15 @@
     }
 
     fn explain_job(&self, report: &mut ExplainReport, id: JobId, task: Option<TaskId>) {
-        let found = self.cluster().and_then(|cluster| cluster.jobs.get(&id));
-        report.job = found.map(|job| JobListing { id, job: job.clone() });
-        let wanted = |subject: &str| match task {
+        let stored_job = self.cluster().and_then(|cluster| cluster.jobs.get(&id));
+        report.job = stored_job.map(|job| JobListing { id, job: job.clone() });
+        let is_relevant = |subject: &str| match task {
             Some(task) => subject == task.to_string(),
             None => subject.starts_with(&id.to_string()),
         };
-        let decisions = self.decisions.iter().filter(|decision| wanted(&decision.subject));
+        let decisions = self.decisions.iter().filter(|decision| is_relevant(&decision.subject));
         report.decisions.extend(decisions.cloned());
-        let Some(job) = found else { return };
+        let Some(job) = stored_job else { return };
         let Some(placer) = self.placers.get(&job.hall) else { return };
         let now = clock::now();
         for index in 0..job.tasks.len() as u32 {
@@ -132,11 +132,11 @@
             if task.is_some_and(|task| task != id) {
                 continue;
             }
-            let place = placer.whereabouts(&id);
+            let placement = placer.whereabouts(&id);
             report.places.push(TaskPlace {
                 task: id.to_string(),
-                worker: place.map(|(worker, _)| worker.clone()),
-                for_ms: place.map(|(_, since)| now.since(since).as_millis()),
+                worker: placement.map(|(worker, _)| worker.clone()),
+                for_ms: placement.map(|(_, since)| now.since(since).as_millis()),
                 waits_for: placer.wait_reason(&id),
                 epoch: placer.epoch(),
             });
--- a/crates/sedgehilld/src/controllers/requests.rs
+++ b/crates/sedgehilld/src/controllers/requests.rs
@@ -1,4 +1,4 @@
-//! Answers what operators and traffic ask.
+//! Handles the requests of other threads: operators' changes and reads, and the claims of traffic threads.
 
 use sedgehill_core::ids::{HallName, IdempotencyKey, OrgName, RecordId};
 use sedgehill_core::job::JobRequest;
@@ -12,14 +12,14 @@
 use super::{ClaimReply, ControlContext, ControlRequest, ControlState, refresh};
 use crate::clock;
 
-/// How long a change is tried before its outcome is reported as unknown.
+/// Maximum time that a change waits for its verdict from the log.
 const CHANGE_TIMEOUT: TimeSpan = TimeSpan(5_000);
-/// The longest that a once-only request waits for its claim.
+/// Maximum time that a once-only request waits for the claim of its key.
 const CLAIM_TIMEOUT: TimeSpan = TimeSpan(2_000);
 
-/// Answers for as long as the box runs.
-pub async fn run(context: ControlContext, mut inbox: mpsc::Receiver<ControlRequest>) {
-    while let Some(request) = inbox.recv().await {
+/// Handles requests until the process ends.
+pub async fn run(context: ControlContext, mut requests: mpsc::Receiver<ControlRequest>) {
+    while let Some(request) = requests.recv().await {
         match request {
             ControlRequest::Read(read) => read(&context.state.borrow()),
             ControlRequest::Change { change, reply } => start_change(&context, change, reply),
@@ -29,7 +29,7 @@
             ControlRequest::RefreshView { since, reply } => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
-                    // Whoever asked may have gone.
+                    // An error means that the caller has closed its connection.
                     let _ = reply.send(refresh::refresh_state(&context, since).await);
                 });
             }
@@ -37,7 +37,7 @@
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
                     let status = refresh::find_claim(&context, &organisation, key, since).await;
-                    // Whoever asked may have gone.
+                    // An error means that the caller has closed its connection.
                     let _ = reply.send(status);
                 });
             }
@@ -82,20 +82,21 @@
         let may_take_effect =
             answer == ClaimReply::NotRecorded && context.state.borrow_mut().writer.withdraw(&id);
         let unreceived = reply.send(answer).is_err();
-        // The request did not run, so whoever asks again with this key may run it.
+        // The request does not run, so a claim that may take effect is released: a retry with this key may run.
         if may_take_effect || (unreceived && answer == ClaimReply::Granted(id)) {
             release_key(&context, organisation, key, id);
         }
     });
 }
 
+/// Returns the verdict on a record, or `None` if it was not read from the log in time.
 async fn wait_for_verdict(
     verdict: oneshot::Receiver<RecordVerdict>,
     expires_at: Moment,
 ) -> Option<RecordVerdict> {
-    let left = expires_at.since(clock::now());
-    let limit = std::time::Duration::from_millis(left.as_millis());
-    tokio::time::timeout(limit, verdict).await.ok()?.ok()
+    let remaining = expires_at.since(clock::now());
+    let timeout = std::time::Duration::from_millis(remaining.as_millis());
+    tokio::time::timeout(timeout, verdict).await.ok()?.ok()
 }
 
 fn start_change(
@@ -126,6 +127,7 @@
     });
 }
 
+/// Converts a change to a log record. The error message is for the operator.
 fn change_record(state: &ControlState, change: ChangeBody) -> Result<RecordBody, String> {
     let cluster = state.cluster().ok_or("the box has no state yet")?;
     Ok(match change {
@@ -149,12 +151,15 @@
     })
 }
 
+/// Returns the name under which a reason is serialized.
 fn void_text(reason: sedgehill_core::state::VoidReason) -> String {
     let reason_text = serde_json::to_value(reason).expect("our types serialize");
     reason_text.as_str().unwrap_or_default().to_owned()
 }
 
-/// The allowed hall with the most free room, as the leads say; the room is a hint only.
+/// Chooses the allowed hall with the most free capacity for the tasks of a job. The leads of halls report the capacity
+/// in heartbeats, so it may be outdated. If no lead of an allowed hall has reported, chooses the first allowed hall that
+/// has workers.
 fn choose_hall(state: &ControlState, request: &JobRequest) -> Result<HallName, String> {
     let cluster = state.cluster().ok_or("the box has no state yet")?;
     let parameters =
@@ -169,7 +174,7 @@
     let peers = state
         .members
         .heartbeats(now)
-        .flat_map(|beat| beat.rooms.iter().map(|room| (room.hall.clone(), room.free)));
+        .flat_map(|heartbeat| heartbeat.rooms.iter().map(|room| (room.hall.clone(), room.free)));
     let shape = cluster.check_shape(request).map_err(void_text)?;
     own.chain(peers)
         .filter(|(hall, _)| parameters.allows(hall))
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: take no further duties, finish what is in flight, hand over, exit.
+//! Drains the box: hands over its leads, and in a planned stop also finishes the requests in flight before the process
+//! exits.
 
 use std::time::Duration;
 
@@ -12,12 +13,12 @@
 use crate::connection::StopPhase;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Kept of the time for what is in flight, to end the connections that are idle by then.
+/// Part of the drain timeout, at its end, that is reserved for closing the remaining idle connections.
 const FINAL_PHASE_TIME: TimeSpan = TimeSpan(1_200);
-/// How long handing over the leads may take.
+/// Maximum time for handing over the leads.
 const HAND_OVER_TIMEOUT: TimeSpan = TimeSpan(3_000);
 
-/// Hands over the leads when an operator drains this box, and lets it claim again afterwards.
+/// Hands over the leads when the box begins to leave, and lets it claim leads again when an operator ends the drain.
 pub async fn watch_drain(context: ControlContext) {
     let mut was_leaving = false;
     loop {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Waits for the signal to stop, then stops as planned.
+/// Waits for SIGTERM or SIGINT, then performs a planned stop.
 pub async fn run(context: ControlContext) {
     wait_for_signal().await;
     info!(context.shared.log.logger, "stopping");
@@ -43,12 +44,13 @@
     connections.enter_phase(StopPhase::Announcing);
     hand_over(&context).await;
     let drain = &context.shared.settings.drain;
-    let lag = Duration::from_millis(drain.balancer_lag.as_millis());
-    tokio::time::sleep(lag).await;
+    let balancer_lag = Duration::from_millis(drain.balancer_lag.as_millis());
+    tokio::time::sleep(balancer_lag).await;
     connections.enter_phase(StopPhase::ClosingIdle);
     let end = clock::now().after(drain.timeout);
-    let closing = clock::now().after(TimeSpan(drain.timeout.0.saturating_sub(FINAL_PHASE_TIME.0)));
-    wait_while(closing, || connections.open_count() > 0).await;
+    let final_phase =
+        clock::now().after(TimeSpan(drain.timeout.0.saturating_sub(FINAL_PHASE_TIME.0)));
+    wait_while(final_phase, || connections.open_count() > 0).await;
     connections.enter_phase(StopPhase::ClosingAllIdle);
     wait_while(end, || connections.open_count() > 0).await;
     info!(context.shared.log.logger, "stopped"; "cut_off" => context.shared.in_flight(),
@@ -64,13 +66,14 @@
     }
 }
 
-async fn wait_while(end: Moment, mut waiting: impl FnMut() -> bool) {
-    while waiting() && clock::now() < end {
+/// Waits while the condition holds, at most until `end`.
+async fn wait_while(end: Moment, mut condition: impl FnMut() -> bool) {
+    while condition() && clock::now() < end {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Stops placing, lets starts under way end, and gives up the leads.
+/// Stops placing tasks, waits for the answers to start orders in flight, and releases the leads.
 async fn hand_over(context: &ControlContext) {
     let end = clock::now().after(HAND_OVER_TIMEOUT);
     {
@@ -92,6 +95,7 @@
     .await;
 }
 
+/// Submits a release of each lead that the box holds.
 fn release_leads(context: &ControlContext, end: Moment) {
     let mut state = context.state.borrow_mut();
     let now = clock::now();
--- a/crates/sedgehilld/src/filters/dispatch.rs
+++ b/crates/sedgehilld/src/filters/dispatch.rs
@@ -26,8 +26,12 @@
 impl EndpointSlot {
     fn new(queue: Arc<ServiceQueue>, choice: DispatchChoice) -> EndpointSlot {
         // Stays neutral if the caller closes its connection, which says nothing about the endpoint.
-        let outcome = EndpointEvidence::Neutral;
-        EndpointSlot { queue, choice, reserved_at: Instant::now(), outcome }
+        EndpointSlot {
+            queue,
+            choice,
+            reserved_at: Instant::now(),
+            outcome: EndpointEvidence::Neutral,
+        }
     }
 
     /// Returns the dispatch decision that reserved the slot.
--- a/crates/sedgehilld/src/filters/forward.rs
+++ b/crates/sedgehilld/src/filters/forward.rs
@@ -20,9 +20,6 @@
 /// Header that carries the id of a request, to the endpoint and back to the caller.
 pub const REQUEST_ID_HEADER: &str = "sedgehill-request-id";
 
-/// Header that carries the organisation of a request to the endpoint.
-const ORGANISATION_HEADER: &str = "sedgehill-organisation";
-
 /// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 4;
 /// Maximum delay before a retry, in milliseconds.
@@ -157,7 +154,7 @@
     let headers = request.headers_mut();
     headers.insert(header::HOST, header_value(&address));
     headers.insert(REQUEST_ID_HEADER, header_value(&context.id));
-    headers.insert(ORGANISATION_HEADER, header_value(&context.parameters.organisation));
+    headers.insert("sedgehill-organisation", header_value(&context.parameters.organisation));
     request
 }
 
--- a/crates/sedgehilld/src/filters/mod.rs
+++ b/crates/sedgehilld/src/filters/mod.rs
@@ -93,7 +93,8 @@
     Ok(outcome)
 }
 
-/// Runs the filters that come before a request may be sent to an endpoint. A request that it refuses holds no claim on its key.
+/// Runs the filters that come before a request may be sent to an endpoint. A request that it refuses holds no claim on
+/// its key.
 async fn admit(
     chain: &FilterChain,
     id: RequestId,
--- a/crates/sedgehilld/src/telemetry.rs
+++ b/crates/sedgehilld/src/telemetry.rs
@@ -127,7 +127,7 @@
     counter!("sedgehill_cell_runs_found_total", "result" => result).increment(1);
 }
 
-/// Counts the first start of a job that an earlier lead may already have started, by what settled that doubt.
+/// Counts a start in a job that an earlier lead may also have started, by what showed whether runs of it remain.
 pub fn count_earlier_start(settled_by: &'static str) {
     counter!("sedgehill_cell_earlier_starts_total", "settled_by" => settled_by).increment(1);
 }
