--- a/crates/sedgehilld/src/controllers/leads.rs
+++ b/crates/sedgehilld/src/controllers/leads.rs
@@ -42,7 +42,7 @@
     let bodies = due_records(state, now);
     let has_records = !bodies.is_empty();
     for body in bodies {
-        // The term counts from the first sending, so a later append would have no effect.
+        // The term counts from the first sending, so a claim or renewal is of no use a whole term later.
         state.writer.submit_until(body, now.after(timing.term));
     }
     has_records
--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -16,7 +16,7 @@
 use crate::clock;
 
 /// How long the log waits for a new entry before it answers a read.
-const READ_TIMEOUT: Duration = Duration::from_secs(1);
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval of reads after a pause of the process, until the other controllers have refreshed their state.
 const RESUME_READ_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum delay after a failed read, in milliseconds.
@@ -32,8 +32,8 @@
         let from = context.state.borrow().fold.next();
         // Without a state the read does not wait, because an empty log may stay empty for long.
         let has_state = context.state.borrow().cluster().is_some();
-        let is_resumed = context.state.borrow().resumed_at.is_none();
-        let wait = if has_state && is_resumed { READ_TIMEOUT } else { Duration::ZERO };
+        let is_refreshed = context.state.borrow().resumed_at.is_none();
+        let wait = if has_state && is_refreshed { LONG_POLL_TIMEOUT } else { Duration::ZERO };
         let started_at = clock::now();
         let result = client.read(from, wait).await;
         context.state.borrow_mut().log_read_started_at = started_at;
@@ -44,8 +44,8 @@
                 if is_stateless && context.state.borrow().cluster().is_none() {
                     // The log no longer has its first entries, and no snapshot was read yet.
                     adopt_peer_state(&context).await;
-                    tokio::time::sleep(READ_TIMEOUT).await;
-                } else if !is_resumed {
+                    tokio::time::sleep(LONG_POLL_TIMEOUT).await;
+                } else if !is_refreshed {
                     tokio::time::sleep(RESUME_READ_INTERVAL).await;
                 }
             }
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -194,7 +194,7 @@
     last_log_reply_at: Moment,
     /// Error of the last failed read of the log.
     log_error: String,
-    /// Highest offset that a snapshot in the log covers.
+    /// Highest offset that a snapshot covers, of those that were read from the log or submitted by this box.
     last_snapshot: u64,
     writer: LogWriter,
     members: MemberTable,
@@ -211,7 +211,7 @@
     list_read_started_at: Moment,
     /// When the controllers last tried to publish.
     last_published: Moment,
-    /// When the process resumed after a pause; `None` once the log and the list were read again.
+    /// When the process resumed after a pause; `None` once the log and the list were read again, or after a timeout.
     resumed_at: Option<Moment>,
     leads: BTreeMap<HallName, LeadTimer>,
     placers: BTreeMap<HallName, HallPlacer>,
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -47,12 +47,12 @@
     let balancer_lag = Duration::from_millis(drain.balancer_lag.as_millis());
     tokio::time::sleep(balancer_lag).await;
     connections.enter_phase(StopPhase::ClosingIdle);
-    let end = clock::now().after(drain.timeout);
+    let deadline = clock::now().after(drain.timeout);
     let final_phase =
         clock::now().after(TimeSpan(drain.timeout.0.saturating_sub(FINAL_PHASE_TIME.0)));
     wait_while(final_phase, || connections.open_count() > 0).await;
     connections.enter_phase(StopPhase::ClosingAllIdle);
-    wait_while(end, || connections.open_count() > 0).await;
+    wait_while(deadline, || connections.open_count() > 0).await;
     info!(context.shared.log.logger, "stopped"; "cut_off" => context.shared.in_flight(),
         "connections" => connections.open_count(), "ended_idle" => connections.ended_idle());
 }
@@ -66,28 +66,28 @@
     }
 }
 
-/// Waits while the condition holds, at most until `end`.
-async fn wait_while(end: Moment, mut condition: impl FnMut() -> bool) {
-    while condition() && clock::now() < end {
+/// Waits while the condition holds, at most until `deadline`.
+async fn wait_while(deadline: Moment, mut condition: impl FnMut() -> bool) {
+    while condition() && clock::now() < deadline {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Stops placing tasks, waits for the answers to start orders in flight, and releases the leads.
 async fn hand_over(context: &ControlContext) {
-    let end = clock::now().after(HAND_OVER_TIMEOUT);
+    let deadline = clock::now().after(HAND_OVER_TIMEOUT);
     {
         let mut state = context.state.borrow_mut();
         let halls: Vec<_> = state.placers.keys().cloned().collect();
         state.handed_over_halls.extend(halls);
     }
-    wait_while(end, || {
+    wait_while(deadline, || {
         let state = context.state.borrow();
         state.placers.values().any(|placer| placer.has_starts_under_way())
     })
     .await;
-    release_leads(context, end);
-    wait_while(end, || {
+    release_leads(context, deadline);
+    wait_while(deadline, || {
         let state = context.state.borrow();
         let now = clock::now();
         state.leads.values().any(|timer| timer.held_at(now).is_some())
@@ -96,17 +96,17 @@
 }
 
 /// Submits a release of each lead that the box holds.
-fn release_leads(context: &ControlContext, end: Moment) {
+fn release_leads(context: &ControlContext, expires_at: Moment) {
     let mut state = context.state.borrow_mut();
     let now = clock::now();
-    let held: Vec<RecordBody> = state
+    let releases: Vec<RecordBody> = state
         .leads
         .values()
         .filter_map(|timer| Some((timer.hall().clone(), timer.held_at(now)?.epoch)))
         .map(|(hall, epoch)| RecordBody::ReleaseLead { hall, epoch })
         .collect();
-    for body in held {
-        state.writer.submit_until(body, end);
+    for body in releases {
+        state.writer.submit_until(body, expires_at);
     }
     context.writer_notify.notify_one();
 }
