--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -21,8 +21,8 @@
 const RESUME_READ_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum delay after a failed read, in milliseconds.
 const MAX_RETRY_DELAY_MS: u64 = 500;
-/// Maximum random delay of a snapshot, as a fraction of the snapshot interval. It keeps boxes from all writing a snapshot
-/// at once.
+/// Maximum random delay of a snapshot, as a fraction of the snapshot interval. It keeps boxes from all writing a
+/// snapshot at once.
 const SNAPSHOT_JITTER: f64 = 0.3;
 
 /// Reads the log until the process ends.
@@ -182,8 +182,8 @@
     }
 }
 
-/// Returns the peer that has applied the most of the log, if that is more than this box. Any peer counts if this box has
-/// no state.
+/// Returns the peer that has applied the most of the log, if that is more than this box. Any peer counts if this box
+/// has no state.
 fn find_newer_peer(
     state: &ControlState,
 ) -> Option<(sedgehill_core::ids::BoxId, std::net::SocketAddr)> {
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -131,8 +131,8 @@
         replied.await.unwrap_or(ClaimReply::NotRecorded)
     }
 
-    /// Updates the view so that it includes every entry that was in the log at `since`. Returns whether that was done in
-    /// time.
+    /// Updates the view so that it includes every entry that was in the log at `since`. Returns whether that was done
+    /// in time.
     pub async fn refresh_view(&self, since: Moment) -> bool {
         let (reply, replied) = oneshot::channel();
         let sent = self.sender.try_send(ControlRequest::RefreshView { since, reply });
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Releases a claim. If the queue of the control thread is full, the claim remains: the caller cannot retry with the
-    /// key, but no request runs twice.
+    /// Releases a claim. If the queue of the control thread is full, the claim remains: the caller cannot retry with
+    /// the key, but no request runs twice.
     pub fn release_key(&self, organisation: OrgName, key: IdempotencyKey, claim: RecordId) {
         let _ = self.sender.try_send(ControlRequest::ReleaseKey { organisation, key, claim });
     }
--- a/crates/sedgehilld/src/controllers/requests.rs
+++ b/crates/sedgehilld/src/controllers/requests.rs
@@ -158,8 +158,8 @@
 }
 
 /// Chooses the allowed hall with the most free capacity for the tasks of a job. The leads of halls report the capacity
-/// in heartbeats, so it may be outdated. If no lead of an allowed hall has reported, chooses the first allowed hall that
-/// has workers.
+/// in heartbeats, so it may be outdated. If no lead of an allowed hall has reported, chooses the first allowed hall
+/// that has workers.
 fn choose_hall(state: &ControlState, request: &JobRequest) -> Result<HallName, String> {
     let cluster = state.cluster().ok_or("the box has no state yet")?;
     let parameters =
