--- a/crates/sedgehilld/src/connection.rs
+++ b/crates/sedgehilld/src/connection.rs
@@ -363,7 +363,7 @@
         telemetry::count_connection_end(cause);
         if unread_bytes > 0 {
             let is_written = matches!(write_result, Ok(Ok(())));
-            info!(self.log, "idle connection closed while a call was in transit";
+            info!(self.log, "connection ended while a call was on its way";
                 "age_ms" => clock::now().since(activity.opened_at).0,
                 "calls" => activity.call_count.load(Ordering::SeqCst), "idle_ms" => idle_time.0,
                 "unread_bytes" => unread_bytes, "answered" => is_written);
--- a/crates/sedgehilld/src/settings.rs
+++ b/crates/sedgehilld/src/settings.rs
@@ -313,7 +313,7 @@
     require(
         lead.margin.0 > 0,
         "lead.margin",
-        "expected more than zero: the margin covers messages in transit".to_owned(),
+        "expected more than zero: it covers messages under way".to_owned(),
     );
     let placement = &settings.placement;
     require(
