--- a/crates/sedgehill-core/src/dispatch.rs
+++ b/crates/sedgehill-core/src/dispatch.rs
@@ -14,19 +14,19 @@
 const MAX_LOOKAHEAD: usize = 64;
 /// How long what the controllers said holds. A box that was paused hands nothing out until its
 /// controllers have looked again.
-const STALE_AFTER: TimeSpan = TimeSpan(1_000);
+const MAX_VIEW_AGE: TimeSpan = TimeSpan(1_000);
 
 /// How an endpoint is kept from work after failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EjectPolicy {
+pub struct EjectionPolicy {
     /// Failures in a row that eject an endpoint.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// How long the first ejection lasts; it doubles with each further one.
-    pub first: TimeSpan,
+    pub base_duration: TimeSpan,
     /// The longest ejection.
-    pub longest: TimeSpan,
+    pub max_duration: TimeSpan,
     /// The largest share of endpoints ejected at once, in percent.
-    pub max_percent: usize,
+    pub max_ejected_percent: usize,
 }
 
 /// What the controllers know of one endpoint.
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 struct EndpointEntry {
     view: EndpointView,
-    busy: u32,
+    in_flight: u32,
     present: bool,
     failures: u32,
     ejections: u32,
@@ -58,7 +58,7 @@
     fn new(view: EndpointView) -> EndpointEntry {
         EndpointEntry {
             view,
-            busy: 0,
+            in_flight: 0,
             present: true,
             failures: 0,
             ejections: 0,
@@ -68,7 +68,7 @@
 
     /// Takes a newer view. Requests under way still count when the endpoint moved to another
     /// address: it may be the same box.
-    fn renew(&mut self, view: EndpointView) {
+    fn update(&mut self, view: EndpointView) {
         if self.view.address != view.address {
             self.failures = 0;
             self.ejections = 0;
@@ -86,7 +86,7 @@
     fn has_room(&self, now: Moment) -> bool {
         let limit =
             if self.ejected_until.is_some() { self.view.share.min(1) } else { self.view.share };
-        self.present && !self.view.leaving && !self.is_ejected(now) && self.busy < limit
+        self.present && !self.view.leaving && !self.is_ejected(now) && self.in_flight < limit
     }
 }
 
@@ -109,7 +109,7 @@
     pub avoid: Vec<EndpointId>,
 }
 
-/// Why a request is not taken in.
+/// Why a request is not waiting in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchRefusal {
     /// The organisation has its limit of requests waiting.
@@ -142,13 +142,13 @@
     Refused(DispatchRefusal, T),
 }
 
-/// How an attempt at an endpoint ended, as evidence for or against the endpoint.
+/// How an attempt at an endpoint ended, as outcome for or against the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointEvidence {
+pub enum EndpointOutcome {
     /// It answered.
-    Good,
+    Success,
     /// It could not be reached, cut the answer or timed out.
-    Bad,
+    Failure,
     /// It refused for want of room, or the caller went.
     Neutral,
 }
@@ -173,21 +173,21 @@
 pub struct DispatchQueue<T> {
     hall: HallName,
     limits: QueueLimits,
-    eject: EjectPolicy,
+    eject: EjectionPolicy,
     endpoints: BTreeMap<EndpointId, EndpointEntry>,
     waiting: BTreeMap<(Moment, u64), WaitingRequest<T>>,
     waiting_bytes: usize,
     waiting_by_org: BTreeMap<OrgName, u32>,
     sequence: u64,
     /// When the controllers last said which endpoints there are.
-    synced: Moment,
+    last_sync: Moment,
     /// The running mean time that a request holds a slot, in milliseconds.
     mean_hold_ms: f64,
 }
 
 impl<T> DispatchQueue<T> {
     /// A queue without endpoints, at a box in `hall`.
-    pub fn new(hall: HallName, limits: QueueLimits, eject: EjectPolicy) -> DispatchQueue<T> {
+    pub fn new(hall: HallName, limits: QueueLimits, eject: EjectionPolicy) -> DispatchQueue<T> {
         DispatchQueue {
             hall,
             limits,
@@ -197,7 +197,7 @@
             waiting_bytes: 0,
             waiting_by_org: BTreeMap::new(),
             sequence: 0,
-            synced: Moment(0),
+            last_sync: Moment(0),
             mean_hold_ms: 0.0,
         }
     }
@@ -208,27 +208,27 @@
     }
 
     /// Requests under way at endpoints.
-    pub fn busy(&self) -> u32 {
-        self.endpoints.values().map(|entry| entry.busy).sum()
+    pub fn in_flight(&self) -> u32 {
+        self.endpoints.values().map(|entry| entry.in_flight).sum()
     }
 
     /// Takes in the endpoints as the controllers see them now, and gives freed room to requests
     /// that wait.
     pub fn sync(&mut self, views: Vec<EndpointView>, now: Moment) -> Vec<(DispatchChoice, T)> {
-        self.synced = now;
+        self.last_sync = now;
         for entry in self.endpoints.values_mut() {
             entry.present = false;
         }
         for view in views {
             match self.endpoints.get_mut(&view.id) {
-                Some(entry) => entry.renew(view),
+                Some(entry) => entry.update(view),
                 None => {
                     self.endpoints.insert(view.id.clone(), EndpointEntry::new(view));
                 }
             }
         }
-        self.endpoints.retain(|_, entry| entry.present || entry.busy > 0);
-        self.hand_out(now)
+        self.endpoints.retain(|_, entry| entry.present || entry.in_flight > 0);
+        self.dispatch_waiting(now)
     }
 
     /// Offers a request.
@@ -285,24 +285,24 @@
     }
 
     fn pop(&mut self, key: (Moment, u64)) -> Option<WaitingRequest<T>> {
-        let taken = self.waiting.remove(&key)?;
-        self.waiting_bytes -= taken.request.bytes;
-        if let Some(count) = self.waiting_by_org.get_mut(&taken.request.organisation) {
+        let waiting = self.waiting.remove(&key)?;
+        self.waiting_bytes -= waiting.request.bytes;
+        if let Some(count) = self.waiting_by_org.get_mut(&waiting.request.organisation) {
             *count -= 1;
             if *count == 0 {
-                self.waiting_by_org.remove(&taken.request.organisation);
+                self.waiting_by_org.remove(&waiting.request.organisation);
             }
         }
-        Some(taken)
+        Some(waiting)
     }
 
-    /// Chooses the least busy endpoint with room, of the near hall where it is as free as any, and
+    /// Chooses the least in_flight endpoint with room, of the near hall where it is as free as any, and
     /// takes one of its slots.
     fn choose(&mut self, request: &DispatchRequest, now: Moment) -> Option<DispatchChoice> {
-        if now.since(self.synced) > STALE_AFTER {
+        if now.since(self.last_sync) > MAX_VIEW_AGE {
             return None;
         }
-        let avoid = self.avoidable(request);
+        let avoid = self.excluded_endpoints(request);
         let mut candidates = 0;
         let mut best: Option<(u64, &EndpointId)> = None;
         for (id, entry) in &self.endpoints {
@@ -312,7 +312,7 @@
             }
             candidates += 1;
             let far = u64::from(entry.view.hall != self.hall);
-            let load = u64::from(entry.busy) * 1000 / u64::from(entry.view.share);
+            let load = u64::from(entry.in_flight) * 1000 / u64::from(entry.view.share);
             let score = load * 2 + far;
             if best.is_none_or(|(lowest, _)| score < lowest) {
                 best = Some((score, id));
@@ -320,13 +320,16 @@
         }
         let id = best?.1.clone();
         let entry = self.endpoints.get_mut(&id)?;
-        entry.busy += 1;
-        assert!(entry.busy <= entry.view.share, "invariant: an endpoint's share is not exceeded");
+        entry.in_flight += 1;
+        assert!(
+            entry.in_flight <= entry.view.share,
+            "invariant: an endpoint's share is not exceeded"
+        );
         Some(DispatchChoice { endpoint: id, address: entry.view.address, candidates })
     }
 
     /// The endpoints to pass over; none if there is no other that may serve the request.
-    fn avoidable<'r>(&self, request: &'r DispatchRequest) -> &'r [EndpointId] {
+    fn excluded_endpoints<'r>(&self, request: &'r DispatchRequest) -> &'r [EndpointId] {
         let serves = |entry: &EndpointEntry| {
             let allowed = request.halls.is_empty() || request.halls.contains(&entry.view.hall);
             allowed && entry.present && !entry.view.leaving && entry.view.share > 0
@@ -344,31 +347,32 @@
     pub fn release(
         &mut self,
         endpoint: &EndpointId,
-        evidence: EndpointEvidence,
+        outcome: EndpointOutcome,
         held: TimeSpan,
         now: Moment,
     ) -> Vec<(DispatchChoice, T)> {
         const MEAN_WEIGHT: f64 = 0.05;
         self.mean_hold_ms += MEAN_WEIGHT * (held.0 as f64 - self.mean_hold_ms);
-        let ejectable = self.may_eject(now);
+        let can_eject = self.can_eject(now);
         let policy = self.eject;
         if let Some(entry) = self.endpoints.get_mut(endpoint) {
-            entry.busy = entry.busy.checked_sub(1).expect("invariant: a slot is released once");
-            note_evidence(entry, evidence, policy, ejectable, now);
-            if !entry.present && entry.busy == 0 {
+            entry.in_flight =
+                entry.in_flight.checked_sub(1).expect("invariant: a slot is released once");
+            record_outcome(entry, outcome, policy, can_eject, now);
+            if !entry.present && entry.in_flight == 0 {
                 self.endpoints.remove(endpoint);
             }
         }
-        self.hand_out(now)
+        self.dispatch_waiting(now)
     }
 
-    fn may_eject(&self, now: Moment) -> bool {
+    fn can_eject(&self, now: Moment) -> bool {
         let ejected = self.endpoints.values().filter(|entry| entry.is_ejected(now)).count();
-        (ejected + 1) * 100 <= self.endpoints.len() * self.eject.max_percent
+        (ejected + 1) * 100 <= self.endpoints.len() * self.eject.max_ejected_percent
     }
 
     /// Gives room to requests that wait, the first due first.
-    pub fn hand_out(&mut self, now: Moment) -> Vec<(DispatchChoice, T)> {
+    pub fn dispatch_waiting(&mut self, now: Moment) -> Vec<(DispatchChoice, T)> {
         let mut chosen = Vec::new();
         let mut passed = 0;
         let mut cursor = (Moment(0), 0);
@@ -378,8 +382,8 @@
             let request = self.waiting[&key].request.clone();
             match self.choose(&request, now) {
                 Some(choice) => {
-                    let taken = self.pop(key).expect("the request was just seen");
-                    chosen.push((choice, taken.token));
+                    let waiting = self.pop(key).expect("the request was just seen");
+                    chosen.push((choice, waiting.token));
                 }
                 None => passed += 1,
             }
@@ -399,31 +403,31 @@
             .filter(|(_, waiting)| waiting.request.deadline <= now)
             .map(|(key, _)| *key)
             .collect();
-        expired.into_iter().filter_map(|key| self.pop(key)).map(|taken| taken.token).collect()
+        expired.into_iter().filter_map(|key| self.pop(key)).map(|waiting| waiting.token).collect()
     }
 }
 
-fn note_evidence(
+fn record_outcome(
     entry: &mut EndpointEntry,
-    evidence: EndpointEvidence,
-    policy: EjectPolicy,
-    ejectable: bool,
+    outcome: EndpointOutcome,
+    policy: EjectionPolicy,
+    can_eject: bool,
     now: Moment,
 ) {
-    match evidence {
-        EndpointEvidence::Neutral => {}
-        EndpointEvidence::Good => {
+    match outcome {
+        EndpointOutcome::Neutral => {}
+        EndpointOutcome::Success => {
             entry.failures = 0;
             entry.ejections = 0;
             entry.ejected_until = None;
         }
-        EndpointEvidence::Bad => {
+        EndpointOutcome::Failure => {
             entry.failures += 1;
             let probed = entry.ejected_until.is_some();
-            if (probed || entry.failures >= policy.failures) && ejectable {
-                let doubled = policy.first.0.saturating_mul(1 << entry.ejections.min(16));
+            if (probed || entry.failures >= policy.failure_threshold) && can_eject {
+                let doubled = policy.base_duration.0.saturating_mul(1 << entry.ejections.min(16));
                 entry.ejections += 1;
-                entry.ejected_until = Some(now.after(TimeSpan(doubled.min(policy.longest.0))));
+                entry.ejected_until = Some(now.after(TimeSpan(doubled.min(policy.max_duration.0))));
             }
         }
     }
--- a/crates/sedgehill-core/src/fields.rs
+++ b/crates/sedgehill-core/src/fields.rs
@@ -69,7 +69,7 @@
     }
 
     /// Notes an error at `key`.
-    pub fn fail(&mut self, key: &str, message: impl Into<String>) {
+    pub fn add_error(&mut self, key: &str, message: impl Into<String>) {
         let path = self.child(key);
         self.errors.push(ManifestError { path, message: message.into() });
     }
@@ -82,7 +82,7 @@
     fn required(&mut self, key: &'static str) -> Option<&'a Value> {
         let value = self.value(key);
         if value.is_none() {
-            self.fail(key, "missing, and there is no default");
+            self.add_error(key, "missing, and there is no default");
         }
         value
     }
@@ -94,13 +94,13 @@
         T::Err: fmt::Display,
     {
         let Some(text) = value.as_str() else {
-            self.fail(key, format!("expected a text, found {}", type_name(value)));
+            self.add_error(key, format!("expected a text, found {}", type_name(value)));
             return None;
         };
         match text.parse() {
             Ok(parsed) => Some(parsed),
             Err(error) => {
-                self.fail(key, T::Err::to_string(&error));
+                self.add_error(key, T::Err::to_string(&error));
                 None
             }
         }
@@ -130,7 +130,7 @@
         match value.as_u64() {
             Some(number) if (low..=high).contains(&number) => Some(number),
             _ => {
-                self.fail(
+                self.add_error(
                     key,
                     format!("expected a whole number from {low} to {high}, found {value}"),
                 );
@@ -140,7 +140,7 @@
     }
 
     /// Whether a key is there.
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         self.fields.contains_key(key)
     }
 
@@ -182,7 +182,7 @@
             None => Some(default),
             Some(Value::Bool(flag)) => Some(*flag),
             Some(other) => {
-                self.fail(key, format!("expected true or false, found {other}"));
+                self.add_error(key, format!("expected true or false, found {other}"));
                 None
             }
         }
@@ -203,7 +203,7 @@
     fn as_object(&mut self, key: &str, value: &'a Value) -> Option<&'a Map<String, Value>> {
         let object = value.as_object();
         if object.is_none() {
-            self.fail(key, format!("expected an object, found {}", type_name(value)));
+            self.add_error(key, format!("expected an object, found {}", type_name(value)));
         }
         object
     }
@@ -214,14 +214,14 @@
             None => &[],
             Some(Value::Array(entries)) => entries,
             Some(other) => {
-                self.fail(key, format!("expected a list, found {}", type_name(other)));
+                self.add_error(key, format!("expected a list, found {}", type_name(other)));
                 &[]
             }
         }
     }
 
     /// A reader of an object below this one.
-    pub fn below<'b>(&'b mut self, key: &str, fields: &'b Map<String, Value>) -> FieldReader<'b> {
+    pub fn nested<'b>(&'b mut self, key: &str, fields: &'b Map<String, Value>) -> FieldReader<'b> {
         let path = self.child(key);
         FieldReader::new(path, fields, self.errors)
     }
@@ -256,10 +256,14 @@
 
 impl<'a> FieldReader<'a> {
     /// An entry of a list, or a value under a key that is not known beforehand, as an object.
-    pub fn entry<'v>(&mut self, key: &str, value: &'v Value) -> Option<&'v Map<String, Value>> {
+    pub fn object_value<'v>(
+        &mut self,
+        key: &str,
+        value: &'v Value,
+    ) -> Option<&'v Map<String, Value>> {
         let object = value.as_object();
         if object.is_none() {
-            self.fail(key, format!("expected an object, found {}", type_name(value)));
+            self.add_error(key, format!("expected an object, found {}", type_name(value)));
         }
         object
     }
--- a/crates/sedgehill-core/src/ids.rs
+++ b/crates/sedgehill-core/src/ids.rs
@@ -195,7 +195,7 @@
 
 impl IdempotencyKey {
     /// When the caller made the key, in milliseconds of Unix time.
-    pub fn made_at_ms(&self) -> u64 {
+    pub fn created_at_ms(&self) -> u64 {
         let (seconds, nanos) = self.0.get_timestamp().map_or((0, 0), |at| at.to_unix());
         seconds * 1000 + u64::from(nanos) / 1_000_000
     }
--- a/crates/sedgehill-core/src/lead.rs
+++ b/crates/sedgehill-core/src/lead.rs
@@ -86,7 +86,7 @@
     }
 
     /// Notes that the log accepted a claim or renewal of this box that was first sent at `sent`.
-    pub fn confirmed(&mut self, epoch: Epoch, sent: Moment) {
+    pub fn record_confirmation(&mut self, epoch: Epoch, sent: Moment) {
         let until = sent.after(self.timing.term);
         let current = self.last_read.as_ref().map(|(lead, _)| (lead.epoch, &lead.holder));
         if current != Some((epoch, &self.me)) {
@@ -99,7 +99,7 @@
     }
 
     /// Notes that a claim or renewal was handed to the log at `now`.
-    pub fn sent(&mut self, now: Moment) {
+    pub fn record_sent(&mut self, now: Moment) {
         self.sent = Some(now);
     }
 
--- a/crates/sedgehill-core/src/lib.rs
+++ b/crates/sedgehill-core/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`manifest`] turns what operators write into checked [`spec`] types.
 //! - [`record`] and [`state`] fold the platform's log into one [`state::ClusterState`].
 //! - [`lead`] decides which box writes to the workers of a data hall.
-//! - [`place`] places tasks on the workers of one hall.
+//! - [`placement`] places tasks on the workers of one hall.
 //! - [`dispatch`] chooses the endpoint of each request.
 //! - [`member`] keeps what a box knows of its peers.
 
@@ -19,7 +19,7 @@
 pub mod limit;
 pub mod manifest;
 pub mod member;
-pub mod place;
+pub mod placement;
 pub mod record;
 pub mod spec;
 pub mod state;
--- a/crates/sedgehill-core/src/limit.rs
+++ b/crates/sedgehill-core/src/limit.rs
@@ -59,7 +59,7 @@
     }
 
     /// Notes a request.
-    pub fn note_request(&mut self) {
+    pub fn record_request(&mut self) {
         self.tokens = (self.tokens + Self::PER_REQUEST).min(Self::CAPACITY);
     }
 
--- a/crates/sedgehill-core/src/manifest.rs
+++ b/crates/sedgehill-core/src/manifest.rs
@@ -101,10 +101,10 @@
 ) {
     for (index, entry) in entries.iter().enumerate() {
         let name = format!("{key}[{index}]");
-        let Some(fields) = reader.entry(&name, entry) else { continue };
-        let mut below = reader.below(&name, fields);
-        specs.extend(read(&mut below));
-        below.finish();
+        let Some(fields) = reader.object_value(&name, entry) else { continue };
+        let mut nested = reader.nested(&name, fields);
+        specs.extend(read(&mut nested));
+        nested.finish();
     }
 }
 
@@ -131,7 +131,7 @@
         Some(other) => {
             let hint = suggest(other, WORK_TYPES).map(|name| format!(", did you mean `{name}`?"));
             let expected = WORK_TYPES.join(", ");
-            reader.fail(
+            reader.add_error(
                 "type",
                 format!("expected one of: {expected}; found `{other}`{}", hint.unwrap_or_default()),
             );
@@ -158,7 +158,7 @@
         }
     }
     if raw_kinds.is_empty() {
-        reader.fail("kinds", "expected at least one kind");
+        reader.add_error("kinds", "expected at least one kind");
         whole = false;
     }
     let shape = ServiceShape { slots: slots? as u32, connections: connections? as u32, kinds };
@@ -174,16 +174,16 @@
     let parsed_name = match name.parse() {
         Ok(parsed) => Some(parsed),
         Err(error) => {
-            reader.fail(path, crate::ids::IdError::to_string(&error));
+            reader.add_error(path, crate::ids::IdError::to_string(&error));
             None
         }
     };
-    let fields = reader.entry(path, value)?;
-    let mut below = reader.below(path, fields);
-    let patience = below.text("patience");
-    let timeout = below.text("timeout");
-    let once_only = below.flag_or("once_only", false);
-    below.finish();
+    let fields = reader.object_value(path, value)?;
+    let mut nested = reader.nested(path, fields);
+    let patience = nested.text("patience");
+    let timeout = nested.text("timeout");
+    let once_only = nested.flag_or("once_only", false);
+    nested.finish();
     let kind = KindShape { patience: patience?, timeout: timeout?, once_only: once_only? };
     Some((parsed_name?, kind))
 }
@@ -198,15 +198,15 @@
     key: &str,
     fields: &Map<String, Value>,
 ) -> Option<ResourceSet> {
-    let mut below = reader.below(key, fields);
-    let cores = below.text("cores");
-    let memory = below.text("memory");
-    let accelerators = below.number_or("accelerators", 0, u64::from(u32::MAX), 0);
-    below.finish();
+    let mut nested = reader.nested(key, fields);
+    let cores = nested.text("cores");
+    let memory = nested.text("memory");
+    let accelerators = nested.number_or("accelerators", 0, u64::from(u32::MAX), 0);
+    nested.finish();
     let resources =
         ResourceSet { cores: cores?, memory: memory?, accelerators: accelerators? as u32 };
     if resources.is_empty() {
-        reader.fail(key, "expected at least one resource above zero");
+        reader.add_error(key, "expected at least one resource above zero");
         return None;
     }
     Some(resources)
@@ -225,7 +225,7 @@
     let priority = reader.number_or("priority", 0, MAX_PRIORITY, 5);
     let halls = read_halls(reader);
     let tolerable_delay = reader.text_or("tolerable_delay", TimeSpan(0));
-    let had_rate = reader.has("rate");
+    let had_rate = reader.contains("rate");
     let rate = reader.optional_text("rate");
     let queue = reader.number_or("queue", 1, MAX_QUEUE, DEFAULT_QUEUE);
     let quota_fields = reader.optional_object("quota");
--- a/crates/sedgehill-core/src/member.rs
+++ b/crates/sedgehill-core/src/member.rs
@@ -24,12 +24,13 @@
     /// Endpoints that the sender has heard are leaving.
     pub leaving_endpoints: Vec<EndpointId>,
     /// Room in the halls that the sender leads.
-    pub rooms: Vec<HallRoom>,
+    #[serde(rename = "rooms")]
+    pub capacities: Vec<HallCapacity>,
 }
 
 /// The free room of one hall, as its lead sees it. A hint for choosing a hall, never a promise.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallRoom {
+pub struct HallCapacity {
     /// The hall.
     pub hall: HallName,
     /// The sum over its workers.
@@ -92,7 +93,7 @@
     }
 
     /// Takes a heartbeat that arrived at `now`; an older one than is held is ignored.
-    pub fn heard(&mut self, heartbeat: BoxHeartbeat, now: Moment) -> bool {
+    pub fn record_heartbeat(&mut self, heartbeat: BoxHeartbeat, now: Moment) -> bool {
         let order = |beat: &BoxHeartbeat| (beat.incarnation, beat.sequence);
         let stale = self
             .entries
--- a/crates/sedgehill-core/src/place/decision.rs
+++ b/crates/sedgehill-core/src/placement/decision.rs
@@ -10,7 +10,7 @@
 
 /// What the lead has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PlaceAction {
+pub enum PlacementAction {
     /// Start a task.
     Start(WorkerId, TaskStart),
     /// Ask for the inventory, and pass on renewals and stops.
@@ -42,7 +42,7 @@
 
 /// One decision, for the log line and for reading back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlaceDecision {
+pub struct PlacementDecision {
     /// The task.
     pub task: TaskId,
     /// The worker that was chosen, or why none was.
--- a/crates/sedgehill-core/src/place/score.rs
+++ b/crates/sedgehill-core/src/placement/score.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeMap;
 
-use super::room::WorkerRoom;
+use super::worker::WorkerEntry;
 use crate::ids::WorkerId;
 use crate::units::{Moment, ResourceSet};
 
 /// The fullest worker that still holds the task, and how many could hold it.
 pub(super) fn best_fit(
-    rooms: &BTreeMap<WorkerId, WorkerRoom>,
+    workers: &BTreeMap<WorkerId, WorkerEntry>,
     need: &ResourceSet,
     now: Moment,
 ) -> (Option<WorkerId>, usize) {
     let mut candidates = 0;
     let mut best: Option<(u64, &WorkerId)> = None;
-    for (id, room) in rooms {
+    for (id, room) in workers {
         if !room.free().fits(need) || !room.is_usable(now) {
             continue;
         }
@@ -30,7 +30,7 @@
 /// The share of the worker left free, summed over its resources, in millionths. An accelerator
 /// left over where none is needed weighs heavily, so that such workers stay free for work that
 /// needs them.
-fn leftover(room: &WorkerRoom, need: &ResourceSet) -> u64 {
+fn leftover(room: &WorkerEntry, need: &ResourceSet) -> u64 {
     const SCALE: u64 = 1_000_000;
     const UNUSED_ACCELERATOR: u64 = 3 * SCALE;
     let share = |free: u64, need: u64, total: u64| match total {
--- a/crates/sedgehill-core/src/place/sync.rs
+++ b/crates/sedgehill-core/src/placement/sync.rs
@@ -2,29 +2,29 @@
 
 use std::collections::BTreeSet;
 
-use super::room::{PlacedTask, TaskPhase};
-use super::{HallPlacer, PlaceAction, StartReply, TaskReport, WorkerInventory, WorkerSync};
+use super::worker::{PlacedTask, TaskPhase};
+use super::{HallPlacer, PlacementAction, StartReply, TaskReport, WorkerInventory, WorkerSync};
 use crate::ids::{AttemptId, TaskId, WorkerId};
 use crate::job::{TaskEnd, TaskOutcome};
 use crate::state::ClusterState;
 use crate::units::Moment;
 
 impl HallPlacer {
-    pub(super) fn due_syncs(&mut self, state: &ClusterState, now: Moment) -> Vec<PlaceAction> {
+    pub(super) fn due_syncs(&mut self, state: &ClusterState, now: Moment) -> Vec<PlacementAction> {
         let every = self.timing.sync_every;
         let mut due = Vec::new();
-        for room in self.rooms.values_mut() {
-            if room.take_sync_turn(every, now) {
+        for room in self.workers.values_mut() {
+            if room.try_begin_sync(every, now) {
                 due.push(room.view.id.clone());
             }
         }
         due.into_iter().map(|worker| self.sync_request(worker, state)).collect()
     }
 
-    fn sync_request(&mut self, worker: WorkerId, state: &ClusterState) -> PlaceAction {
+    fn sync_request(&mut self, worker: WorkerId, state: &ClusterState) -> PlacementAction {
         let mut sync =
             WorkerSync { epoch: self.epoch, lease: self.timing.lease, ..WorkerSync::default() };
-        let room = &self.rooms[&worker];
+        let room = &self.workers[&worker];
         for (task, placed) in self.tasks.on(&worker) {
             let attempt = AttemptId { task: *task, attempt: placed.attempt };
             if !self.is_wanted(state, &attempt) {
@@ -35,10 +35,10 @@
                 sync.renew.insert(attempt);
             }
         }
-        sync.stop.extend(room.strays.keys().copied());
+        sync.stop.extend(room.duplicates.keys().copied());
         let recorded = |attempt: &&AttemptId| !self.ended.contains_key(&attempt.task);
         sync.forget = room.reported_ends.iter().filter(recorded).copied().collect();
-        PlaceAction::Sync(worker, sync)
+        PlacementAction::Sync(worker, sync)
     }
 
     /// Whether an attempt is the one that the log expects to run in this hall.
@@ -51,7 +51,7 @@
     }
 
     /// Notes how a start order ended that was sent at `sent`.
-    pub fn start_replied(
+    pub fn handle_start_reply(
         &mut self,
         worker: &WorkerId,
         task: TaskId,
@@ -64,27 +64,30 @@
         match reply {
             StartReply::Started => {
                 placed.phase = TaskPhase::Running { confirmed: now };
-                placed.surely_over = now.after(timing.lease).after(timing.settle);
+                placed.lost_at = now.after(timing.lease).after(timing.max_delivery_delay);
             }
             StartReply::Refused => {
                 let resources = placed.resources;
-                self.take_out(&task);
-                if let Some(room) = self.rooms.get_mut(worker) {
-                    room.give_back(&resources);
-                    room.note_outcome(TaskOutcome::Failed, now);
+                self.remove_task(&task);
+                if let Some(room) = self.workers.get_mut(worker) {
+                    room.release(&resources);
+                    room.record_outcome(TaskOutcome::Failed, now);
                 }
-                self.back_off.insert(task, now.after(timing.sync_every));
+                self.backoff_until.insert(task, now.after(timing.sync_every));
             }
             StartReply::Unknown => {
-                placed.phase = TaskPhase::Uncertain { until: sent.after(timing.settle) };
-                placed.surely_over =
-                    sent.after(timing.settle).after(timing.lease).after(timing.settle);
+                placed.phase =
+                    TaskPhase::Uncertain { until: sent.after(timing.max_delivery_delay) };
+                placed.lost_at = sent
+                    .after(timing.max_delivery_delay)
+                    .after(timing.lease)
+                    .after(timing.max_delivery_delay);
             }
         }
     }
 
     /// Notes the answer to a sync that was sent at `sent`, or that there was none.
-    pub fn sync_replied(
+    pub fn handle_sync_reply(
         &mut self,
         worker: &WorkerId,
         request: &WorkerSync,
@@ -92,23 +95,25 @@
         sent: Moment,
         now: Moment,
     ) {
-        let Some(room) = self.rooms.get_mut(worker) else { return };
-        room.sync_ended(reply.as_ref());
+        let Some(room) = self.workers.get_mut(worker) else { return };
+        room.record_sync_reply(reply.as_ref());
         let Some(inventory) = reply else {
             // The renewal may arrive yet, and would lengthen the leases.
-            let over =
-                sent.after(self.timing.settle).after(self.timing.lease).after(self.timing.settle);
+            let over = sent
+                .after(self.timing.max_delivery_delay)
+                .after(self.timing.lease)
+                .after(self.timing.max_delivery_delay);
             for attempt in &request.renew {
                 if let Some(placed) = self.tasks.get_on(worker, &attempt.task) {
-                    placed.surely_over = placed.surely_over.max(over);
+                    placed.lost_at = placed.lost_at.max(over);
                 }
             }
             return;
         };
-        self.take_inventory(worker, &inventory, request, sent, now);
+        self.apply_inventory(worker, &inventory, request, sent, now);
     }
 
-    fn take_inventory(
+    fn apply_inventory(
         &mut self,
         worker: &WorkerId,
         inventory: &WorkerInventory,
@@ -116,11 +121,11 @@
         sent: Moment,
         now: Moment,
     ) {
-        let over = now.after(self.timing.lease).after(self.timing.settle);
+        let over = now.after(self.timing.lease).after(self.timing.max_delivery_delay);
         for report in &inventory.tasks {
             match report.outcome {
-                None => self.take_running(worker, report, over, now),
-                Some(outcome) => self.take_end(worker, report, outcome, now),
+                None => self.apply_running_report(worker, report, over, now),
+                Some(outcome) => self.apply_end_report(worker, report, outcome, now),
             }
         }
         let running = |report: &&TaskReport| report.outcome.is_none();
@@ -129,52 +134,58 @@
         let missing: Vec<AttemptId> = self
             .tasks
             .on(worker)
-            .filter(|(_, placed)| placed.surely_arrived_before(sent))
+            .filter(|(_, placed)| placed.must_be_in_inventory(sent))
             .map(|(task, placed)| AttemptId { task: *task, attempt: placed.attempt })
             .filter(|attempt| !reported.contains(attempt))
             .collect();
         for attempt in missing {
             match request.stop.contains(&attempt) {
-                true => self.drop_stopped(attempt.task),
+                true => self.remove_stopped_task(attempt.task),
                 false => self.end_task(attempt.task, TaskOutcome::Lost, now),
             }
         }
-        let room = self.rooms.get_mut(worker).expect("the worker answered");
-        room.drop_strays(|attempt| !reported.contains(attempt));
+        let room = self.workers.get_mut(worker).expect("the worker answered");
+        room.remove_duplicates(|attempt| !reported.contains(attempt));
     }
 
-    fn drop_stopped(&mut self, task: TaskId) {
-        let Some(placed) = self.take_out(&task) else { return };
-        if let Some(room) = self.rooms.get_mut(&placed.worker) {
-            room.give_back(&placed.resources);
+    fn remove_stopped_task(&mut self, task: TaskId) {
+        let Some(placed) = self.remove_task(&task) else { return };
+        if let Some(room) = self.workers.get_mut(&placed.worker) {
+            room.release(&placed.resources);
         }
     }
 
-    fn take_running(&mut self, worker: &WorkerId, report: &TaskReport, over: Moment, now: Moment) {
+    fn apply_running_report(
+        &mut self,
+        worker: &WorkerId,
+        report: &TaskReport,
+        over: Moment,
+        now: Moment,
+    ) {
         let AttemptId { task, attempt } = report.attempt;
-        let room = self.rooms.get_mut(worker).expect("the worker answered");
+        let room = self.workers.get_mut(worker).expect("the worker answered");
         let here = self.tasks.get_on(worker, &task).filter(|placed| placed.attempt == attempt);
         if let Some(placed) = here {
             placed.phase = TaskPhase::Running { confirmed: now };
-            placed.surely_over = over;
+            placed.lost_at = over;
         } else if self.tasks.contains(&task) {
-            let new = room.add_stray(report.attempt, report.resources);
-            self.double_runs += u64::from(new);
+            let new = room.add_duplicate(report.attempt, report.resources);
+            self.duplicate_runs += u64::from(new);
         } else {
-            room.add(&report.resources);
+            room.add_usage(&report.resources);
             let placed = PlacedTask {
                 worker: worker.clone(),
                 attempt,
                 resources: report.resources,
                 phase: TaskPhase::Running { confirmed: now },
-                since: now,
-                surely_over: over,
+                placed_at: now,
+                lost_at: over,
             };
             self.tasks.insert(task, placed);
         }
     }
 
-    fn take_end(
+    fn apply_end_report(
         &mut self,
         worker: &WorkerId,
         report: &TaskReport,
@@ -182,7 +193,7 @@
         now: Moment,
     ) {
         let AttemptId { task, attempt } = report.attempt;
-        let room = self.rooms.get_mut(worker).expect("the worker answered");
+        let room = self.workers.get_mut(worker).expect("the worker answered");
         room.reported_ends.insert(report.attempt);
         match self.tasks.get(&task) {
             Some(placed) if placed.worker == *worker && placed.attempt == attempt => {
--- a/crates/sedgehill-core/src/place/account.rs
+++ b/crates/sedgehill-core/src/placement/table.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::room::PlacedTask;
+use super::worker::PlacedTask;
 use crate::ids::{TaskId, WorkerId};
 
 /// The tasks that hold room, found by task and by worker, so that a look at one worker costs nothing
 /// for the others.
 #[derive(Debug, Default)]
-pub(super) struct TaskAccount {
+pub(super) struct PlacementTable {
     tasks: BTreeMap<TaskId, PlacedTask>,
     by_worker: BTreeMap<WorkerId, BTreeSet<TaskId>>,
 }
 
-impl TaskAccount {
+impl PlacementTable {
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
@@ -41,7 +41,7 @@
         here.map(|task| (task, &self.tasks[task]))
     }
 
-    pub fn is_busy(&self, worker: &WorkerId) -> bool {
+    pub fn has_tasks(&self, worker: &WorkerId) -> bool {
         self.by_worker.contains_key(worker)
     }
 
--- a/crates/sedgehill-core/src/place/waiting.rs
+++ b/crates/sedgehill-core/src/placement/waiting.rs
@@ -1,7 +1,7 @@
 //! Which waiting task goes where, and why one waits.
 
-use super::room::{PlacedTask, TaskPhase, WorkerRoom};
-use super::{HallPlacer, PlaceAction, PlaceDecision, TaskStart, WaitReason, score};
+use super::worker::{PlacedTask, TaskPhase, WorkerEntry};
+use super::{HallPlacer, PlacementAction, PlacementDecision, TaskStart, WaitReason, score};
 use crate::ids::{AttemptId, JobId, TaskId, WorkerId};
 use crate::job::{JobPhase, JobState};
 use crate::state::ClusterState;
@@ -10,17 +10,21 @@
 impl HallPlacer {
     /// Whether every worker on which something could run has been heard of, or its leases lapsed.
     fn is_recovered(&self, now: Moment) -> bool {
-        let heard_of = |room: &WorkerRoom| !room.in_roster || room.is_known();
-        now >= self.lapse_end() || self.rooms.values().all(heard_of)
+        let heard_of = |room: &WorkerEntry| !room.in_roster || room.is_known();
+        now >= self.earlier_leases_end() || self.workers.values().all(heard_of)
     }
 
-    pub(super) fn place_waiting(&mut self, state: &ClusterState, now: Moment) -> Vec<PlaceAction> {
+    pub(super) fn place_waiting(
+        &mut self,
+        state: &ClusterState,
+        now: Moment,
+    ) -> Vec<PlacementAction> {
         let recovered = self.is_recovered(now);
         let mut jobs: Vec<(&JobId, &JobState)> = state
             .jobs
             .iter()
             .filter(|(_, job)| job.hall == self.hall && job.phase == JobPhase::Open)
-            .filter(|(id, _)| !self.quiet.contains(id))
+            .filter(|(id, _)| !self.fully_placed.contains(id))
             .collect();
         jobs.sort_by_key(|(_, job)| (std::cmp::Reverse(job.priority), job.submitted));
         let mut actions = Vec::new();
@@ -30,13 +34,13 @@
                 continue;
             }
             if !recovered {
-                self.note_waits(&waiting, WaitReason::Recovering, 0);
-            } else if job.gang && self.must_regroup(*id, job, &waiting) {
-                self.note_waits(&waiting, WaitReason::Regrouping, 0);
+                self.record_waits(&waiting, WaitReason::Recovering, 0);
+            } else if job.gang && self.update_regrouping(*id, job, &waiting) {
+                self.record_waits(&waiting, WaitReason::Regrouping, 0);
             } else if job.gang {
                 actions.extend(self.place_gang(job, &waiting, now));
             } else {
-                actions.extend(self.place_each(job, &waiting, now));
+                actions.extend(self.place_independent(job, &waiting, now));
             }
         }
         actions
@@ -44,7 +48,7 @@
 
     /// Whether a gang with waiting tasks has others that run, are being recorded or back off. Those
     /// that run are stopped: a gang starts whole.
-    fn must_regroup(&mut self, id: JobId, job: &JobState, waiting: &[(TaskId, u32)]) -> bool {
+    fn update_regrouping(&mut self, id: JobId, job: &JobState, waiting: &[(TaskId, u32)]) -> bool {
         let unfinished = job.tasks.iter().filter(|task| task.outcome.is_none()).count();
         let whole = waiting.len() == unfinished;
         match whole {
@@ -65,24 +69,24 @@
             .filter(|(task, _)| !self.tasks.contains(task) && !self.ended.contains_key(task))
             .collect();
         if unplaced.is_empty() {
-            self.quiet.insert(id);
+            self.fully_placed.insert(id);
         }
-        let is_due = |task: &TaskId| self.back_off.get(task).is_none_or(|until| *until <= now);
+        let is_due = |task: &TaskId| self.backoff_until.get(task).is_none_or(|until| *until <= now);
         unplaced.into_iter().filter(|(task, _)| is_due(task)).collect()
     }
 
-    fn place_each(
+    fn place_independent(
         &mut self,
         job: &JobState,
         waiting: &[(TaskId, u32)],
         now: Moment,
-    ) -> Vec<PlaceAction> {
+    ) -> Vec<PlacementAction> {
         let mut actions = Vec::new();
         for (position, (task, attempt)) in waiting.iter().enumerate() {
-            let (chosen, candidates) = score::best_fit(&self.rooms, &job.shape.resources, now);
+            let (chosen, candidates) = score::best_fit(&self.workers, &job.shape.resources, now);
             let Some(worker) = chosen else {
-                let reason = self.no_room_reason(&job.shape.resources);
-                self.note_waits(&waiting[position..], reason, candidates);
+                let reason = self.wait_reason_for(&job.shape.resources);
+                self.record_waits(&waiting[position..], reason, candidates);
                 break;
             };
             actions.push(self.start(job, *task, *attempt, worker, candidates, now));
@@ -96,20 +100,20 @@
         job: &JobState,
         waiting: &[(TaskId, u32)],
         now: Moment,
-    ) -> Vec<PlaceAction> {
-        let before = self.rooms.clone();
+    ) -> Vec<PlacementAction> {
+        let before = self.workers.clone();
         let mut chosen = Vec::new();
         for _ in waiting {
-            let (worker, candidates) = score::best_fit(&self.rooms, &job.shape.resources, now);
+            let (worker, candidates) = score::best_fit(&self.workers, &job.shape.resources, now);
             let Some(worker) = worker else { break };
-            let room = self.rooms.get_mut(&worker).expect("the worker was just chosen");
-            room.take(&job.shape.resources);
+            let room = self.workers.get_mut(&worker).expect("the worker was just chosen");
+            room.reserve(&job.shape.resources);
             chosen.push((worker, candidates));
         }
-        self.rooms = before;
+        self.workers = before;
         if chosen.len() < waiting.len() {
-            let reason = self.no_room_reason(&job.shape.resources);
-            self.note_waits(waiting, reason, chosen.len());
+            let reason = self.wait_reason_for(&job.shape.resources);
+            self.record_waits(waiting, reason, chosen.len());
             return Vec::new();
         }
         waiting
@@ -121,17 +125,21 @@
             .collect()
     }
 
-    fn no_room_reason(&self, need: &ResourceSet) -> WaitReason {
-        match self.rooms.values().any(|room| room.view.total.fits(need)) {
+    fn wait_reason_for(&self, need: &ResourceSet) -> WaitReason {
+        match self.workers.values().any(|room| room.view.total.fits(need)) {
             true => WaitReason::NoRoom,
             false => WaitReason::NeverFits,
         }
     }
 
-    fn note_waits(&mut self, waiting: &[(TaskId, u32)], reason: WaitReason, candidates: usize) {
+    fn record_waits(&mut self, waiting: &[(TaskId, u32)], reason: WaitReason, candidates: usize) {
         for (task, _) in waiting {
-            if self.waits.insert(*task, reason) != Some(reason) {
-                self.decisions.push(PlaceDecision { task: *task, result: Err(reason), candidates });
+            if self.wait_reasons.insert(*task, reason) != Some(reason) {
+                self.decisions.push(PlacementDecision {
+                    task: *task,
+                    result: Err(reason),
+                    candidates,
+                });
             }
         }
     }
@@ -144,21 +152,21 @@
         worker: WorkerId,
         candidates: usize,
         now: Moment,
-    ) -> PlaceAction {
+    ) -> PlacementAction {
         let resources = job.shape.resources;
-        let room = self.rooms.get_mut(&worker).expect("the worker was just chosen");
-        room.take(&resources);
-        self.waits.remove(&task);
+        let room = self.workers.get_mut(&worker).expect("the worker was just chosen");
+        room.reserve(&resources);
+        self.wait_reasons.remove(&task);
         let placed = PlacedTask {
             worker: worker.clone(),
             attempt,
             resources,
             phase: TaskPhase::Starting,
-            since: now,
-            surely_over: Moment(u64::MAX),
+            placed_at: now,
+            lost_at: Moment(u64::MAX),
         };
         self.tasks.insert(task, placed);
-        self.decisions.push(PlaceDecision { task, result: Ok(worker.clone()), candidates });
+        self.decisions.push(PlacementDecision { task, result: Ok(worker.clone()), candidates });
         let start = TaskStart {
             attempt: AttemptId { task, attempt },
             epoch: self.epoch,
@@ -166,6 +174,6 @@
             lease: self.timing.lease,
             run_time: job.shape.run_time,
         };
-        PlaceAction::Start(worker, start)
+        PlacementAction::Start(worker, start)
     }
 }
--- a/crates/sedgehill-core/src/place/room.rs
+++ b/crates/sedgehill-core/src/placement/worker.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{FIRST_SHUT_OUT, LONGEST_SHUT_OUT, SHUT_OUT_FAILURES, WorkerInventory};
+use super::{FIRST_SUSPENSION, MAX_SUSPENSION, SUSPENSION_FAILURES, WorkerInventory};
 use crate::ids::{AttemptId, HallName, Incarnation, RackName, WorkerId};
 use crate::job::TaskOutcome;
 use crate::units::{Moment, ResourceSet, TimeSpan};
@@ -50,14 +50,14 @@
     pub attempt: u32,
     pub resources: ResourceSet,
     pub phase: TaskPhase,
-    pub since: Moment,
+    pub placed_at: Moment,
     /// When its lease has surely lapsed, if nothing is heard of it until then.
-    pub surely_over: Moment,
+    pub lost_at: Moment,
 }
 
 impl PlacedTask {
     /// Whether an inventory asked for at `sent` must list the task if it runs.
-    pub fn surely_arrived_before(&self, sent: Moment) -> bool {
+    pub fn must_be_in_inventory(&self, sent: Moment) -> bool {
         match self.phase {
             TaskPhase::Starting => false,
             TaskPhase::Uncertain { until } => until <= sent,
@@ -68,14 +68,14 @@
 
 /// One worker as its lead knows it.
 #[derive(Debug, Clone)]
-pub(super) struct WorkerRoom {
+pub(super) struct WorkerEntry {
     pub view: WorkerView,
     pub listed: bool,
     pub in_roster: bool,
     /// Ended attempts that the worker reports until it is told to forget them.
     pub reported_ends: BTreeSet<AttemptId>,
     /// Attempts that run here although the task is known to run elsewhere; they are stopped.
-    pub strays: BTreeMap<AttemptId, ResourceSet>,
+    pub duplicates: BTreeMap<AttemptId, ResourceSet>,
     used: ResourceSet,
     /// Whether `used` changed since it was last checked.
     changed: bool,
@@ -84,21 +84,21 @@
     incarnation: Option<Incarnation>,
     next_sync: Moment,
     failures: u32,
-    shut_outs: u32,
-    shut_out_until: Option<Moment>,
+    suspensions: u32,
+    suspended_until: Option<Moment>,
     /// Until then one task at a time probes the worker. Without an end a gang that needs several
     /// tasks on it would wait for ever.
     probed_until: Moment,
 }
 
-impl WorkerRoom {
-    pub fn new(view: WorkerView) -> WorkerRoom {
-        WorkerRoom {
+impl WorkerEntry {
+    pub fn new(view: WorkerView) -> WorkerEntry {
+        WorkerEntry {
             view,
             listed: true,
             in_roster: false,
             reported_ends: BTreeSet::new(),
-            strays: BTreeMap::new(),
+            duplicates: BTreeMap::new(),
             used: ResourceSet::default(),
             changed: true,
             syncing: false,
@@ -106,18 +106,18 @@
             incarnation: None,
             next_sync: Moment(0),
             failures: 0,
-            shut_outs: 0,
-            shut_out_until: None,
+            suspensions: 0,
+            suspended_until: None,
             probed_until: Moment(0),
         }
     }
 
     /// A worker that an earlier lead used and the platform no longer lists.
-    pub fn unlisted(id: WorkerId, hall: HallName) -> WorkerRoom {
+    pub fn unlisted(id: WorkerId, hall: HallName) -> WorkerEntry {
         let rack = "unknown".parse().expect("a valid name");
         let total = ResourceSet::default();
         let view = WorkerView { id, hall, rack, address: None, total, leaving: true };
-        WorkerRoom { listed: false, ..WorkerRoom::new(view) }
+        WorkerEntry { listed: false, ..WorkerEntry::new(view) }
     }
 
     /// Takes a newer view of the platform.
@@ -141,8 +141,8 @@
         self.incarnation.is_some()
     }
 
-    pub fn is_shut_out(&self, now: Moment) -> bool {
-        self.shut_out_until.is_some_and(|until| now < until)
+    pub fn is_suspended(&self, now: Moment) -> bool {
+        self.suspended_until.is_some_and(|until| now < until)
     }
 
     /// Whether a task may be started here now. After being shut out, one task probes the worker.
@@ -152,49 +152,49 @@
             && self.in_roster
             && self.is_known()
             && !self.view.leaving
-            && !self.is_shut_out(now)
+            && !self.is_suspended(now)
             && !probing
             && !self.silent
     }
 
     /// Gives room to a task about to be started.
-    pub fn take(&mut self, need: &ResourceSet) {
-        self.add(need);
+    pub fn reserve(&mut self, need: &ResourceSet) {
+        self.add_usage(need);
         assert!(self.view.total.fits(&self.used), "invariant: no worker is given more than it has");
     }
 
     /// Counts what runs already, whether it fits or not.
-    pub fn add(&mut self, need: &ResourceSet) {
+    pub fn add_usage(&mut self, need: &ResourceSet) {
         self.used = self.used.plus(need);
         self.changed = true;
     }
 
-    pub fn give_back(&mut self, need: &ResourceSet) {
+    pub fn release(&mut self, need: &ResourceSet) {
         self.changed = true;
         self.used = self.used.minus(need).expect("invariant: room is given back once");
     }
 
     /// Notes an attempt that must not run here. Returns whether it was not known before.
-    pub fn add_stray(&mut self, attempt: AttemptId, need: ResourceSet) -> bool {
-        let new = self.strays.insert(attempt, need).is_none();
+    pub fn add_duplicate(&mut self, attempt: AttemptId, need: ResourceSet) -> bool {
+        let new = self.duplicates.insert(attempt, need).is_none();
         if new {
-            self.add(&need);
+            self.add_usage(&need);
         }
         new
     }
 
-    /// Drops the strays that have stopped.
-    pub fn drop_strays(&mut self, stopped: impl Fn(&AttemptId) -> bool) {
+    /// Drops the duplicates that have stopped.
+    pub fn remove_duplicates(&mut self, stopped: impl Fn(&AttemptId) -> bool) {
         let gone: Vec<AttemptId> =
-            self.strays.keys().filter(|attempt| stopped(attempt)).copied().collect();
+            self.duplicates.keys().filter(|attempt| stopped(attempt)).copied().collect();
         for attempt in gone {
-            let need = self.strays.remove(&attempt).expect("the key was just seen");
-            self.give_back(&need);
+            let need = self.duplicates.remove(&attempt).expect("the key was just seen");
+            self.release(&need);
         }
     }
 
     /// Notes the answer to a sync, or that there was none.
-    pub fn sync_ended(&mut self, reply: Option<&WorkerInventory>) {
+    pub fn record_sync_reply(&mut self, reply: Option<&WorkerInventory>) {
         self.syncing = false;
         self.silent = reply.is_none();
         let Some(inventory) = reply else { return };
@@ -208,27 +208,27 @@
         self.reported_ends.retain(|attempt| reported.contains(attempt));
     }
 
-    pub fn note_outcome(&mut self, outcome: TaskOutcome, now: Moment) {
+    pub fn record_outcome(&mut self, outcome: TaskOutcome, now: Moment) {
         if outcome == TaskOutcome::Done {
             self.failures = 0;
-            self.shut_outs = 0;
-            self.shut_out_until = None;
+            self.suspensions = 0;
+            self.suspended_until = None;
             self.probed_until = Moment(0);
             return;
         }
         self.failures += 1;
-        let probed = self.shut_out_until.is_some();
-        if probed || self.failures >= SHUT_OUT_FAILURES {
-            let wait = FIRST_SHUT_OUT.0.saturating_mul(1 << self.shut_outs.min(16));
-            let wait = TimeSpan(wait.min(LONGEST_SHUT_OUT.0));
-            self.shut_outs += 1;
-            self.shut_out_until = Some(now.after(wait));
+        let probed = self.suspended_until.is_some();
+        if probed || self.failures >= SUSPENSION_FAILURES {
+            let wait = FIRST_SUSPENSION.0.saturating_mul(1 << self.suspensions.min(16));
+            let wait = TimeSpan(wait.min(MAX_SUSPENSION.0));
+            self.suspensions += 1;
+            self.suspended_until = Some(now.after(wait));
             self.probed_until = now.after(wait).after(wait);
         }
     }
 
     /// Whether it is time to ask the worker; if so, the next time is set.
-    pub fn take_sync_turn(&mut self, every: TimeSpan, now: Moment) -> bool {
+    pub fn try_begin_sync(&mut self, every: TimeSpan, now: Moment) -> bool {
         let due = !self.syncing && self.next_sync <= now && self.view.address.is_some();
         if due {
             self.syncing = true;
@@ -238,13 +238,13 @@
     }
 
     /// Whether the account changed since the last call.
-    pub fn take_changed(&mut self) -> bool {
+    pub fn take_usage_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
     /// Asserts that the account of the worker matches the tasks placed on it.
-    pub fn check(&self, placed: ResourceSet) {
-        let runs = self.strays.values().fold(placed, |sum, need| sum.plus(need));
+    pub fn check_usage(&self, placed: ResourceSet) {
+        let runs = self.duplicates.values().fold(placed, |sum, need| sum.plus(need));
         assert!(
             self.used == runs,
             "invariant: no worker is given more than it has: {} accounts for {}, runs {runs}",
--- a/crates/sedgehill-core/src/state/claims.rs
+++ b/crates/sedgehill-core/src/state/claims.rs
@@ -6,7 +6,7 @@
 /// How long a claim of a once-only request is kept, and how old its key may be, in milliseconds.
 pub const CLAIM_WINDOW_MS: u64 = 3_600_000;
 /// How far a key's time may lie ahead of the platform's, in milliseconds.
-pub const CLAIM_AHEAD_MS: u64 = 60_000;
+pub const MAX_KEY_AHEAD_MS: u64 = 60_000;
 
 impl ClusterState {
     pub(super) fn claim_key(
@@ -24,7 +24,7 @@
                 return RecordVerdict::Void { reason: VoidReason::KeyClaimed };
             }
         }
-        if !self.key_in_window(key) {
+        if !self.is_key_in_window(key) {
             return RecordVerdict::Void { reason: VoidReason::KeyOutsideWindow };
         }
         let claim = KeyClaim { claim: id, at_ms: self.clock_ms, released: false };
@@ -33,9 +33,9 @@
     }
 
     /// Whether the key was made recently enough that no claim of it can have been forgotten.
-    pub fn key_in_window(&self, key: IdempotencyKey) -> bool {
-        let made = key.made_at_ms();
-        made + CLAIM_WINDOW_MS > self.clock_ms && made < self.clock_ms + CLAIM_AHEAD_MS
+    pub fn is_key_in_window(&self, key: IdempotencyKey) -> bool {
+        let made = key.created_at_ms();
+        made + CLAIM_WINDOW_MS > self.clock_ms && made < self.clock_ms + MAX_KEY_AHEAD_MS
     }
 
     pub(super) fn release_key(
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Forgets claims whose keys no longer pass [`ClusterState::key_in_window`].
+    /// Forgets claims whose keys no longer pass [`ClusterState::is_key_in_window`].
     pub(super) fn expire_claims(&mut self) {
         let clock = self.clock_ms;
         for claims in self.claims.values_mut() {
             // Keys are ordered by the time in them, so the oldest come first.
             while let Some(entry) = claims.first_entry() {
-                if entry.key().made_at_ms() + CLAIM_WINDOW_MS > clock {
+                if entry.key().created_at_ms() + CLAIM_WINDOW_MS > clock {
                     break;
                 }
                 entry.remove();
--- a/crates/sedgehill-core/src/state/fold.rs
+++ b/crates/sedgehill-core/src/state/fold.rs
@@ -28,7 +28,7 @@
     }
 
     /// Begins with nothing in force, for a log that nothing was ever appended to.
-    pub fn begin_empty(&mut self) {
+    pub fn start_empty(&mut self) {
         if self.state.is_none() && self.kept_back.is_empty() {
             self.state = Some(ClusterState::default());
         }
--- a/crates/sedgehill-core/src/state/jobs.rs
+++ b/crates/sedgehill-core/src/state/jobs.rs
@@ -7,7 +7,7 @@
 use crate::units::ResourceSet;
 
 /// Ended jobs kept for reading back.
-pub const KEPT_JOBS: usize = 1_000;
+pub const MAX_KEPT_JOBS: usize = 1_000;
 
 impl ClusterState {
     pub(super) fn submit(
@@ -33,7 +33,7 @@
     }
 
     /// What the tasks of a job need, from its template.
-    pub fn check_shape(&self, request: &JobRequest) -> Result<&TaskShape, VoidReason> {
+    pub fn task_shape(&self, request: &JobRequest) -> Result<&TaskShape, VoidReason> {
         let template = self.template(&request.template).ok_or(VoidReason::NoSuchTemplate)?;
         match &template.work {
             WorkShape::Batch(shape) | WorkShape::Gang(shape) => Ok(shape),
@@ -43,7 +43,7 @@
 
     /// Whether a job could be submitted to a hall.
     pub fn check_job(&self, request: &JobRequest, hall: &HallName) -> Result<(), VoidReason> {
-        let shape = self.check_shape(request)?;
+        let shape = self.task_shape(request)?;
         let parameters = self
             .parameters(&request.organisation, &request.template)
             .ok_or(VoidReason::NoSuchTemplate)?;
@@ -74,7 +74,7 @@
             hall: hall.clone(),
             submitted: at,
             submitted_ms: self.clock_ms,
-            shape: self.check_shape(request)?.clone(),
+            shape: self.task_shape(request)?.clone(),
             gang: matches!(template.work, WorkShape::Gang(_)),
             priority: parameters.map_or(0, |parameters| parameters.priority),
             phase: JobPhase::Held,
@@ -110,7 +110,7 @@
     fn prune_jobs(&mut self) {
         let ended = |job: &JobState| job.phase.is_final();
         let count = self.jobs.values().filter(|job| ended(job)).count();
-        if count <= KEPT_JOBS {
+        if count <= MAX_KEPT_JOBS {
             return;
         }
         let oldest =
--- a/crates/sedgehill-core/src/state/mod.rs
+++ b/crates/sedgehill-core/src/state/mod.rs
@@ -20,12 +20,12 @@
 use crate::record::{LogEntry, LogRecord, RecordBody};
 use crate::spec::{ConfigKey, ConfigSpec, OrgParameters, WorkTemplate};
 
-pub use claims::{CLAIM_AHEAD_MS, CLAIM_WINDOW_MS};
+pub use claims::{CLAIM_WINDOW_MS, MAX_KEY_AHEAD_MS};
 pub use fold::LogFold;
-pub use jobs::KEPT_JOBS;
+pub use jobs::MAX_KEPT_JOBS;
 
 /// Versions kept of each template and of each organisation's parameters.
-pub const KEPT_VERSIONS: usize = 16;
+pub const MAX_KEPT_VERSIONS: usize = 16;
 
 /// What became of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -219,7 +219,7 @@
             at_ms: self.clock_ms,
             spec: spec.clone(),
         });
-        if versions.len() > KEPT_VERSIONS {
+        if versions.len() > MAX_KEPT_VERSIONS {
             versions.remove(0);
         }
         RecordVerdict::Accepted { at }
@@ -248,7 +248,7 @@
     }
 
     /// The last offset that this state contains, none if it contains nothing.
-    pub fn last(&self) -> Option<Offset> {
+    pub fn last_offset(&self) -> Option<Offset> {
         self.next.0.checked_sub(1).map(Offset)
     }
 }
--- a/crates/sedgehill-core/tests/testsuite/cell/fakes.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/fakes.rs
@@ -4,7 +4,7 @@
 
 use sedgehill_core::ids::{AttemptId, Epoch, HallName, Incarnation, Offset, WorkerId};
 use sedgehill_core::job::TaskOutcome;
-use sedgehill_core::place::{StartReply, TaskReport, TaskStart, WorkerInventory, WorkerSync};
+use sedgehill_core::placement::{StartReply, TaskReport, TaskStart, WorkerInventory, WorkerSync};
 use sedgehill_core::record::{LogEntry, RecordBatch};
 use sedgehill_core::units::{Moment, ResourceSet};
 
--- a/crates/sedgehill-core/tests/testsuite/cell/mod.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/mod.rs
@@ -11,7 +11,7 @@
 use sedgehill_core::job::JobRequest;
 use sedgehill_core::lead::LeadTiming;
 use sedgehill_core::manifest::WorkManifest;
-use sedgehill_core::place::{PlaceTiming, WorkerView};
+use sedgehill_core::placement::{PlacementTiming, WorkerView};
 use sedgehill_core::record::{LogRecord, RecordBatch, RecordBody};
 use sedgehill_core::spec::{ConfigKey, ConfigSpec};
 use sedgehill_core::units::{CoreCount, MemorySize, Moment, ResourceSet, TimeSpan};
@@ -39,8 +39,11 @@
     stagger: TimeSpan(200),
 };
 /// The placement's times.
-pub const PLACE_TIMING: PlaceTiming =
-    PlaceTiming { lease: TimeSpan(3_000), settle: TimeSpan(500), sync_every: TimeSpan(300) };
+pub const PLACE_TIMING: PlacementTiming = PlacementTiming {
+    lease: TimeSpan(3_000),
+    max_delivery_delay: TimeSpan(500),
+    sync_every: TimeSpan(300),
+};
 
 /// A safety rule that a run switches off, to show that the run would notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -240,7 +243,8 @@
     /// closed.
     fn expire_messages(&mut self) {
         let now = self.now;
-        let late = |message: &WorkerMessage| now.since(message.sent()) > PLACE_TIMING.settle;
+        let late =
+            |message: &WorkerMessage| now.since(message.sent()) > PLACE_TIMING.max_delivery_delay;
         let (lost, kept) = std::mem::take(&mut self.messages).into_iter().partition(late);
         self.messages = kept;
         for message in lost {
@@ -323,7 +327,7 @@
     fn snapshot(&mut self, index: usize) {
         let node = &self.nodes[index];
         let Some(state) = node.fold.state().filter(|_| node.is_awake()).cloned() else { return };
-        let Some(at) = state.last() else { return };
+        let Some(at) = state.last_offset() else { return };
         let body = RecordBody::Snapshot { at, state: Box::new(state) };
         let id = self.new_id();
         self.nodes[index].submit(id, body);
--- a/crates/sedgehill-core/tests/testsuite/cell/node.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/node.rs
@@ -4,7 +4,7 @@
 
 use sedgehill_core::ids::{BoxId, Epoch, HallName, JobId, Offset, RecordId};
 use sedgehill_core::lead::{LeadAction, LeadTimer};
-use sedgehill_core::place::{HallPlacer, PlaceAction, PlaceTiming, StartReply};
+use sedgehill_core::placement::{HallPlacer, PlacementAction, PlacementTiming, StartReply};
 use sedgehill_core::record::{LogEntry, LogRecord, RecordBatch, RecordBody};
 use sedgehill_core::state::{ClusterState, LogFold, RecordVerdict};
 use sedgehill_core::units::{Moment, TimeSpan};
@@ -146,7 +146,7 @@
 
     fn confirm(&mut self, hall: &HallName, epoch: Epoch, sent: Moment) {
         if let Some(timer) = self.leads.get_mut(hall) {
-            timer.confirmed(epoch, sent);
+            timer.record_confirmation(epoch, sent);
         }
     }
 
@@ -160,11 +160,11 @@
             match timer.next_action(rank, now) {
                 LeadAction::Wait => {}
                 LeadAction::Claim { after } => {
-                    timer.sent(now);
+                    timer.record_sent(now);
                     bodies.push(RecordBody::ClaimLead { hall: hall.clone(), after });
                 }
                 LeadAction::Renew { epoch } => {
-                    timer.sent(now);
+                    timer.record_sent(now);
                     bodies.push(RecordBody::RenewLead { hall: hall.clone(), epoch });
                 }
             }
@@ -207,24 +207,24 @@
         cell: &mut Cell,
         hall: &HallName,
         epoch: Epoch,
-        action: PlaceAction,
+        action: PlacementAction,
         now: Moment,
     ) {
         let node = self.index;
         let (worker, ask) = match action {
-            PlaceAction::Start(worker, mut start) => {
+            PlacementAction::Start(worker, mut start) => {
                 start.lease = PLACE_TIMING.lease;
                 (worker, WorkerAsk::Start(start))
             }
-            PlaceAction::Sync(worker, mut sync) => {
+            PlacementAction::Sync(worker, mut sync) => {
                 sync.lease = PLACE_TIMING.lease;
                 (worker, WorkerAsk::Sync(sync))
             }
-            PlaceAction::End(ends) => {
+            PlacementAction::End(ends) => {
                 let body = RecordBody::EndTasks { hall: hall.clone(), epoch, ends };
                 return self.submit(cell.new_id(), body);
             }
-            PlaceAction::Roster { add, remove } => {
+            PlacementAction::Roster { add, remove } => {
                 let body = RecordBody::Roster { hall: hall.clone(), epoch, add, remove };
                 return self.submit(cell.new_id(), body);
             }
@@ -259,9 +259,15 @@
         };
         match ask {
             WorkerAsk::Start(start) => {
-                placer.start_replied(&worker, start.attempt.task, StartReply::Refused, sent, now);
+                placer.handle_start_reply(
+                    &worker,
+                    start.attempt.task,
+                    StartReply::Refused,
+                    sent,
+                    now,
+                );
             }
-            WorkerAsk::Sync(sync) => placer.sync_replied(&worker, &sync, None, sent, now),
+            WorkerAsk::Sync(sync) => placer.handle_sync_reply(&worker, &sync, None, sent, now),
         }
     }
 
@@ -286,12 +292,12 @@
                     Some(WorkerAnswer::Start(reply)) => reply,
                     _ => StartReply::Unknown,
                 };
-                placer.start_replied(&worker, start.attempt.task, reply, sent, now);
+                placer.handle_start_reply(&worker, start.attempt.task, reply, sent, now);
             }
             (WorkerAsk::Sync(sync), Some(WorkerAnswer::Inventory(inventory))) => {
-                placer.sync_replied(&worker, &sync, Some(inventory), sent, now);
+                placer.handle_sync_reply(&worker, &sync, Some(inventory), sent, now);
             }
-            (WorkerAsk::Sync(sync), _) => placer.sync_replied(&worker, &sync, None, sent, now),
+            (WorkerAsk::Sync(sync), _) => placer.handle_sync_reply(&worker, &sync, None, sent, now),
         }
     }
 
@@ -347,11 +353,13 @@
 }
 
 /// The times that a placer counts with. Workers are always told the real lease.
-fn place_timing(off: SwitchedOff) -> PlaceTiming {
+fn place_timing(off: SwitchedOff) -> PlacementTiming {
     match off {
-        SwitchedOff::SilentWorkerRoom => {
-            PlaceTiming { lease: TimeSpan(200), settle: TimeSpan(0), ..PLACE_TIMING }
-        }
+        SwitchedOff::SilentWorkerRoom => PlacementTiming {
+            lease: TimeSpan(200),
+            max_delivery_delay: TimeSpan(0),
+            ..PLACE_TIMING
+        },
         _ => PLACE_TIMING,
     }
 }
--- a/crates/sedgehill-core/tests/testsuite/dispatch.rs
+++ b/crates/sedgehill-core/tests/testsuite/dispatch.rs
@@ -5,14 +5,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sedgehill_core::dispatch::{
-    DispatchChoice, DispatchOffer, DispatchQueue, DispatchRefusal, DispatchRequest, EjectPolicy,
-    EndpointEvidence, EndpointView, QueueLimits, slot_share,
+    DispatchChoice, DispatchOffer, DispatchQueue, DispatchRefusal, DispatchRequest, EjectionPolicy,
+    EndpointOutcome, EndpointView, QueueLimits, slot_share,
 };
 use sedgehill_core::ids::EndpointId;
 use sedgehill_core::units::{Moment, TimeSpan};
 
-const EJECT: EjectPolicy =
-    EjectPolicy { failures: 3, first: TimeSpan(1_000), longest: TimeSpan(8_000), max_percent: 50 };
+const EJECT: EjectionPolicy = EjectionPolicy {
+    failure_threshold: 3,
+    base_duration: TimeSpan(1_000),
+    max_duration: TimeSpan(8_000),
+    max_ejected_percent: 50,
+};
 const LIMITS: QueueLimits = QueueLimits { count: 20, bytes: 2_000 };
 const ENDPOINTS: usize = 4;
 
@@ -128,7 +132,7 @@
                     let Some(token) = oracle.held.keys().nth(pick % oracle.held.len().max(1)).copied() else { continue };
                     let endpoint = oracle.held.remove(&token).expect("the key was just seen");
                     oracle.ended.insert(token);
-                    let evidence = if good { EndpointEvidence::Good } else { EndpointEvidence::Bad };
+                    let evidence = if good { EndpointOutcome::Success } else { EndpointOutcome::Failure };
                     queue.release(&endpoint, evidence, TimeSpan(10), now)
                 }
                 QueueStep::Sync { shares, leaving } => {
@@ -146,7 +150,7 @@
                         prop_assert!(oracle.waiting.remove(&token), "expired without waiting");
                         oracle.ended.insert(token);
                     }
-                    queue.hand_out(now)
+                    queue.dispatch_waiting(now)
                 }
             };
             for (choice, token) in chosen {
@@ -154,7 +158,7 @@
                 oracle.begin(&choice, token)?;
             }
             prop_assert_eq!(queue.waiting(), oracle.waiting.len());
-            prop_assert_eq!(queue.busy() as usize, oracle.held.len());
+            prop_assert_eq!(queue.in_flight() as usize, oracle.held.len());
             prop_assert!(queue.waiting() <= LIMITS.count);
         }
     }
@@ -183,11 +187,11 @@
     taken(queue.offer(request(1_000, 9_000, false), 0, now));
     assert!(matches!(queue.offer(request(6_000, 9_000, false), 1, now), DispatchOffer::Waiting));
     assert!(matches!(queue.offer(request(1_100, 9_000, false), 2, now), DispatchOffer::Waiting));
-    let next = queue.release(&id(0), EndpointEvidence::Good, TimeSpan(5), now);
+    let next = queue.release(&id(0), EndpointOutcome::Success, TimeSpan(5), now);
     assert_eq!(next[0].1, 2, "the quick one first");
     let later = Moment(1_900);
     assert!(matches!(queue.offer(request(6_100, 9_000, false), 3, later), DispatchOffer::Waiting));
-    let next = queue.release(&id(0), EndpointEvidence::Good, TimeSpan(5), later);
+    let next = queue.release(&id(0), EndpointOutcome::Success, TimeSpan(5), later);
     assert_eq!(next[0].1, 1, "the heavy one before a quick one that is due later");
 }
 
@@ -223,14 +227,14 @@
             id(0),
             "near first"
         );
-        queue.release(&id(0), EndpointEvidence::Bad, TimeSpan(1), now);
+        queue.release(&id(0), EndpointOutcome::Failure, TimeSpan(1), now);
     }
     assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 3, now)), id(1), "it is ejected");
     now = Moment(2_000);
     queue.sync(views(), now);
     assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 4, now)), id(0), "it is probed");
     assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 5, now)), id(1), "with one request");
-    queue.release(&id(0), EndpointEvidence::Good, TimeSpan(1), now);
+    queue.release(&id(0), EndpointOutcome::Success, TimeSpan(1), now);
     assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 6, now)), id(0), "it is taken back");
 }
 
--- a/crates/sedgehill-core/tests/testsuite/lead.rs
+++ b/crates/sedgehill-core/tests/testsuite/lead.rs
@@ -32,12 +32,12 @@
 fn the_term_counts_from_when_the_renewal_was_sent() {
     let mut timer = timer("box-1");
     timer.observe(Some(&lead("box-1", 5, 5)), Moment(4_000));
-    timer.confirmed(Epoch(5), Moment(1_000));
+    timer.record_confirmation(Epoch(5), Moment(1_000));
     assert!(timer.held_at(Moment(6_999)).is_some());
     assert!(timer.held_at(Moment(7_000)).is_none());
-    timer.confirmed(Epoch(5), Moment(3_000));
+    timer.record_confirmation(Epoch(5), Moment(3_000));
     assert!(timer.held_at(Moment(8_999)).is_some());
-    timer.confirmed(Epoch(5), Moment(2_000));
+    timer.record_confirmation(Epoch(5), Moment(2_000));
     assert!(timer.held_at(Moment(8_999)).is_some(), "an older confirmation does not shorten it");
 }
 
@@ -64,7 +64,7 @@
 fn a_confirmation_that_comes_after_another_claim_is_worth_nothing() {
     let mut timer = timer("box-1");
     timer.observe(Some(&lead("box-2", 8, 8)), Moment(4_000));
-    timer.confirmed(Epoch(5), Moment(3_900));
+    timer.record_confirmation(Epoch(5), Moment(3_900));
     assert!(timer.held_at(Moment(4_000)).is_none());
 }
 
@@ -72,7 +72,7 @@
 fn a_lead_that_another_claims_is_lost_at_once() {
     let mut timer = timer("box-1");
     timer.observe(Some(&lead("box-1", 5, 5)), Moment(1_000));
-    timer.confirmed(Epoch(5), Moment(1_000));
+    timer.record_confirmation(Epoch(5), Moment(1_000));
     timer.observe(Some(&lead("box-2", 8, 8)), Moment(1_100));
     assert!(timer.held_at(Moment(1_200)).is_none());
 }
--- a/crates/sedgehill-platform/src/admin.rs
+++ b/crates/sedgehill-platform/src/admin.rs
@@ -5,7 +5,7 @@
 };
 use sedgehill_core::job::{JobRequest, JobState};
 use sedgehill_core::member::MemberState;
-use sedgehill_core::place::WaitReason;
+use sedgehill_core::placement::WaitReason;
 use sedgehill_core::spec::ConfigSpec;
 use sedgehill_core::state::{ConfigVersion, RecordVerdict};
 use sedgehill_core::units::ResourceSet;
--- a/crates/sedgehill-platform/src/list.rs
+++ b/crates/sedgehill-platform/src/list.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sedgehill_core::ids::{BoxId, EndpointId, HallName, TemplateName};
-use sedgehill_core::place::WorkerView;
+use sedgehill_core::placement::WorkerView;
 use serde::{Deserialize, Serialize};
 
 use crate::caller::{CallError, JsonCaller};
--- a/crates/sedgehill-platform/src/worker.rs
+++ b/crates/sedgehill-platform/src/worker.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sedgehill_core::place::{StartReply, TaskStart, WorkerInventory, WorkerSync};
+use sedgehill_core::placement::{StartReply, TaskStart, WorkerInventory, WorkerSync};
 use serde::{Deserialize, Serialize};
 
 use crate::caller::{CallError, JsonCaller};
--- a/crates/sedgehill-standin/src/cluster.rs
+++ b/crates/sedgehill-standin/src/cluster.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use sedgehill_core::ids::{BoxId, HallName, TemplateName};
-use sedgehill_core::place::WorkerView;
+use sedgehill_core::placement::WorkerView;
 use sedgehill_core::units::{CoreCount, MemorySize, ResourceSet};
 use sedgehill_platform::admin::{BoxHealth, BoxStatus, HealthReport};
 use sedgehill_platform::caller::{CallError, JsonCaller};
--- a/crates/sedgehill-standin/src/measure/capacity.rs
+++ b/crates/sedgehill-standin/src/measure/capacity.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use sedgehill_core::dispatch::{
-    DispatchOffer, DispatchQueue, DispatchRequest, EjectPolicy, EndpointEvidence, EndpointView,
+    DispatchOffer, DispatchQueue, DispatchRequest, EjectionPolicy, EndpointOutcome, EndpointView,
     QueueLimits,
 };
 use sedgehill_core::ids::{
@@ -15,10 +15,10 @@
 };
 use sedgehill_core::job::JobRequest;
 use sedgehill_core::manifest::WorkManifest;
-use sedgehill_core::member::{BoxHeartbeat, HallRoom};
-use sedgehill_core::place::{
-    HallPlacer, PlaceAction, PlaceTiming, StartReply, TaskReport, WorkerInventory, WorkerSync,
-    WorkerView,
+use sedgehill_core::member::{BoxHeartbeat, HallCapacity};
+use sedgehill_core::placement::{
+    HallPlacer, PlacementAction, PlacementTiming, StartReply, TaskReport, WorkerInventory,
+    WorkerSync, WorkerView,
 };
 use sedgehill_core::record::{LogEntry, LogRecord, RecordBatch, RecordBody};
 use sedgehill_core::state::ClusterState;
@@ -47,8 +47,11 @@
 /// Tasks that run at each worker at the target's size: 3,400 over 540.
 const TASKS_PER_WORKER: f64 = 6.3;
 
-const TIMING: PlaceTiming =
-    PlaceTiming { lease: TimeSpan(20_000), settle: TimeSpan(2_000), sync_every: TimeSpan(2_000) };
+const TIMING: PlacementTiming = PlacementTiming {
+    lease: TimeSpan(20_000),
+    max_delivery_delay: TimeSpan(2_000),
+    sync_every: TimeSpan(2_000),
+};
 
 /// One size and what was found there.
 #[derive(Debug, Clone, Serialize)]
@@ -174,21 +177,21 @@
     placer.sync_workers(&views, &roster);
     let actions = placer.tick(&growing.state, Moment(1));
     for action in actions {
-        if let PlaceAction::Sync(worker, sync) = action {
+        if let PlacementAction::Sync(worker, sync) = action {
             let inventory = WorkerInventory { incarnation: Incarnation(1), tasks: Vec::new() };
-            placer.sync_replied(&worker, &sync, Some(inventory), Moment(1), Moment(2));
+            placer.handle_sync_reply(&worker, &sync, Some(inventory), Moment(1), Moment(2));
         }
     }
     (placer, growing)
 }
 
 /// Acknowledges the starts among the actions and counts them.
-fn acknowledge(placer: &mut HallPlacer, actions: Vec<PlaceAction>, now: Moment) -> usize {
+fn acknowledge(placer: &mut HallPlacer, actions: Vec<PlacementAction>, now: Moment) -> usize {
     let mut starts = 0;
     for action in actions {
-        if let PlaceAction::Start(worker, start) = action {
+        if let PlacementAction::Start(worker, start) = action {
             starts += 1;
-            placer.start_replied(&worker, start.attempt.task, StartReply::Started, now, now);
+            placer.handle_start_reply(&worker, start.attempt.task, StartReply::Started, now, now);
         }
     }
     starts
@@ -204,8 +207,8 @@
     assert_eq!(acknowledge(&mut placer, actions, now), BULK_TASKS as usize);
 
     let target = (count as f64 * TASKS_PER_WORKER) as usize;
-    while placer.placed() < target {
-        let missing = (target - placer.placed()).min(BULK_TASKS as usize);
+    while placer.placed_count() < target {
+        let missing = (target - placer.placed_count()).min(BULK_TASKS as usize);
         growing.submit(missing as u32);
         let actions = placer.tick(&growing.state, now);
         acknowledge(&mut placer, actions, now);
@@ -236,13 +239,13 @@
 /// The worker of a cancelled task says that it runs no more.
 fn end_task(placer: &mut HallPlacer, job: JobId, now: Moment) {
     let task = TaskId { job, index: 0 };
-    let worker: WorkerId = placer.whereabouts(&task).expect("it was just placed").0.clone();
+    let worker: WorkerId = placer.placement(&task).expect("it was just placed").0.clone();
     let attempt = AttemptId { task, attempt: 0 };
     let sync = WorkerSync { stop: [attempt].into(), ..WorkerSync::default() };
     let others: Vec<TaskReport> =
         placer.running_on(&worker).filter(|report| report.attempt != attempt).collect();
     let inventory = WorkerInventory { incarnation: Incarnation(1), tasks: others };
-    placer.sync_replied(
+    placer.handle_sync_reply(
         &worker,
         &sync,
         Some(inventory),
@@ -253,11 +256,11 @@
 
 fn routing(count: usize) -> SlopeRow {
     const LIMITS: QueueLimits = QueueLimits { count: 10_000, bytes: 1 << 30 };
-    const EJECT: EjectPolicy = EjectPolicy {
-        failures: 3,
-        first: TimeSpan(1_000),
-        longest: TimeSpan(8_000),
-        max_percent: 50,
+    const EJECT: EjectionPolicy = EjectionPolicy {
+        failure_threshold: 3,
+        base_duration: TimeSpan(1_000),
+        max_duration: TimeSpan(8_000),
+        max_ejected_percent: 50,
     };
     let mut queue = DispatchQueue::new(hall(), LIMITS, EJECT);
     let view = |index: usize| EndpointView {
@@ -293,7 +296,7 @@
         }
         // Half of the slots stay busy.
         if held.len() > count {
-            queue.release(&held.swap_remove(0), EndpointEvidence::Good, TimeSpan(1), now);
+            queue.release(&held.swap_remove(0), EndpointOutcome::Success, TimeSpan(1), now);
         }
     }
     row(
@@ -372,8 +375,11 @@
 }
 
 fn heartbeat_bytes(halls: usize) -> SlopeRow {
-    let room =
-        HallRoom { hall: hall(), total: usual_worker().times(90), free: ResourceSet::default() };
+    let room = HallCapacity {
+        hall: hall(),
+        total: usual_worker().times(90),
+        free: ResourceSet::default(),
+    };
     let heartbeat = BoxHeartbeat {
         from: "box-1".parse().expect("a valid name"),
         incarnation: Incarnation(u64::MAX / 3),
@@ -381,7 +387,7 @@
         leaving: false,
         applied: Offset(10_000_000),
         leaving_endpoints: vec!["cdr-lookup-000".parse().expect("a valid name"); 5],
-        rooms: vec![room; halls],
+        capacities: vec![room; halls],
     };
     let message = sedgehill_peer::PeerMessage::Heartbeat(heartbeat);
     row(halls, [("bytes", message.encode().len() as f64)])
--- a/crates/sedgehill-standin/src/worker.rs
+++ b/crates/sedgehill-standin/src/worker.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use sedgehill_core::ids::{AttemptId, Incarnation, WorkerId};
 use sedgehill_core::job::TaskOutcome;
-use sedgehill_core::place::{TaskReport, TaskStart, WorkerInventory, WorkerSync};
+use sedgehill_core::placement::{TaskReport, TaskStart, WorkerInventory, WorkerSync};
 use sedgehill_core::units::ResourceSet;
 use sedgehill_platform::worker::StartAnswer;
 
--- a/crates/sedgehill-standin/tests/testsuite/ledger.rs
+++ b/crates/sedgehill-standin/tests/testsuite/ledger.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgehill_core::ids::{AttemptId, EndpointId, WorkerId};
-use sedgehill_core::place::TaskStart;
+use sedgehill_core::placement::TaskStart;
 use sedgehill_core::units::{ResourceSet, TimeSpan};
 use sedgehill_platform::caller::JsonCaller;
 use sedgehill_platform::worker::WorkerClient;
--- a/crates/sedgehilld/src/controllers/leads.rs
+++ b/crates/sedgehilld/src/controllers/leads.rs
@@ -59,11 +59,11 @@
             LeadAction::Claim { .. } if leaving => {}
             LeadAction::Renew { .. } if state.handed_over.contains(hall) => {}
             LeadAction::Claim { after } => {
-                timer.sent(now);
+                timer.record_sent(now);
                 bodies.push(RecordBody::ClaimLead { hall: hall.clone(), after });
             }
             LeadAction::Renew { epoch } => {
-                timer.sent(now);
+                timer.record_sent(now);
                 bodies.push(RecordBody::RenewLead { hall: hall.clone(), epoch });
             }
         }
--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -64,7 +64,7 @@
         let mut state = context.state.borrow_mut();
         state.log_heard = now;
         if reply.next.0 == 0 {
-            state.fold.begin_empty();
+            state.fold.start_empty();
         }
         for entry in reply.entries {
             fold_entry(&mut state, entry, now);
@@ -121,12 +121,12 @@
                 let epoch = sedgehill_core::ids::Epoch(at.0);
                 info!(state.shared.log.logger, "lead claimed"; "hall" => %hall, "epoch" => epoch.0);
                 if let Some(timer) = state.leads.get_mut(hall) {
-                    timer.confirmed(epoch, sent);
+                    timer.record_confirmation(epoch, sent);
                 }
             }
             RecordBody::RenewLead { hall, epoch } => {
                 if let Some(timer) = state.leads.get_mut(hall) {
-                    timer.confirmed(*epoch, sent);
+                    timer.record_confirmation(*epoch, sent);
                 }
             }
             RecordBody::Publish { spec, .. } => {
@@ -144,7 +144,7 @@
 /// Appends a snapshot well before the log forgets what it replaces, unless another box did.
 fn consider_snapshot(state: &mut ControlState) {
     let every = state.shared.settings.log.snapshot_every as f64;
-    let Some(last) = state.cluster().and_then(|cluster| cluster.last()) else { return };
+    let Some(last) = state.cluster().and_then(|cluster| cluster.last_offset()) else { return };
     let due =
         state.snapshot_at as f64 + every * (1.0 + rand::rng().random_range(0.0..SNAPSHOT_JITTER));
     if (last.0 as f64) < due || state.writer.has_snapshot() {
--- a/crates/sedgehilld/src/controllers/members.rs
+++ b/crates/sedgehilld/src/controllers/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sedgehill_core::ids::{BoxId, EndpointId};
-use sedgehill_core::member::{BoxHeartbeat, HallRoom, MemberState};
+use sedgehill_core::member::{BoxHeartbeat, HallCapacity, MemberState};
 use sedgehill_core::units::Moment;
 use sedgehill_peer::{PeerMessage, PeerRequest};
 use sedgehill_platform::list::ListClient;
@@ -69,9 +69,9 @@
 }
 
 fn own_heartbeat(state: &ControlState, sequence: u64) -> BoxHeartbeat {
-    let rooms = state.placers.iter().map(|(hall, placer)| {
-        let (total, free) = placer.room();
-        HallRoom { hall: hall.clone(), total, free }
+    let capacities = state.placers.iter().map(|(hall, placer)| {
+        let (total, free) = placer.capacity();
+        HallCapacity { hall: hall.clone(), total, free }
     });
     BoxHeartbeat {
         from: state.me().clone(),
@@ -80,7 +80,7 @@
         leaving: state.is_leaving(),
         applied: state.cluster().map(|cluster| cluster.next).unwrap_or_default(),
         leaving_endpoints: listed_leaving(state).collect(),
-        rooms: rooms.collect(),
+        capacities: capacities.collect(),
     }
 }
 
@@ -157,7 +157,7 @@
     let changed = {
         let mut state = context.state.borrow_mut();
         let before = (working_boxes(&state, now), leaving_endpoints(&state, now));
-        state.members.heard(heartbeat, now);
+        state.members.record_heartbeat(heartbeat, now);
         before != (working_boxes(&state, now), leaving_endpoints(&state, now))
     };
     if changed {
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -20,7 +20,7 @@
 use sedgehill_core::ids::{BoxId, HallName, IdempotencyKey, Incarnation, OrgName, RecordId};
 use sedgehill_core::lead::LeadTimer;
 use sedgehill_core::member::MemberTable;
-use sedgehill_core::place::HallPlacer;
+use sedgehill_core::placement::HallPlacer;
 use sedgehill_core::state::{ClusterState, LogFold, VoidReason};
 use sedgehill_core::units::{Moment, TimeSpan};
 use sedgehill_peer::{ClaimSight, PeerLink, PeerRequest};
--- a/crates/sedgehilld/src/controllers/operators.rs
+++ b/crates/sedgehilld/src/controllers/operators.rs
@@ -165,12 +165,12 @@
             )
         })?;
     let now = clock::now();
-    let own = state.placers.iter().map(|(hall, placer)| (hall.clone(), placer.room().1));
+    let own = state.placers.iter().map(|(hall, placer)| (hall.clone(), placer.capacity().1));
     let peers = state
         .members
         .heartbeats(now)
-        .flat_map(|beat| beat.rooms.iter().map(|room| (room.hall.clone(), room.free)));
-    let shape = cluster.check_shape(request).map_err(void_text)?;
+        .flat_map(|beat| beat.capacities.iter().map(|room| (room.hall.clone(), room.free)));
+    let shape = cluster.task_shape(request).map_err(void_text)?;
     own.chain(peers)
         .filter(|(hall, _)| parameters.allows(hall))
         .map(|(hall, free)| (free.capacity_for(&shape.resources), hall))
--- a/crates/sedgehilld/src/controllers/placement.rs
+++ b/crates/sedgehilld/src/controllers/placement.rs
@@ -7,8 +7,8 @@
 
 use sedgehill_core::ids::{Epoch, HallName, WorkerId};
 use sedgehill_core::lead::HeldLead;
-use sedgehill_core::place::{
-    HallPlacer, PlaceAction, PlaceDecision, StartReply, TaskStart, WorkerSync,
+use sedgehill_core::placement::{
+    HallPlacer, PlacementAction, PlacementDecision, StartReply, TaskStart, WorkerSync,
 };
 use sedgehill_core::record::RecordBody;
 use sedgehill_core::units::Moment;
@@ -99,7 +99,7 @@
     hall: &HallName,
     held: HeldLead,
     now: Moment,
-) -> Vec<PlaceAction> {
+) -> Vec<PlacementAction> {
     let timing = state.shared.settings.place;
     let Some(cluster) = state.fold.state() else { return Vec::new() };
     let fresh = || HallPlacer::new(hall.clone(), held.epoch, timing, now);
@@ -118,7 +118,7 @@
     let decisions = placer.take_decisions();
     let applied = state.cluster().map(|cluster| cluster.next).unwrap_or_default();
     for decision in decisions {
-        let PlaceDecision { task, result, candidates } = decision;
+        let PlacementDecision { task, result, candidates } = decision;
         let (word, what, why) = match &result {
             Ok(worker) => {
                 ("placed", format!("placed on {worker}"), "the fullest worker with room".to_owned())
@@ -145,8 +145,8 @@
     }
 }
 
-fn wait_text(reason: &sedgehill_core::place::WaitReason) -> String {
-    use sedgehill_core::place::WaitReason;
+fn wait_text(reason: &sedgehill_core::placement::WaitReason) -> String {
+    use sedgehill_core::placement::WaitReason;
     match reason {
         WaitReason::Recovering => "the lead is new and has not heard of every worker yet",
         WaitReason::NoRoom => "no worker of the hall has room now",
@@ -156,25 +156,25 @@
     .to_owned()
 }
 
-fn act(context: &ControlContext, hall: &HallName, action: PlaceAction, now: Moment) {
+fn act(context: &ControlContext, hall: &HallName, action: PlacementAction, now: Moment) {
     let mut state = context.state.borrow_mut();
     let Some(epoch) = state.placers.get(hall).map(HallPlacer::epoch) else { return };
     let Some(client) = state.order_lines.get(hall).map(|line| line.client.clone()) else { return };
     match action {
-        PlaceAction::Start(worker, start) => {
+        PlacementAction::Start(worker, start) => {
             let order = start_task(context.clone(), client, hall.clone(), worker, start);
             tokio::task::spawn_local(order);
         }
-        PlaceAction::Sync(worker, sync) => {
+        PlacementAction::Sync(worker, sync) => {
             let order = sync_worker(context.clone(), client, hall.clone(), worker, sync);
             tokio::task::spawn_local(order);
         }
-        PlaceAction::End(ends) => {
+        PlacementAction::End(ends) => {
             let body = RecordBody::EndTasks { hall: hall.clone(), epoch, ends };
             state.writer.submit_until(body, Moment(u64::MAX));
             context.write_wanted.notify_one();
         }
-        PlaceAction::Roster { add, remove } => {
+        PlacementAction::Roster { add, remove } => {
             let body = RecordBody::Roster { hall: hall.clone(), epoch, add, remove };
             state.writer.submit_unattended(body, now);
             context.write_wanted.notify_one();
@@ -208,7 +208,7 @@
     if let Some(placer) =
         state.placers.get_mut(&hall).filter(|placer| placer.epoch() == start.epoch)
     {
-        placer.start_replied(&worker, start.attempt.task, reply, sent, now);
+        placer.handle_start_reply(&worker, start.attempt.task, reply, sent, now);
     }
 }
 
@@ -232,7 +232,7 @@
         let now = clock::now();
         let placer = state.placers.get_mut(&hall).filter(|placer| placer.epoch() == sync.epoch);
         if let Some(placer) = placer {
-            placer.sync_replied(&worker, &sync, reply, sent, now);
+            placer.handle_sync_reply(&worker, &sync, reply, sent, now);
         }
     }
     context.place_wanted.notify_one();
--- a/crates/sedgehilld/src/controllers/proof.rs
+++ b/crates/sedgehilld/src/controllers/proof.rs
@@ -112,7 +112,7 @@
     if is_claimed || is_pending {
         return ClaimSight::Claimed;
     }
-    match state.incarnation <= Incarnation(key.made_at_ms()) {
+    match state.incarnation <= Incarnation(key.created_at_ms()) {
         true => ClaimSight::Free,
         false => ClaimSight::Untold,
     }
--- a/crates/sedgehilld/src/controllers/publish.rs
+++ b/crates/sedgehilld/src/controllers/publish.rs
@@ -140,6 +140,6 @@
     telemetry::set_gauge("sedgehill_peer_connections_refused", context.link.refused() as f64);
     telemetry::set_gauge("sedgehill_requests_in_flight", context.shared.in_flight() as f64);
     telemetry::set_gauge("sedgehill_leads_held", state.placers.len() as f64);
-    let double_runs: u64 = state.placers.values().map(|placer| placer.double_runs()).sum();
+    let double_runs: u64 = state.placers.values().map(|placer| placer.duplicate_runs()).sum();
     telemetry::set_gauge("sedgehill_double_runs", double_runs as f64);
 }
--- a/crates/sedgehilld/src/controllers/reports.rs
+++ b/crates/sedgehilld/src/controllers/reports.rs
@@ -72,9 +72,9 @@
                         .map(|lead| lead.holder.clone()),
                     epoch: lead.map(|lead| lead.epoch),
                     held_here: timer.held_at(now).is_some(),
-                    total: placer.map(|placer| placer.room().0),
-                    free: placer.map(|placer| placer.room().1),
-                    placed: placer.map(|placer| placer.placed()),
+                    total: placer.map(|placer| placer.capacity().0),
+                    free: placer.map(|placer| placer.capacity().1),
+                    placed: placer.map(|placer| placer.placed_count()),
                 }
             };
         self.leads.iter().map(status).collect()
@@ -95,7 +95,7 @@
                 endpoints: working.len(),
                 leaving: gone.into_iter().map(|listing| listing.id.clone()).collect(),
                 waiting: queue.with(|queue| queue.waiting()),
-                under_way: queue.with(|queue| queue.busy()),
+                under_way: queue.with(|queue| queue.in_flight()),
             }
         };
         queues.iter().map(status).collect()
@@ -132,7 +132,7 @@
             if task.is_some_and(|task| task != id) {
                 continue;
             }
-            let place = placer.whereabouts(&id);
+            let place = placer.placement(&id);
             report.places.push(TaskPlace {
                 task: id.to_string(),
                 worker: place.map(|(worker, _)| worker.clone()),
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -80,7 +80,7 @@
     }
     wait_while(end, || {
         let state = context.state.borrow();
-        state.placers.values().any(|placer| placer.has_starts_under_way())
+        state.placers.values().any(|placer| placer.has_pending_starts())
     })
     .await;
     release_leads(context, end);
--- a/crates/sedgehilld/src/filters/dispatch.rs
+++ b/crates/sedgehilld/src/filters/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use sedgehill_core::dispatch::{
-    DispatchChoice, DispatchOffer, DispatchRefusal, DispatchRequest, EndpointEvidence,
+    DispatchChoice, DispatchOffer, DispatchRefusal, DispatchRequest, EndpointOutcome,
 };
 use sedgehill_core::ids::EndpointId;
 use sedgehill_core::units::TimeSpan;
@@ -20,13 +20,13 @@
     queue: Arc<ServiceQueue>,
     choice: DispatchChoice,
     taken: Instant,
-    evidence: EndpointEvidence,
+    evidence: EndpointOutcome,
 }
 
 impl EndpointSlot {
     fn new(queue: Arc<ServiceQueue>, choice: DispatchChoice) -> EndpointSlot {
         // A caller that goes away says nothing about the endpoint.
-        EndpointSlot { queue, choice, taken: Instant::now(), evidence: EndpointEvidence::Neutral }
+        EndpointSlot { queue, choice, taken: Instant::now(), evidence: EndpointOutcome::Neutral }
     }
 
     /// The decision that gave the slot.
@@ -35,7 +35,7 @@
     }
 
     /// Notes what the attempt says about the endpoint.
-    pub fn set_evidence(&mut self, evidence: EndpointEvidence) {
+    pub fn set_evidence(&mut self, evidence: EndpointOutcome) {
         self.evidence = evidence;
     }
 }
@@ -58,7 +58,7 @@
     fn drop(&mut self) {
         self.receiver.close();
         if let Ok(choice) = self.receiver.try_recv() {
-            self.queue.release(&choice.endpoint, EndpointEvidence::Neutral, TimeSpan(0));
+            self.queue.release(&choice.endpoint, EndpointOutcome::Neutral, TimeSpan(0));
         }
     }
 }
--- a/crates/sedgehilld/src/filters/forward.rs
+++ b/crates/sedgehilld/src/filters/forward.rs
@@ -7,7 +7,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use rand::Rng;
-use sedgehill_core::dispatch::EndpointEvidence;
+use sedgehill_core::dispatch::EndpointOutcome;
 
 use super::FilterChain;
 use super::dispatch::EndpointSlot;
@@ -78,7 +78,7 @@
     let limit = Duration::from_millis(context.kind.timeout.as_millis());
     let address = slot.choice().address;
     let Ok(mut connection) = chain.pool.checkout(address).await else {
-        slot.set_evidence(EndpointEvidence::Bad);
+        slot.set_evidence(EndpointOutcome::Failure);
         return Err(AttemptFailure::NotBegun);
     };
     let request = build_request(context, address);
@@ -132,10 +132,10 @@
 }
 
 /// An endpoint that refuses or fails fast looks idle, so its failures count as such.
-fn evidence_of(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointEvidence {
+fn evidence_of(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointOutcome {
     match result {
-        Ok(answer) if !answer.status().is_server_error() => EndpointEvidence::Good,
-        _ => EndpointEvidence::Bad,
+        Ok(answer) if !answer.status().is_server_error() => EndpointOutcome::Success,
+        _ => EndpointOutcome::Failure,
     }
 }
 
--- a/crates/sedgehilld/src/filters/mod.rs
+++ b/crates/sedgehilld/src/filters/mod.rs
@@ -111,7 +111,7 @@
     context: &RequestContext,
     record: &mut RequestRecord,
 ) -> RequestOutcome {
-    chain.budget.lock().note_request();
+    chain.budget.lock().record_request();
     let started = Instant::now();
     let mut avoid = Vec::new();
     loop {
--- a/crates/sedgehilld/src/settings.rs
+++ b/crates/sedgehilld/src/settings.rs
@@ -8,7 +8,7 @@
 use sedgehill_core::ids::{BoxId, HallName};
 use sedgehill_core::lead::LeadTiming;
 use sedgehill_core::member::MemberTiming;
-use sedgehill_core::place::PlaceTiming;
+use sedgehill_core::placement::PlacementTiming;
 use sedgehill_core::units::{MemorySize, TimeSpan};
 use serde_json::{Map, Value};
 
@@ -118,7 +118,7 @@
     /// The terms of leads.
     pub lead: LeadTiming,
     /// Leases and syncs.
-    pub place: PlaceTiming,
+    pub place: PlacementTiming,
     /// Heartbeats.
     pub member: MemberTiming,
     /// How often heartbeats are sent and the platform's list is read.
@@ -227,7 +227,7 @@
     read: impl FnOnce(&mut FieldReader<'_>) -> Option<T>,
 ) -> Option<T> {
     let empty = Map::new();
-    if !reader.has(key) {
+    if !reader.contains(key) {
         reader.optional_object(key);
         return read_group(reader, key, &empty, read);
     }
@@ -241,7 +241,7 @@
     fields: &Map<String, Value>,
     read: impl FnOnce(&mut FieldReader<'_>) -> Option<T>,
 ) -> Option<T> {
-    let mut group = reader.below(key, fields);
+    let mut group = reader.nested(key, fields);
     let value = read(&mut group);
     group.finish();
     value
@@ -261,11 +261,11 @@
     Some(LeadTiming { term: term?, margin: margin?, renew_every: renew_every?, stagger: stagger? })
 }
 
-fn read_place(group: &mut FieldReader<'_>) -> Option<PlaceTiming> {
+fn read_place(group: &mut FieldReader<'_>) -> Option<PlacementTiming> {
     let lease = group.text_or("lease", TimeSpan(20_000));
     let settle = group.text_or("settle", TimeSpan(2_000));
     let sync_every = group.text_or("sync_every", TimeSpan(2_000));
-    Some(PlaceTiming { lease: lease?, settle: settle?, sync_every: sync_every? })
+    Some(PlacementTiming { lease: lease?, max_delivery_delay: settle?, sync_every: sync_every? })
 }
 
 fn read_member(group: &mut FieldReader<'_>) -> Option<MemberTiming> {
--- a/crates/sedgehilld/src/shared.rs
+++ b/crates/sedgehilld/src/shared.rs
@@ -7,7 +7,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use parking_lot::Mutex;
 use sedgehill_core::dispatch::{
-    DispatchChoice, DispatchQueue, EjectPolicy, EndpointEvidence, EndpointView, QueueLimits,
+    DispatchChoice, DispatchQueue, EjectionPolicy, EndpointOutcome, EndpointView, QueueLimits,
 };
 use sedgehill_core::ids::{EndpointId, Offset, OrgName, RequestId, TemplateName};
 use sedgehill_core::limit::TokenBucket;
@@ -29,8 +29,12 @@
 /// Controllers that did not run for this long were paused, and what they knew may be stale.
 pub const PAUSE_LIMIT: TimeSpan = TimeSpan(1_000);
 
-const EJECT_POLICY: EjectPolicy =
-    EjectPolicy { failures: 3, first: TimeSpan(1_000), longest: TimeSpan(30_000), max_percent: 50 };
+const EJECT_POLICY: EjectionPolicy = EjectionPolicy {
+    failure_threshold: 3,
+    base_duration: TimeSpan(1_000),
+    max_duration: TimeSpan(30_000),
+    max_ejected_percent: 50,
+};
 
 /// What the traffic threads know of the cluster, replaced as a whole.
 #[derive(Debug, Default)]
@@ -97,14 +101,14 @@
     /// Gives room to those that wait, and takes out those whose deadline has passed.
     pub fn turn(&self) {
         let now = clock::now();
-        let (expired, chosen) = self.with(|queue| (queue.expire(now), queue.hand_out(now)));
+        let (expired, chosen) = self.with(|queue| (queue.expire(now), queue.dispatch_waiting(now)));
         // A dropped waiter is how a request learns that its deadline has passed.
         drop(expired);
         self.deliver(chosen);
     }
 
     /// Gives back a slot.
-    pub fn release(&self, endpoint: &EndpointId, evidence: EndpointEvidence, held: TimeSpan) {
+    pub fn release(&self, endpoint: &EndpointId, evidence: EndpointOutcome, held: TimeSpan) {
         let chosen = self.with(|queue| queue.release(endpoint, evidence, held, clock::now()));
         self.deliver(chosen);
     }
@@ -113,7 +117,7 @@
         for (choice, waiter) in chosen {
             if let Err(choice) = waiter.send(choice) {
                 // The caller went while its request waited.
-                self.release(&choice.endpoint, EndpointEvidence::Neutral, TimeSpan(0));
+                self.release(&choice.endpoint, EndpointOutcome::Neutral, TimeSpan(0));
             }
         }
     }
