--- a/crates/sedgehill-core/src/dispatch.rs
+++ b/crates/sedgehill-core/src/dispatch.rs
@@ -1,46 +1,46 @@
-//! Which endpoint a request goes to, and in which order requests wait.
+//! Chooses the endpoint of each request and orders the requests that wait.
 //!
-//! One [`DispatchQueue`] per service at each box. The slots of an endpoint are a budget shared by
-//! all boxes: each box uses only its share, so that an endpoint never queues and the order of
-//! waiting stays with the boxes. Requests wait in the order of arrival plus patience, so quick work
-//! passes heavy work and heavy work does not starve.
+//! Each box has one [`DispatchQueue`] per service. The slots of an endpoint are divided among all
+//! boxes, and each box uses only its share. An endpoint therefore never queues requests itself, and
+//! the boxes alone decide their order. Requests wait in the order of arrival time plus patience, so
+//! short requests overtake long ones without starving them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{EndpointId, HallName, OrgName};
 use crate::units::{Moment, TimeSpan};
 
-/// How many waiting requests are looked at for a freed endpoint that the first may not use.
+/// Maximum number of waiting requests that one pass skips because no free endpoint may serve them.
 const MAX_LOOKAHEAD: usize = 64;
-/// How long what the controllers said holds. A box that was paused hands nothing out until its
-/// controllers have looked again.
-const MAX_VIEW_AGE: TimeSpan = TimeSpan(1_000);
+/// Maximum age of the endpoint list. After a pause of the process, the queue dispatches nothing
+/// until the controllers have updated the list.
+const MAX_ENDPOINT_LIST_AGE: TimeSpan = TimeSpan(1_000);
 
-/// How an endpoint is kept from work after failures.
+/// When an endpoint is ejected after failures, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EjectionPolicy {
-    /// Failures in a row that eject an endpoint.
+    /// Consecutive failures that eject an endpoint.
     pub failure_threshold: u32,
-    /// How long the first ejection lasts; it doubles with each further one.
+    /// Duration of the first ejection. It doubles with each further one.
     pub base_duration: TimeSpan,
-    /// The longest ejection.
+    /// Upper bound of the doubled duration.
     pub max_duration: TimeSpan,
-    /// The largest share of endpoints ejected at once, in percent.
+    /// Maximum share of the endpoints that may be ejected at the same time, in percent.
     pub max_ejected_percent: usize,
 }
 
-/// What the controllers know of one endpoint.
+/// One endpoint as listed by the controllers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointView {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Its data hall.
+    /// Data hall in which it runs.
     pub hall: HallName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: std::net::SocketAddr,
-    /// Requests that this box may have at it at once.
+    /// Maximum number of requests that this box may have in flight at it (see [`slot_share`]).
     pub share: u32,
-    /// Whether it takes no new work.
+    /// Whether it is draining and takes no new requests.
     pub leaving: bool,
 }
 
@@ -48,8 +48,11 @@
 struct EndpointEntry {
     view: EndpointView,
     in_flight: u32,
-    present: bool,
+    /// Whether the last [`DispatchQueue::sync`] listed the endpoint.
+    listed: bool,
+    /// Consecutive failures.
     failures: u32,
+    /// Ejections since the last success.
     ejections: u32,
     ejected_until: Option<Moment>,
 }
@@ -59,15 +62,15 @@
         EndpointEntry {
             view,
             in_flight: 0,
-            present: true,
+            listed: true,
             failures: 0,
             ejections: 0,
             ejected_until: None,
         }
     }
 
-    /// Takes a newer view. Requests under way still count when the endpoint moved to another
-    /// address: it may be the same box.
+    /// Replaces the view. A new address clears the failure record, but requests in flight still
+    /// count, since the same machine may be behind both addresses.
     fn update(&mut self, view: EndpointView) {
         if self.view.address != view.address {
             self.failures = 0;
@@ -75,90 +78,91 @@
             self.ejected_until = None;
         }
         self.view = view;
-        self.present = true;
+        self.listed = true;
     }
 
     fn is_ejected(&self, now: Moment) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Room now: an endpoint back from ejection is probed with one request.
-    fn has_room(&self, now: Moment) -> bool {
+    /// Whether a request may be sent to the endpoint now. After an ejection, one request at a time
+    /// probes the endpoint until one succeeds.
+    fn has_free_slot(&self, now: Moment) -> bool {
         let limit =
             if self.ejected_until.is_some() { self.view.share.min(1) } else { self.view.share };
-        self.present && !self.view.leaving && !self.is_ejected(now) && self.in_flight < limit
+        self.listed && !self.view.leaving && !self.is_ejected(now) && self.in_flight < limit
     }
 }
 
-/// What a request asks for.
+/// A request as the queue sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatchRequest {
-    /// The organisation, whose share of the queue is bounded.
+    /// Organisation of the caller.
     pub organisation: OrgName,
-    /// Halls that may serve it; empty for all.
+    /// Data halls whose endpoints may serve it; empty for all.
     pub halls: BTreeSet<HallName>,
-    /// When its turn is: arrival plus patience.
+    /// Arrival time plus the patience of the request's kind. Requests wait in this order.
     pub due: Moment,
-    /// When it is given up if it still waits.
+    /// Time at which the request is dropped from the queue if it still waits.
     pub deadline: Moment,
-    /// The most requests of the organisation that may wait.
+    /// Maximum number of waiting requests of the organisation.
     pub queue_limit: u32,
-    /// The size of its body, in bytes.
+    /// Size of its body, in bytes.
     pub bytes: usize,
-    /// Endpoints that refused it before; they are passed over while there are others.
+    /// Endpoints that refused it before. They are skipped while another endpoint may serve it.
     pub avoid: Vec<EndpointId>,
 }
 
-/// Why a request is not waiting in.
+/// Why a request is not queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchRefusal {
-    /// The organisation has its limit of requests waiting.
+    /// The organisation's limit of waiting requests is reached.
     OrganisationQueueFull,
-    /// The box has its limit of requests or bytes waiting.
+    /// The queue's limit of waiting requests or of their bytes is reached.
     QueueFull,
-    /// Others wait that will take longer than its deadline.
+    /// The expected wait behind earlier requests exceeds the time to its deadline.
     WouldMissDeadline,
 }
 
-/// A decision: which endpoint and out of how many.
+/// The endpoint chosen for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatchChoice {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: std::net::SocketAddr,
-    /// Endpoints with room when it was chosen.
+    /// Number of endpoints that could have served the request at the time of the choice.
     pub candidates: usize,
 }
 
-/// What becomes of a request at once.
+/// Result of offering a request to the queue.
 #[derive(Debug)]
 pub enum DispatchOffer<T> {
-    /// It goes to an endpoint.
+    /// The request is sent to this endpoint now.
     Chosen(DispatchChoice, T),
-    /// It waits.
+    /// The request was queued.
     Waiting,
-    /// It is refused.
+    /// The request is neither sent nor queued.
     Refused(DispatchRefusal, T),
 }
 
-/// How an attempt at an endpoint ended, as outcome for or against the endpoint.
+/// How an attempt at an endpoint ended, for the detection of failing endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointOutcome {
-    /// It answered.
+    /// The endpoint answered.
     Success,
-    /// It could not be reached, cut the answer or timed out.
+    /// The endpoint was unreachable, broke off its answer or timed out.
     Failure,
-    /// It refused for want of room, or the caller went.
+    /// The endpoint refused because it was full, or the caller disconnected. Not counted.
     Neutral,
 }
 
-/// Bounds on what waits at one box for one service.
+/// Limits of the requests that wait at one box for one service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Requests.
+    /// Maximum number of waiting requests.
     pub count: usize,
-    /// Bytes of their bodies.
+    /// Maximum total size of their bodies, in bytes.
     pub bytes: usize,
 }
 
@@ -173,25 +177,29 @@
 pub struct DispatchQueue<T> {
     hall: HallName,
     limits: QueueLimits,
-    eject: EjectionPolicy,
+    ejection_policy: EjectionPolicy,
     endpoints: BTreeMap<EndpointId, EndpointEntry>,
     waiting: BTreeMap<(Moment, u64), WaitingRequest<T>>,
     waiting_bytes: usize,
     waiting_by_org: BTreeMap<OrgName, u32>,
     sequence: u64,
-    /// When the controllers last said which endpoints there are.
+    /// Time of the last [`DispatchQueue::sync`].
     last_sync: Moment,
-    /// The running mean time that a request holds a slot, in milliseconds.
+    /// Exponential moving average of the time that a request holds a slot, in milliseconds.
     mean_hold_ms: f64,
 }
 
 impl<T> DispatchQueue<T> {
-    /// A queue without endpoints, at a box in `hall`.
-    pub fn new(hall: HallName, limits: QueueLimits, eject: EjectionPolicy) -> DispatchQueue<T> {
+    /// Creates a queue without endpoints, for a box in `hall`.
+    pub fn new(
+        hall: HallName,
+        limits: QueueLimits,
+        ejection_policy: EjectionPolicy,
+    ) -> DispatchQueue<T> {
         DispatchQueue {
             hall,
             limits,
-            eject,
+            ejection_policy,
             endpoints: BTreeMap::new(),
             waiting: BTreeMap::new(),
             waiting_bytes: 0,
@@ -202,22 +210,23 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests under way at endpoints.
+    /// Returns the number of requests in flight at endpoints.
     pub fn in_flight(&self) -> u32 {
         self.endpoints.values().map(|entry| entry.in_flight).sum()
     }
 
-    /// Takes in the endpoints as the controllers see them now, and gives freed room to requests
-    /// that wait.
+    /// Replaces the list of endpoints and dispatches waiting requests to free slots.
+    ///
+    /// An endpoint that is no longer listed is kept until its requests in flight have ended.
     pub fn sync(&mut self, views: Vec<EndpointView>, now: Moment) -> Vec<(DispatchChoice, T)> {
         self.last_sync = now;
         for entry in self.endpoints.values_mut() {
-            entry.present = false;
+            entry.listed = false;
         }
         for view in views {
             match self.endpoints.get_mut(&view.id) {
@@ -227,11 +236,12 @@
                 }
             }
         }
-        self.endpoints.retain(|_, entry| entry.present || entry.in_flight > 0);
+        self.endpoints.retain(|_, entry| entry.listed || entry.in_flight > 0);
         self.dispatch_waiting(now)
     }
 
-    /// Offers a request.
+    /// Dispatches a request at once if no other is due before it and an endpoint is free, and
+    /// queues it otherwise. `token` is the caller's handle of the request.
     pub fn offer(&mut self, request: DispatchRequest, token: T, now: Moment) -> DispatchOffer<T> {
         let is_first = self.first_due().is_none_or(|due| due > request.due);
         if is_first && let Some(choice) = self.choose(&request, now) {
@@ -251,8 +261,8 @@
     }
 
     fn check_queue(&self, request: &DispatchRequest, now: Moment) -> Result<(), DispatchRefusal> {
-        let of_org = self.waiting_by_org.get(&request.organisation).copied().unwrap_or(0);
-        if of_org >= request.queue_limit {
+        let org_waiting = self.waiting_by_org.get(&request.organisation).copied().unwrap_or(0);
+        if org_waiting >= request.queue_limit {
             return Err(DispatchRefusal::OrganisationQueueFull);
         }
         let full = self.waiting.len() >= self.limits.count
@@ -266,10 +276,12 @@
         Ok(())
     }
 
-    /// The wait to expect from what is due earlier, the slots of this box and the time each is held.
+    /// Estimates how long a request waits, from the number of requests due earlier, the slots of
+    /// this box and the mean time that a request holds a slot.
     fn expected_wait(&self, request: &DispatchRequest) -> TimeSpan {
-        let usable = |entry: &&EndpointEntry| entry.present && !entry.view.leaving;
-        let slots: u32 = self.endpoints.values().filter(usable).map(|entry| entry.view.share).sum();
+        let is_usable = |entry: &&EndpointEntry| entry.listed && !entry.view.leaving;
+        let slots: u32 =
+            self.endpoints.values().filter(is_usable).map(|entry| entry.view.share).sum();
         if slots == 0 {
             return TimeSpan(0);
         }
@@ -296,24 +308,24 @@
         Some(waiting)
     }
 
-    /// Chooses the least in_flight endpoint with room, of the near hall where it is as free as any, and
+    /// Chooses the endpoint with the lowest load, preferring the box's own hall among equals, and
     /// takes one of its slots.
     fn choose(&mut self, request: &DispatchRequest, now: Moment) -> Option<DispatchChoice> {
-        if now.since(self.last_sync) > MAX_VIEW_AGE {
+        if now.since(self.last_sync) > MAX_ENDPOINT_LIST_AGE {
             return None;
         }
-        let avoid = self.excluded_endpoints(request);
+        let excluded = self.excluded_endpoints(request);
         let mut candidates = 0;
         let mut best: Option<(u64, &EndpointId)> = None;
         for (id, entry) in &self.endpoints {
             let allowed = request.halls.is_empty() || request.halls.contains(&entry.view.hall);
-            if !allowed || !entry.has_room(now) || avoid.contains(id) {
+            if !allowed || !entry.has_free_slot(now) || excluded.contains(id) {
                 continue;
             }
             candidates += 1;
-            let far = u64::from(entry.view.hall != self.hall);
+            let is_remote = u64::from(entry.view.hall != self.hall);
             let load = u64::from(entry.in_flight) * 1000 / u64::from(entry.view.share);
-            let score = load * 2 + far;
+            let score = load * 2 + is_remote;
             if best.is_none_or(|(lowest, _)| score < lowest) {
                 best = Some((score, id));
             }
@@ -328,22 +340,24 @@
         Some(DispatchChoice { endpoint: id, address: entry.view.address, candidates })
     }
 
-    /// The endpoints to pass over; none if there is no other that may serve the request.
+    /// Returns the endpoints to skip: those that refused the request before, or none if no other
+    /// endpoint may serve it.
     fn excluded_endpoints<'r>(&self, request: &'r DispatchRequest) -> &'r [EndpointId] {
         let serves = |entry: &EndpointEntry| {
             let allowed = request.halls.is_empty() || request.halls.contains(&entry.view.hall);
-            allowed && entry.present && !entry.view.leaving && entry.view.share > 0
+            allowed && entry.listed && !entry.view.leaving && entry.view.share > 0
         };
-        let others = |(id, entry): (&EndpointId, &EndpointEntry)| {
+        let is_alternative = |(id, entry): (&EndpointId, &EndpointEntry)| {
             serves(entry) && !request.avoid.contains(id)
         };
-        match request.avoid.is_empty() || self.endpoints.iter().any(others) {
+        match request.avoid.is_empty() || self.endpoints.iter().any(is_alternative) {
             true => &request.avoid,
             false => &[],
         }
     }
 
-    /// Ends an attempt that held a slot for `held`, and gives the freed room to whoever waits.
+    /// Records the end of an attempt that held a slot for `held`, and dispatches waiting requests
+    /// to the freed slot.
     pub fn release(
         &mut self,
         endpoint: &EndpointId,
@@ -351,15 +365,16 @@
         held: TimeSpan,
         now: Moment,
     ) -> Vec<(DispatchChoice, T)> {
-        const MEAN_WEIGHT: f64 = 0.05;
-        self.mean_hold_ms += MEAN_WEIGHT * (held.0 as f64 - self.mean_hold_ms);
+        /// Weight of the newest sample in the moving average.
+        const HOLD_TIME_WEIGHT: f64 = 0.05;
+        self.mean_hold_ms += HOLD_TIME_WEIGHT * (held.0 as f64 - self.mean_hold_ms);
         let can_eject = self.can_eject(now);
-        let policy = self.eject;
+        let policy = self.ejection_policy;
         if let Some(entry) = self.endpoints.get_mut(endpoint) {
             entry.in_flight =
                 entry.in_flight.checked_sub(1).expect("invariant: a slot is released once");
             record_outcome(entry, outcome, policy, can_eject, now);
-            if !entry.present && entry.in_flight == 0 {
+            if !entry.listed && entry.in_flight == 0 {
                 self.endpoints.remove(endpoint);
             }
         }
@@ -368,34 +383,34 @@
 
     fn can_eject(&self, now: Moment) -> bool {
         let ejected = self.endpoints.values().filter(|entry| entry.is_ejected(now)).count();
-        (ejected + 1) * 100 <= self.endpoints.len() * self.eject.max_ejected_percent
+        (ejected + 1) * 100 <= self.endpoints.len() * self.ejection_policy.max_ejected_percent
     }
 
-    /// Gives room to requests that wait, the first due first.
+    /// Dispatches waiting requests to free slots, in the order in which they are due.
     pub fn dispatch_waiting(&mut self, now: Moment) -> Vec<(DispatchChoice, T)> {
         let mut chosen = Vec::new();
-        let mut passed = 0;
+        let mut skipped = 0;
         let mut cursor = (Moment(0), 0);
-        while passed < MAX_LOOKAHEAD && self.has_any_room(now) {
+        while skipped < MAX_LOOKAHEAD && self.has_work_and_free_slot(now) {
             let Some(key) = self.waiting.range(cursor..).next().map(|(key, _)| *key) else { break };
             cursor = (key.0, key.1 + 1);
             let request = self.waiting[&key].request.clone();
             match self.choose(&request, now) {
                 Some(choice) => {
-                    let waiting = self.pop(key).expect("the request was just seen");
+                    let waiting = self.pop(key).expect("the key comes from the queue");
                     chosen.push((choice, waiting.token));
                 }
-                None => passed += 1,
+                None => skipped += 1,
             }
         }
         chosen
     }
 
-    fn has_any_room(&self, now: Moment) -> bool {
-        !self.waiting.is_empty() && self.endpoints.values().any(|entry| entry.has_room(now))
+    fn has_work_and_free_slot(&self, now: Moment) -> bool {
+        !self.waiting.is_empty() && self.endpoints.values().any(|entry| entry.has_free_slot(now))
     }
 
-    /// Takes out the requests whose deadline has passed.
+    /// Removes the requests whose deadline has passed and returns their tokens.
     pub fn expire(&mut self, now: Moment) -> Vec<T> {
         let expired: Vec<(Moment, u64)> = self
             .waiting
@@ -423,8 +438,8 @@
         }
         EndpointOutcome::Failure => {
             entry.failures += 1;
-            let probed = entry.ejected_until.is_some();
-            if (probed || entry.failures >= policy.failure_threshold) && can_eject {
+            let was_probe = entry.ejected_until.is_some();
+            if (was_probe || entry.failures >= policy.failure_threshold) && can_eject {
                 let doubled = policy.base_duration.0.saturating_mul(1 << entry.ejections.min(16));
                 entry.ejections += 1;
                 entry.ejected_until = Some(now.after(TimeSpan(doubled.min(policy.max_duration.0))));
@@ -433,16 +448,18 @@
     }
 }
 
-/// The slots of one endpoint that the box of this rank may use, out of `boxes` boxes in all. The
-/// remainder of the division falls to other boxes at each endpoint.
+/// Returns how many of an endpoint's `slots` the box with this rank may use, among `boxes` boxes.
+///
+/// The shares of all boxes add up to `slots`. A hash of the endpoint's id decides which boxes get
+/// the remainder of the division, so that it does not always go to the same boxes.
 pub fn slot_share(slots: u32, boxes: usize, rank: usize, endpoint: &EndpointId) -> u32 {
     let boxes = boxes.max(1);
-    let turn = endpoint
+    let id_hash = endpoint
         .as_str()
         .bytes()
         .fold(0usize, |sum, byte| sum.wrapping_mul(31).wrapping_add(usize::from(byte)));
     let base = slots as usize / boxes;
     let remainder = slots as usize % boxes;
-    let extra = usize::from((rank + turn) % boxes < remainder);
+    let extra = usize::from((rank + id_hash) % boxes < remainder);
     (base + extra) as u32
 }
