--- a/crates/sedgehill-core/src/fields.rs
+++ b/crates/sedgehill-core/src/fields.rs
@@ -1,19 +1,19 @@
-//! Reads the keys of JSON objects and collects every error, each with its key's path.
+//! Reads the fields of JSON objects and collects every error with the path of its key.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde_json::{Map, Value};
 
-/// How alike an unknown key must be to a known one to be suggested, from 0 to 1.
-const SUGGEST_LIKENESS: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested.
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.7;
 
-/// One thing wrong in a file.
+/// One error in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ManifestError {
-    /// Where: the path of the key, such as `templates[0].kinds.check.patience`.
+    /// Path of the key, such as `templates[0].kinds.check.patience`.
     pub path: String,
-    /// What is wrong there and what is allowed.
+    /// What is wrong with the value, and which values are allowed.
     pub message: String,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Everything that is wrong in a file.
+/// All errors of a file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ManifestErrors(pub Vec<ManifestError>);
 
@@ -36,17 +36,17 @@
 
 impl std::error::Error for ManifestErrors {}
 
-/// The closest of `known` to `text`, if any is close.
+/// Returns the name in `known` that is most similar to `text`, if any is similar enough.
 pub fn suggest<'a>(text: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .map(|name| (name, strsim::jaro_winkler(text, name)))
-        .filter(|(_, likeness)| *likeness >= SUGGEST_LIKENESS)
+        .filter(|(_, similarity)| *similarity >= MIN_SUGGESTION_SIMILARITY)
         .max_by(|a, b| a.1.total_cmp(&b.1))
         .map(|(name, _)| name)
 }
 
-/// Reads the keys of one JSON object, collecting errors and noting which keys are known.
+/// Reads the fields of one JSON object, collects errors and records which keys are known.
 pub struct FieldReader<'a> {
     path: String,
     fields: &'a Map<String, Value>,
@@ -55,7 +55,7 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// A reader of `fields`, which stand at `path`.
+    /// Creates a reader of the object `fields`, whose own path is `path` (empty for the root).
     pub fn new(
         path: impl Into<String>,
         fields: &'a Map<String, Value>,
@@ -64,22 +64,23 @@
         FieldReader { path: path.into(), fields, known: Vec::new(), errors }
     }
 
-    fn child(&self, key: &str) -> String {
+    fn child_path(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    /// Notes an error at `key`.
+    /// Adds an error at `key`.
     pub fn add_error(&mut self, key: &str, message: impl Into<String>) {
-        let path = self.child(key);
+        let path = self.child_path(key);
         self.errors.push(ManifestError { path, message: message.into() });
     }
 
+    /// Returns the value under `key` and records the key as known.
     fn value(&mut self, key: &'static str) -> Option<&'a Value> {
         self.known.push(key);
         self.fields.get(key)
     }
 
-    fn required(&mut self, key: &'static str) -> Option<&'a Value> {
+    fn required_value(&mut self, key: &'static str) -> Option<&'a Value> {
         let value = self.value(key);
         if value.is_none() {
             self.add_error(key, "missing, and there is no default");
@@ -87,7 +88,7 @@
         value
     }
 
-    /// A value as a text that must parse.
+    /// Parses a JSON string, and adds an error if the value is no string or does not parse.
     pub fn parse<T>(&mut self, key: &str, value: &Value) -> Option<T>
     where
         T: FromStr,
@@ -106,17 +107,17 @@
         }
     }
 
-    /// A text that must be there and parse.
+    /// Reads a required string and parses it.
     pub fn text<T>(&mut self, key: &'static str) -> Option<T>
     where
         T: FromStr,
         T::Err: fmt::Display,
     {
-        let value = self.required(key)?;
+        let value = self.required_value(key)?;
         self.parse(key, value)
     }
 
-    /// A text that may be absent, but must parse when there.
+    /// Reads an optional string; adds an error if it is present and does not parse.
     pub fn optional_text<T>(&mut self, key: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -126,7 +127,7 @@
         self.parse(key, value)
     }
 
-    fn in_range(&mut self, key: &str, value: &Value, low: u64, high: u64) -> Option<u64> {
+    fn number_in_range(&mut self, key: &str, value: &Value, low: u64, high: u64) -> Option<u64> {
         match value.as_u64() {
             Some(number) if (low..=high).contains(&number) => Some(number),
             _ => {
@@ -139,18 +140,18 @@
         }
     }
 
-    /// Whether a key is there.
+    /// Whether the object has this key.
     pub fn contains(&self, key: &str) -> bool {
         self.fields.contains_key(key)
     }
 
-    /// A whole number that must be there.
+    /// Reads a required whole number from `low` to `high`.
     pub fn number(&mut self, key: &'static str, low: u64, high: u64) -> Option<u64> {
-        let value = self.required(key)?;
-        self.in_range(key, value, low, high)
+        let value = self.required_value(key)?;
+        self.number_in_range(key, value, low, high)
     }
 
-    /// A whole number with a default.
+    /// Reads a whole number from `low` to `high`, or returns the default if it is absent.
     pub fn number_or(
         &mut self,
         key: &'static str,
@@ -159,12 +160,12 @@
         default: u64,
     ) -> Option<u64> {
         match self.value(key) {
-            Some(value) => self.in_range(key, value, low, high),
+            Some(value) => self.number_in_range(key, value, low, high),
             None => Some(default),
         }
     }
 
-    /// A text with a default.
+    /// Reads a string and parses it, or returns the default if it is absent.
     pub fn text_or<T>(&mut self, key: &'static str, default: T) -> Option<T>
     where
         T: FromStr,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A flag with a default.
+    /// Reads a boolean, or returns the default if it is absent.
     pub fn flag_or(&mut self, key: &'static str, default: bool) -> Option<bool> {
         match self.value(key) {
             None => Some(default),
@@ -188,13 +189,13 @@
         }
     }
 
-    /// An object that must be there.
+    /// Reads a required object.
     pub fn object(&mut self, key: &'static str) -> Option<&'a Map<String, Value>> {
-        let value = self.required(key)?;
+        let value = self.required_value(key)?;
         self.as_object(key, value)
     }
 
-    /// An object that may be absent.
+    /// Reads an optional object.
     pub fn optional_object(&mut self, key: &'static str) -> Option<&'a Map<String, Value>> {
         let value = self.value(key)?;
         self.as_object(key, value)
@@ -208,7 +209,7 @@
         object
     }
 
-    /// The entries of a list, empty where absent.
+    /// Reads a list; returns an empty slice if it is absent.
     pub fn list(&mut self, key: &'static str) -> &'a [Value] {
         match self.value(key) {
             None => &[],
@@ -220,13 +221,13 @@
         }
     }
 
-    /// A reader of an object below this one.
+    /// Creates a reader for an object nested under `key`. Its errors are added to the same list.
     pub fn nested<'b>(&'b mut self, key: &str, fields: &'b Map<String, Value>) -> FieldReader<'b> {
-        let path = self.child(key);
+        let path = self.child_path(key);
         FieldReader::new(path, fields, self.errors)
     }
 
-    /// Notes each key that was never asked for.
+    /// Adds an error for each key that no read has named. Call it after all reads.
     pub fn finish(self) {
         for key in self.fields.keys() {
             if self.known.contains(&key.as_str()) {
@@ -255,7 +256,7 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// An entry of a list, or a value under a key that is not known beforehand, as an object.
+    /// Returns `value` as an object, for list entries and for keys that are user-chosen names.
     pub fn object_value<'v>(
         &mut self,
         key: &str,
--- a/crates/sedgehill-core/src/manifest.rs
+++ b/crates/sedgehill-core/src/manifest.rs
@@ -1,7 +1,7 @@
-//! From the JSON that operators write to checked [`crate::spec`] types.
+//! Parses the JSON files that operators write into checked [`crate::spec`] types.
 //!
-//! A file is checked as a whole: every error is collected, each with the path of its key and what
-//! is allowed there, so that an operator mends a file in one round.
+//! The whole file is checked and all errors are collected, each with the path of its key and the
+//! allowed values, so that an operator can correct a file in one round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::str::FromStr;
@@ -16,25 +16,26 @@
 };
 use crate::units::{ResourceSet, TimeSpan};
 
-/// The highest priority.
+/// Highest priority that parameters may set.
 pub const MAX_PRIORITY: u64 = 9;
-/// The most slots that a template may give an endpoint.
+/// Maximum number of slots, and of connections, that a template may give an endpoint.
 const MAX_SLOTS: u64 = 10_000;
-/// The most attempts that a template may allow a task.
+/// Maximum number of attempts that a template may allow a task.
 const MAX_ATTEMPTS: u64 = 100;
-/// The longest queue that parameters may allow at one box.
-const MAX_QUEUE: u64 = 100_000;
-/// The queue that is allowed where parameters name none.
-const DEFAULT_QUEUE: u64 = 1_000;
-/// A file as written: any JSON object, nothing checked.
+/// Maximum number of waiting requests at one box that parameters may allow.
+const MAX_QUEUE_LIMIT: u64 = 100_000;
+/// Number of waiting requests at one box that is allowed if the parameters set none.
+const DEFAULT_QUEUE_LIMIT: u64 = 1_000;
+
+/// A manifest file before any check, as a JSON object.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(transparent)]
 pub struct RawManifest(Map<String, Value>);
 
-/// A checked file: the templates and parameters that an operator publishes together.
+/// A checked manifest file: templates and parameters that an operator publishes together.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WorkManifest {
-    /// The entries in the order in which they are published: templates first.
+    /// The entries in the order of publication: templates first.
     pub specs: Vec<ConfigSpec>,
 }
 
@@ -73,17 +74,17 @@
 }
 
 impl WorkManifest {
-    /// Checks that every template that parameters refer to is in the file or satisfies `exists`.
+    /// Checks that every template named by parameters is in this file or satisfies `exists`.
     pub fn check_references(
         &self,
         exists: impl Fn(&ConfigKey) -> bool,
     ) -> Result<(), ManifestErrors> {
-        let own: BTreeSet<ConfigKey> = self.specs.iter().map(ConfigSpec::key).collect();
+        let defined: BTreeSet<ConfigKey> = self.specs.iter().map(ConfigSpec::key).collect();
         let mut errors = Vec::new();
         for spec in &self.specs {
             let ConfigSpec::Parameters(parameters) = spec else { continue };
             let key = ConfigKey::Template(parameters.template.clone());
-            if !own.contains(&key) && !exists(&key) {
+            if !defined.contains(&key) && !exists(&key) {
                 let message = format!("there is no template `{}`", parameters.template);
                 errors.push(ManifestError { path: spec.key().to_string(), message });
             }
@@ -92,6 +93,7 @@
     }
 }
 
+/// Reads each object of the list `entries`, which stands under `key`, with `read`.
 fn read_entries(
     reader: &mut FieldReader<'_>,
     key: &'static str,
@@ -119,12 +121,13 @@
     }
 }
 
+/// Values of a template's `type` field.
 const WORK_TYPES: [&str; 3] = ["service", "batch", "gang"];
 
 fn read_template(reader: &mut FieldReader<'_>) -> Option<ConfigSpec> {
     let name = reader.text("name");
-    let kind: Option<String> = reader.text("type");
-    let work = match kind.as_deref() {
+    let work_type: Option<String> = reader.text("type");
+    let work = match work_type.as_deref() {
         Some("service") => read_service(reader).map(WorkShape::Service),
         Some("batch") => read_task(reader).map(WorkShape::Batch),
         Some("gang") => read_task(reader).map(WorkShape::Gang),
@@ -147,22 +150,22 @@
     let connections = reader.number("connections", 1, MAX_SLOTS);
     let raw_kinds = reader.object("kinds")?;
     let mut kinds = BTreeMap::new();
-    let mut whole = true;
+    let mut all_valid = true;
     for (name, value) in raw_kinds {
         let path = format!("kinds.{name}");
         match read_kind(reader, &path, name, value) {
             Some((name, kind)) => {
                 kinds.insert(name, kind);
             }
-            None => whole = false,
+            None => all_valid = false,
         }
     }
     if raw_kinds.is_empty() {
         reader.add_error("kinds", "expected at least one kind");
-        whole = false;
+        all_valid = false;
     }
     let shape = ServiceShape { slots: slots? as u32, connections: connections? as u32, kinds };
-    whole.then_some(shape)
+    all_valid.then_some(shape)
 }
 
 fn read_kind(
@@ -227,7 +230,7 @@
     let tolerable_delay = reader.text_or("tolerable_delay", TimeSpan(0));
     let had_rate = reader.contains("rate");
     let rate = reader.optional_text("rate");
-    let queue = reader.number_or("queue", 1, MAX_QUEUE, DEFAULT_QUEUE);
+    let queue = reader.number_or("queue", 1, MAX_QUEUE_LIMIT, DEFAULT_QUEUE_LIMIT);
     let quota_fields = reader.optional_object("quota");
     let quota = match quota_fields {
         Some(fields) => Some(read_resource_fields(reader, "quota", fields)?),
@@ -251,14 +254,14 @@
 fn read_halls(reader: &mut FieldReader<'_>) -> Option<BTreeSet<crate::ids::HallName>> {
     let entries = reader.list("halls");
     let mut halls = BTreeSet::new();
-    let mut whole = true;
+    let mut all_valid = true;
     for (index, entry) in entries.iter().enumerate() {
         match reader.parse(&format!("halls[{index}]"), entry) {
             Some(hall) => {
                 halls.insert(hall);
             }
-            None => whole = false,
+            None => all_valid = false,
         }
     }
-    whole.then_some(halls)
+    all_valid.then_some(halls)
 }
