--- a/crates/sedgehill-core/src/ids.rs
+++ b/crates/sedgehill-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things, each a type of its own.
+//! Newtypes for names and identifiers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,22 +7,22 @@
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// The longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
 quick_error! {
-    /// Why a text is not a name or an identifier.
+    /// Why a text is not a valid name or identifier.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum IdError {
         /// The text is empty or too long.
         Length(found: usize) {
             display("expected 1 to {MAX_NAME_BYTES} characters, found {found}")
         }
-        /// The text holds a character that names may not have.
+        /// The text contains a character that is not allowed in names.
         Character(found: char) {
             display("expected lower-case letters, digits and `-`, found `{found}`")
         }
-        /// The text is not an identifier of the expected kind.
+        /// The text is not an identifier of the expected form.
         Malformed(expected: &'static str) {
             display("expected {expected}")
         }
@@ -40,7 +40,8 @@
     }
 }
 
-/// Lets a type that is written and read as text stand in JSON as that text.
+/// Implements the conversions with which serde reads and writes a type as its text form, from its
+/// `FromStr` and `Display`.
 macro_rules! text_conversions {
     ($name:ident) => {
         impl TryFrom<String> for $name {
@@ -68,7 +69,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -94,21 +95,21 @@
 }
 
 name_types! {
-    /// An entry box.
+    /// A box: a machine that runs the daemon and accepts requests.
     BoxId;
     /// A data hall.
     HallName;
     /// A rack within a data hall.
     RackName;
-    /// An endpoint that answers requests.
+    /// An endpoint that serves requests.
     EndpointId;
     /// A worker that runs tasks.
     WorkerId;
-    /// An organisation whose parameters fill in a template.
+    /// An organisation, which runs work by supplying parameters for a template.
     OrgName;
     /// A template.
     TemplateName;
-    /// A kind of work within a service template.
+    /// A kind of request within a service template.
     KindName;
 }
 
@@ -142,14 +143,14 @@
     Offset;
     /// A version of a template or of parameters: the offset of the record that published it.
     Version;
-    /// A term of leadership over a data hall: the offset of the record that claimed it.
+    /// The number of a lead's term over a data hall: the offset of the record that claimed it.
     Epoch;
-    /// One run of a process: a later run of the same box or worker has another number.
+    /// The number of one run of a box's or worker's process. A later run has a higher number.
     Incarnation;
 }
 
 impl Offset {
-    /// The offset after this one.
+    /// Returns the offset after this one.
     pub fn next(self) -> Offset {
         Offset(self.0 + 1)
     }
@@ -179,22 +180,24 @@
 }
 
 uuid_types! {
-    /// One record of the log. A record appended again keeps its id.
+    /// A record of the log. A record that is appended again keeps its id.
     RecordId;
-    /// One job: the id of the record that submitted it.
+    /// A job: the id of the record that submitted it.
     JobId;
-    /// One request, as numbered by the box that received it.
+    /// A request, with an id assigned by the box that received it.
     RequestId;
 }
 
-/// What a caller names its once-only request with: a version 7 UUID, which carries the time it
-/// was made at, so that a key from before the claim window is recognised without being stored.
+/// Key with which a caller identifies an at-most-once request.
+///
+/// It is a version 7 UUID, which contains its creation time, so that a key from before the claim
+/// window can be refused without having been stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Uuid", into = "Uuid")]
 pub struct IdempotencyKey(Uuid);
 
 impl IdempotencyKey {
-    /// When the caller made the key, in milliseconds of Unix time.
+    /// Returns the time at which the caller created the key, in milliseconds of Unix time.
     pub fn created_at_ms(&self) -> u64 {
         let (seconds, nanos) = self.0.get_timestamp().map_or((0, 0), |at| at.to_unix());
         seconds * 1000 + u64::from(nanos) / 1_000_000
@@ -232,13 +235,13 @@
     }
 }
 
-/// One task: its job and its place within it.
+/// A task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TaskId {
-    /// The job that the task belongs to.
+    /// Job to which the task belongs.
     pub job: JobId,
-    /// The place of the task within its job, from 0.
+    /// Index of the task within its job, from 0.
     pub index: u32,
 }
 
@@ -263,13 +266,13 @@
 
 text_conversions!(TaskId);
 
-/// One attempt at a task. A task that is tried again has another attempt.
+/// One attempt to run a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct AttemptId {
     /// The task.
     pub task: TaskId,
-    /// Which attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
 }
 
--- a/crates/sedgehill-core/src/limit.rs
+++ b/crates/sedgehill-core/src/limit.rs
@@ -1,25 +1,25 @@
-//! Rate limits.
+//! Rate limits and the retry budget.
 
 use crate::units::{EventRate, Moment};
 
-/// Events that may come at once after a pause, as seconds of the rate.
+/// Size of a full bucket, in seconds of the rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Lets events pass at a rate, with a burst of one second's worth.
+/// Limits events to a rate, with bursts of up to one second's events.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: EventRate,
     tokens: f64,
-    filled: Moment,
+    refilled_at: Moment,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: EventRate, now: Moment) -> TokenBucket {
-        TokenBucket { rate, tokens: Self::capacity(rate), filled: now }
+        TokenBucket { rate, tokens: Self::capacity(rate), refilled_at: now }
     }
 
-    /// The rate that the bucket enforces.
+    /// Returns the rate that the bucket enforces.
     pub fn rate(&self) -> EventRate {
         self.rate
     }
@@ -28,10 +28,10 @@
         (rate.0 as f64 * BURST_SECONDS).max(1.0)
     }
 
-    /// Whether one more event may pass at `now`.
+    /// Takes a token for one event at `now`. Returns false if none is left.
     pub fn try_take(&mut self, now: Moment) -> bool {
-        let elapsed = now.since(self.filled).as_millis() as f64 / 1000.0;
-        self.filled = self.filled.max(now);
+        let elapsed = now.since(self.refilled_at).as_millis() as f64 / 1000.0;
+        self.refilled_at = self.refilled_at.max(now);
         self.tokens = (self.tokens + elapsed * self.rate.0 as f64).min(Self::capacity(self.rate));
         if self.tokens < 1.0 {
             return false;
@@ -41,29 +41,30 @@
     }
 }
 
-/// Bounds retries to a share of requests, so that a brown-out is not multiplied.
+/// Limits retries to a share of the requests, so that retries do not multiply the load of an
+/// overloaded service.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// What each request adds: one retry for five requests.
-    const PER_REQUEST: f64 = 0.2;
-    /// The most retries that can be saved up.
+    /// Tokens that each request adds: one retry for five requests.
+    const TOKENS_PER_REQUEST: f64 = 0.2;
+    /// Maximum number of retries that accumulate.
     const CAPACITY: f64 = 100.0;
 
-    /// A budget that has saved up a few retries.
+    /// Creates a budget that already allows a few retries.
     pub fn new() -> RetryBudget {
         RetryBudget { tokens: Self::CAPACITY / 10.0 }
     }
 
-    /// Notes a request.
+    /// Records a request, which adds a part of a retry to the budget.
     pub fn record_request(&mut self) {
-        self.tokens = (self.tokens + Self::PER_REQUEST).min(Self::CAPACITY);
+        self.tokens = (self.tokens + Self::TOKENS_PER_REQUEST).min(Self::CAPACITY);
     }
 
-    /// Whether a retry may be made.
+    /// Takes a token for one retry. Returns false if none is left.
     pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/sedgehill-core/src/units.rs
+++ b/crates/sedgehill-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and times with their units, and the resources of workers and tasks.
+//! Sizes, rates and times with their units, and sets of resources.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// Why a text is not a quantity.
+    /// Why a text is not a valid quantity.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum UnitError {
-        /// The text is no number with a unit of this quantity.
+        /// The text is not a number with a unit of this quantity.
         Malformed(expected: &'static str, found: String) {
             display("expected {expected}, found `{found}`")
         }
     }
 }
 
-/// Reads a number with one of the given suffixes, each with its factor.
+/// Parses a whole number followed by one of `suffixes` and multiplies it by the suffix's factor.
 fn parse_scaled(
     text: &str,
     suffixes: &[(&str, u64)],
@@ -35,7 +35,7 @@
     number.checked_mul(factor).ok_or_else(malformed)
 }
 
-/// Writes a number with the largest suffix that divides it.
+/// Writes a value with the suffix whose factor is the largest that divides it.
 fn write_scaled(f: &mut fmt::Formatter<'_>, value: u64, suffixes: &[(&str, u64)]) -> fmt::Result {
     let divides = |(_, factor): &&(&str, u64)| value != 0 && value.is_multiple_of(*factor);
     let (suffix, factor) =
@@ -85,9 +85,9 @@
 }
 
 unit_types! {
-    /// Processors, in thousandths of a core.
+    /// An amount of CPU, in thousandths of a core.
     CoreCount, CORE_SUFFIXES = &[("m", 1), ("", 1000)], "cores such as `2` or `500m`";
-    /// Memory, in bytes.
+    /// An amount of memory, in bytes.
     MemorySize, MEMORY_SUFFIXES = &[("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)],
         "memory such as `512MiB` or `4GiB`";
     /// A span of time, in milliseconds.
@@ -98,33 +98,33 @@
 }
 
 impl TimeSpan {
-    /// The span in milliseconds.
+    /// Returns the span in milliseconds.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 }
 
-/// What a worker has, or what a task needs.
+/// Resources that a worker has or a task needs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResourceSet {
-    /// Processors.
+    /// CPU cores.
     pub cores: CoreCount,
     /// Memory.
     pub memory: MemorySize,
-    /// Accelerators, whole ones.
+    /// Number of accelerators, such as GPUs.
     #[serde(default)]
     pub accelerators: u32,
 }
 
 impl ResourceSet {
-    /// Whether `need` fits into this in every dimension.
+    /// Whether `need` fits into this set in every dimension.
     pub fn fits(&self, need: &ResourceSet) -> bool {
         self.cores >= need.cores
             && self.memory >= need.memory
             && self.accelerators >= need.accelerators
     }
 
-    /// The sum in every dimension.
+    /// Returns the sum in every dimension, saturating at the maximum.
     pub fn plus(&self, other: &ResourceSet) -> ResourceSet {
         ResourceSet {
             cores: CoreCount(self.cores.0.saturating_add(other.cores.0)),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The sum of `count` of these.
+    /// Returns `count` times this set, saturating at the maximum.
     pub fn times(&self, count: u32) -> ResourceSet {
         ResourceSet {
             cores: CoreCount(self.cores.0.saturating_mul(u64::from(count))),
@@ -142,15 +142,15 @@
         }
     }
 
-    /// How many of `need` fit into this.
+    /// Returns how many times `need` fits into this set; `u64::MAX` if `need` is empty.
     pub fn capacity_for(&self, need: &ResourceSet) -> u64 {
-        let count = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
+        let count = |available: u64, need: u64| available.checked_div(need).unwrap_or(u64::MAX);
         count(self.cores.0, need.cores.0)
             .min(count(self.memory.0, need.memory.0))
             .min(count(u64::from(self.accelerators), u64::from(need.accelerators)))
     }
 
-    /// What is left after taking `other`, or `None` if any dimension is short.
+    /// Subtracts `other`, or returns `None` if any dimension is smaller than in `other`.
     pub fn minus(&self, other: &ResourceSet) -> Option<ResourceSet> {
         Some(ResourceSet {
             cores: CoreCount(self.cores.0.checked_sub(other.cores.0)?),
@@ -159,7 +159,7 @@
         })
     }
 
-    /// What is left after taking `other`, zero in a dimension that is short.
+    /// Subtracts `other`, stopping at zero in each dimension.
     pub fn saturating_minus(&self, other: &ResourceSet) -> ResourceSet {
         ResourceSet {
             cores: CoreCount(self.cores.0.saturating_sub(other.cores.0)),
@@ -184,7 +184,8 @@
     }
 }
 
-/// A point in time, in milliseconds of a clock that never steps back and counts time suspended.
+/// A point in time, in milliseconds of a monotonic clock that also runs while the machine is
+/// suspended.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -192,12 +193,12 @@
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The moment `span` later.
+    /// Returns the moment `span` after this one.
     pub fn after(self, span: TimeSpan) -> Moment {
         Moment(self.0.saturating_add(span.0))
     }
 
-    /// The time from `earlier` until this, zero if `earlier` is later.
+    /// Returns the time from `earlier` until this moment, or zero if `earlier` is later.
     pub fn since(self, earlier: Moment) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
