--- a/crates/sedgehill-core/src/job.rs
+++ b/crates/sedgehill-core/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: what was submitted, and how far each task has come.
+//! Jobs and the state of their tasks.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
 use crate::ids::{HallName, Offset, OrgName, TaskId, TemplateName};
 use crate::spec::TaskShape;
 
-/// The most tasks that one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_JOB_TASKS: u32 = 10_000;
 
-/// What an operator submits.
+/// A job as submitted by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRequest {
-    /// The organisation that the job belongs to.
+    /// Organisation to which the job belongs.
     pub organisation: OrgName,
-    /// A batch or gang template.
+    /// Name of a batch or gang template.
     pub template: TemplateName,
-    /// The number of tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
@@ -25,52 +25,52 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
-    /// It ran to its end.
+    /// The task completed successfully.
     Done,
-    /// It ran and failed.
+    /// The task ran and failed.
     Failed,
-    /// Its worker went, or its lease lapsed.
+    /// The worker no longer runs the task, or its lease expired.
     Lost,
 }
 
-/// Where one task stands.
+/// The state of one task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// The attempts that have ended.
+    /// Number of attempts that have ended.
     pub attempts: u32,
-    /// How the task ended, once it has.
+    /// How the task ended; `None` until it has succeeded or used up its attempts.
     pub outcome: Option<TaskOutcome>,
 }
 
-/// The end of one attempt, as a lead records it.
+/// The end of one attempt, as recorded by a lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEnd {
     /// The task.
     pub task: TaskId,
-    /// Which attempt ended, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How.
+    /// How the attempt ended.
     pub outcome: TaskOutcome,
 }
 
-/// Where a job stands as a whole.
+/// The state of a job as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobPhase {
-    /// Waits for its organisation's quota.
+    /// Waits until its organisation's quota allows it.
     Held,
-    /// Its tasks are placed or wait for room.
+    /// Its tasks are placed or wait for free capacity.
     Open,
-    /// Every task is done.
+    /// Every task completed successfully.
     Done,
-    /// A task used up its attempts.
+    /// A task used up its attempts without success.
     Failed,
     /// An operator cancelled it.
     Cancelled,
 }
 
 impl JobPhase {
-    /// Whether nothing more happens to the job.
+    /// Whether the phase never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, JobPhase::Done | JobPhase::Failed | JobPhase::Cancelled)
     }
@@ -88,31 +88,32 @@
     }
 }
 
-/// A job as the log has it.
+/// The state of a job according to the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobState {
-    /// What was submitted.
+    /// The request as submitted.
     pub request: JobRequest,
-    /// The hall whose lead places it.
+    /// Data hall whose lead places the tasks.
     pub hall: HallName,
-    /// The offset at which it was submitted.
+    /// Offset of the record that submitted it.
     pub submitted: Offset,
-    /// The platform's time of the submission, in milliseconds of Unix time.
+    /// Time of the submission by the platform's clock, in milliseconds of Unix time.
     pub submitted_ms: u64,
-    /// What each task needs, as the template stood at submission.
+    /// Requirements of each task, copied from the template at submission.
     pub shape: TaskShape,
-    /// Whether all tasks must run at once.
+    /// Whether all tasks must run at the same time.
     pub gang: bool,
-    /// The organisation's priority at submission.
+    /// Priority in the organisation's parameters at submission.
     pub priority: u8,
-    /// Where the job stands.
+    /// State of the job as a whole.
     pub phase: JobPhase,
-    /// Each task.
+    /// State of each task, by its index.
     pub tasks: Vec<TaskState>,
 }
 
 impl JobState {
-    /// Notes the end of an attempt. Returns whether it was the attempt under way.
+    /// Records the end of an attempt. Returns false and changes nothing if `end` is not about the
+    /// task's current attempt.
     pub fn end_attempt(&mut self, end: &TaskEnd) -> bool {
         let limit = self.shape.attempts;
         let Some(task) = self.tasks.get_mut(end.task.index as usize) else { return false };
@@ -123,18 +124,18 @@
         if end.outcome == TaskOutcome::Done || task.attempts >= limit {
             task.outcome = Some(end.outcome);
         }
-        self.settle_phase();
+        self.update_phase();
         true
     }
 
-    fn settle_phase(&mut self) {
+    fn update_phase(&mut self) {
         if self.phase.is_final() {
             return;
         }
-        let failed = |task: &TaskState| {
+        let has_failed = |task: &TaskState| {
             matches!(task.outcome, Some(TaskOutcome::Failed | TaskOutcome::Lost))
         };
-        if self.tasks.iter().any(failed) {
+        if self.tasks.iter().any(has_failed) {
             self.phase = JobPhase::Failed;
         } else if self.tasks.iter().all(|task| task.outcome.is_some()) {
             self.phase = JobPhase::Done;
--- a/crates/sedgehill-core/src/record.rs
+++ b/crates/sedgehill-core/src/record.rs
@@ -1,7 +1,8 @@
-//! The records of the log.
+//! Records of the platform's log.
 //!
-//! A record names what it depends on, and [`crate::state`] decides from the prefix of the log
-//! alone whether it holds. A record appended again keeps its id and has no second effect.
+//! A record names the state on which it depends, such as an epoch or a version, and
+//! [`crate::state`] accepts or rejects it from the preceding log alone. A record that is appended
+//! again keeps its id and has no second effect.
 
 use std::collections::BTreeSet;
 
@@ -14,22 +15,23 @@
 use crate::spec::ConfigSpec;
 use crate::state::ClusterState;
 
-/// What a record says.
+/// Content of a record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum RecordBody {
-    /// A new version of a template or of parameters. Holds only if `base` is the version in force.
+    /// Publishes a version of a template or of parameters. Accepted only if `base` is the current
+    /// version.
     Publish {
-        /// The version that was edited; none for the first.
+        /// The version that was edited; `None` for the first version.
         base: Option<Version>,
         /// The new content.
         spec: ConfigSpec,
     },
-    /// A new job. Its id is the record's.
+    /// Submits a job. The id of the job is the id of the record.
     Submit {
-        /// What is submitted.
+        /// The job.
         request: JobRequest,
-        /// The hall that is to place it.
+        /// Data hall whose lead places the tasks.
         hall: HallName,
     },
     /// Cancels a job.
@@ -37,115 +39,118 @@
         /// The job.
         job: JobId,
     },
-    /// Claims the lead of a hall. Holds only if the last claim or renewal is still at `after`.
+    /// Claims the lead of a data hall. Accepted only if the offset of the hall's last claim,
+    /// renewal or release is `after`.
     ClaimLead {
         /// The hall.
         hall: HallName,
-        /// The offset of the last claim, renewal or release that the claimant read.
+        /// Offset of the last claim, renewal or release that the claimant read; `None` if there was
+        /// none.
         after: Option<Offset>,
     },
-    /// Renews a lead. Holds only under the current epoch.
+    /// Renews a lead. Accepted only under the current epoch.
     RenewLead {
         /// The hall.
         hall: HallName,
-        /// The epoch that is renewed.
+        /// Epoch of the lead.
         epoch: Epoch,
     },
-    /// Gives up a lead, so that another box may claim it at once.
+    /// Releases a lead, so that another box may claim it at once.
     ReleaseLead {
         /// The hall.
         hall: HallName,
-        /// The epoch that ends.
+        /// Epoch of the lead.
         epoch: Epoch,
     },
-    /// Names workers before the first task is started on them, so that a later lead asks them all.
+    /// Changes the roster: the workers on which tasks may run. A worker is added before the first
+    /// task is started on it, so that a later lead asks every such worker for its tasks.
     Roster {
         /// The hall.
         hall: HallName,
-        /// The epoch of the lead.
+        /// Epoch of the lead.
         epoch: Epoch,
-        /// Workers about to be used.
+        /// Workers to add.
         add: BTreeSet<WorkerId>,
-        /// Workers that surely run nothing.
+        /// Workers to remove, which cannot be running any task.
         remove: BTreeSet<WorkerId>,
     },
-    /// Attempts that ended.
+    /// Records attempts that ended.
     EndTasks {
         /// The hall.
         hall: HallName,
-        /// The epoch of the lead.
+        /// Epoch of the lead.
         epoch: Epoch,
         /// The attempts.
         ends: Vec<TaskEnd>,
     },
-    /// Gives a job of which nothing runs to another hall.
+    /// Moves a job without running tasks to another data hall.
     MoveJob {
-        /// The hall that gives it up.
+        /// Hall that placed the job so far.
         hall: HallName,
-        /// The epoch of that hall's lead.
+        /// Epoch of that hall's lead.
         epoch: Epoch,
         /// The job.
         job: JobId,
-        /// The hall that takes it.
+        /// Hall that places the job from now on.
         to: HallName,
     },
-    /// Claims the right to run a once-only request.
+    /// Claims an idempotency key, and with it the right to run an at-most-once request.
     ClaimKey {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The caller's key.
+        /// Idempotency key of the request.
         key: IdempotencyKey,
     },
-    /// Gives back a claim whose request surely did not run.
+    /// Releases a claim whose request did not run, so that the key may be claimed again.
     ReleaseKey {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The caller's key.
+        /// Idempotency key of the request.
         key: IdempotencyKey,
-        /// The record of the claim.
+        /// Id of the record that claimed the key.
         claim: RecordId,
     },
-    /// Asks a box to stop taking work, or to take it again.
+    /// Asks a box to drain, that is, to take no new work, or to take work again.
     DrainBox {
         /// The box.
         target: BoxId,
-        /// Whether it is to drain.
+        /// True to drain the box, false to end the drain.
         drain: bool,
     },
-    /// The state of the cluster up to and with an offset.
+    /// State of the cluster, from which a reader can start without the earlier log.
     Snapshot {
-        /// The last offset that the state contains.
+        /// Offset of the last entry that the state includes.
         at: Offset,
         /// The state.
         state: Box<ClusterState>,
     },
 }
 
-/// One record and who wrote it.
+/// A record of the log with its author.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// The id, kept when the record is appended again.
+    /// Id of the record, which stays the same when it is appended again.
     pub id: RecordId,
-    /// The box that appended it.
+    /// Box that appended it.
     pub by: BoxId,
-    /// What it says.
+    /// Content of the record.
     pub body: RecordBody,
 }
 
-/// What one append carries.
+/// The records of one append.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RecordBatch {
-    /// The records, applied in this order.
+    /// The records, in the order in which they are applied.
     pub records: Vec<LogRecord>,
 }
 
-/// One entry as the platform's log returns it.
+/// One entry of the platform's log, which holds the records of one append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Where it stands.
+    /// Position in the log.
     pub offset: Offset,
-    /// When the platform took it, in milliseconds of Unix time.
+    /// Time of the append by the platform's clock, in milliseconds of Unix time.
     pub at_ms: u64,
-    /// What it carries.
+    /// The records.
     pub batch: RecordBatch,
 }
--- a/crates/sedgehill-core/src/spec.rs
+++ b/crates/sedgehill-core/src/spec.rs
@@ -1,7 +1,7 @@
-//! Templates and parameters, checked.
+//! Templates and parameters after validation.
 //!
-//! These types are made from raw input by [`crate::manifest`] only, and are stored in the log as
-//! they are.
+//! Only [`crate::manifest`] builds these types from raw input. They are stored in the log in this
+//! form.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,79 +12,79 @@
 use crate::ids::{HallName, IdError, KindName, OrgName, TemplateName, text_conversions};
 use crate::units::{EventRate, ResourceSet, TimeSpan};
 
-/// What operators publish: the shape of a workload, without an organisation.
+/// A workload that operators publish, independent of the organisations that use it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkTemplate {
-    /// The name that parameters and jobs refer to.
+    /// Name by which parameters and jobs refer to it.
     pub name: TemplateName,
-    /// What sort of work it is.
+    /// Type and requirements of the work.
     pub work: WorkShape,
 }
 
-/// The three sorts of work.
+/// The three types of work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum WorkShape {
-    /// Requests routed to endpoints.
+    /// Requests that are routed to endpoints.
     Service(ServiceShape),
-    /// Independent tasks, each placed as room allows.
+    /// Independent tasks, each placed as soon as a worker has capacity for it.
     Batch(TaskShape),
-    /// Tasks that must all run at once.
+    /// Tasks that must all run at the same time.
     Gang(TaskShape),
 }
 
 /// A service and the kinds of requests it takes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceShape {
-    /// Requests that one endpoint serves at once.
+    /// Maximum number of requests that one endpoint serves at the same time.
     pub slots: u32,
-    /// Connections that one endpoint takes from all boxes together.
+    /// Maximum number of connections that one endpoint accepts from all boxes together.
     pub connections: u32,
     /// The kinds of requests, by name.
     pub kinds: BTreeMap<KindName, KindShape>,
 }
 
-/// One kind of request.
+/// One kind of request of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindShape {
-    /// How long a request of this kind may wait for an endpoint without harm. Requests are served
-    /// in the order of arrival plus this.
+    /// Time that a request of this kind may wait for an endpoint without harm. Waiting requests are
+    /// ordered by arrival time plus patience.
     pub patience: TimeSpan,
-    /// How long an endpoint may take over it.
+    /// Time limit for an endpoint to answer.
     pub timeout: TimeSpan,
-    /// Whether each request must run at most once, and so needs an `Idempotency-Key`.
+    /// Whether each request must run at most once, which requires an `Idempotency-Key` header.
     pub once_only: bool,
 }
 
-/// What each task of a job needs.
+/// Requirements of each task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskShape {
-    /// The resources of one task.
+    /// Resources of one task.
     pub resources: ResourceSet,
-    /// The declared run time; often far off.
+    /// Declared run time, which is often inaccurate.
     pub run_time: TimeSpan,
-    /// How often a task that failed or was lost is tried in all.
+    /// Maximum number of attempts in total for a task that fails or is lost.
     pub attempts: u32,
 }
 
-/// What one organisation fills in for one template.
+/// Parameters of one organisation for one template.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrgParameters {
     /// The organisation.
     pub organisation: OrgName,
-    /// The template that is filled in.
+    /// Name of the template.
     pub template: TemplateName,
-    /// Work of a higher priority goes first; 0 to 9.
+    /// Priority from 0 to 9; jobs of a higher priority are placed first.
     pub priority: u8,
-    /// Data halls that the work may run in; empty for all.
+    /// Data halls in which the work may run; empty for all.
     pub halls: BTreeSet<HallName>,
-    /// How long work of this organisation may wait beyond its turn.
+    /// Additional time that work of this organisation may wait, beyond the patience of its kind.
     pub tolerable_delay: TimeSpan,
-    /// Requests a second that this organisation may send to one box; none for no limit.
+    /// Maximum rate of requests to one box; `None` for no limit.
     pub rate: Option<EventRate>,
-    /// Requests waiting at one box at once.
+    /// Maximum number of requests that wait at one box.
     pub queue: u32,
-    /// The most that jobs of this organisation may hold at once; none for no limit.
+    /// Maximum resources of the organisation's open jobs with this template; `None` for no limit.
     pub quota: Option<ResourceSet>,
 }
 
@@ -95,13 +95,13 @@
     }
 }
 
-/// What a published version is a version of.
+/// Key of a published configuration.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum ConfigKey {
     /// A template.
     Template(TemplateName),
-    /// The parameters of an organisation for a template.
+    /// Parameters of an organisation for a template.
     Parameters(OrgName, TemplateName),
 }
 
@@ -131,18 +131,18 @@
 
 text_conversions!(ConfigKey);
 
-/// The content of one published version.
+/// Content of a published configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConfigSpec {
     /// A template.
     Template(WorkTemplate),
-    /// An organisation's parameters.
+    /// Parameters of an organisation for a template.
     Parameters(OrgParameters),
 }
 
 impl ConfigSpec {
-    /// What this is a version of.
+    /// Returns the key under which the configuration is published.
     pub fn key(&self) -> ConfigKey {
         match self {
             ConfigSpec::Template(template) => ConfigKey::Template(template.name.clone()),
