--- a/crates/sedgehill-core/src/lib.rs
+++ b/crates/sedgehill-core/src/lib.rs
@@ -1,15 +1,16 @@
-//! The decisions of sedgehill, apart from all I/O.
+//! Scheduling decisions of sedgehill, without I/O.
 //!
-//! Nothing in this package opens a socket, reads a clock or starts a thread. Time, randomness and
-//! messages come in as arguments and actions go out as values, so the daemon, the randomised tests
-//! and the measurements all drive the same code.
+//! Nothing in this package opens a socket, reads a clock or starts a thread. Time and messages are
+//! arguments and actions are return values, so that the daemon, the randomised tests and the
+//! benchmarks run the same code.
 //!
-//! - [`manifest`] turns what operators write into checked [`spec`] types.
-//! - [`record`] and [`state`] fold the platform's log into one [`state::ClusterState`].
-//! - [`lead`] decides which box writes to the workers of a data hall.
-//! - [`placement`] places tasks on the workers of one hall.
+//! - [`manifest`] parses the files that operators write into checked [`spec`] types.
+//! - [`record`] defines the records of the platform's log, and [`state`] applies them to a
+//!   [`state::ClusterState`].
+//! - [`lead`] decides which box leads a data hall, that is, sends orders to its workers.
+//! - [`placement`] places tasks on the workers of one data hall.
 //! - [`dispatch`] chooses the endpoint of each request.
-//! - [`member`] keeps what a box knows of its peers.
+//! - [`member`] tracks the state of the other boxes.
 
 pub mod dispatch;
 pub mod fields;
--- a/crates/sedgehill-core/src/member.rs
+++ b/crates/sedgehill-core/src/member.rs
@@ -1,4 +1,4 @@
-//! What a box knows of its peers: a table fed by heartbeats and by the platform's lagging list.
+//! Tracks the state of a box's peers from their heartbeats.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,48 +8,50 @@
 use crate::ids::{BoxId, EndpointId, HallName, Incarnation, Offset};
 use crate::units::{Moment, ResourceSet, TimeSpan};
 
-/// What a box tells its peers, several times a second.
+/// Heartbeat that each box sends to its peers several times a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxHeartbeat {
-    /// The sender.
+    /// Id of the sending box.
     pub from: BoxId,
-    /// The run of the sender's process.
+    /// Run of the sender's process.
     pub incarnation: Incarnation,
-    /// Counts up within a run; an older heartbeat is ignored.
+    /// Number of the heartbeat within the run. A heartbeat with a lower number than the last one
+    /// received is ignored.
     pub sequence: u64,
-    /// Whether the sender takes new work.
+    /// Whether the sender is draining and takes no new work.
     pub leaving: bool,
-    /// The next offset that the sender will apply.
+    /// Next offset of the log that the sender will apply.
     pub applied: Offset,
-    /// Endpoints that the sender has heard are leaving.
+    /// Endpoints that are draining, as far as the sender knows.
     pub leaving_endpoints: Vec<EndpointId>,
-    /// Room in the halls that the sender leads.
+    /// Capacity of the data halls that the sender leads.
     #[serde(rename = "rooms")]
     pub capacities: Vec<HallCapacity>,
 }
 
-/// The free room of one hall, as its lead sees it. A hint for choosing a hall, never a promise.
+/// Capacity of one data hall according to its lead. It is a hint for choosing a hall and reserves
+/// nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallCapacity {
-    /// The hall.
+    /// The data hall.
     pub hall: HallName,
-    /// The sum over its workers.
+    /// Total resources of its workers.
     pub total: ResourceSet,
-    /// What is free of it.
+    /// Resources of its workers that are free.
     pub free: ResourceSet,
 }
 
-/// How sure a box is that a peer runs.
+/// State of a peer, from its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Heard of recently.
+    /// A heartbeat arrived recently.
     Live,
-    /// Asked to leave, still heard of.
+    /// Heartbeats arrive and say that the peer is draining.
     Leaving,
-    /// Not heard of for a while.
+    /// No heartbeat for [`MemberTiming::suspect_after`].
     Suspect,
-    /// Not heard of for long, or never.
+    /// No heartbeat for [`MemberTiming::gone_after`], or none at all.
     Gone,
 }
 
@@ -64,22 +66,22 @@
     }
 }
 
-/// After how long a silent peer changes state.
+/// Times after which a peer without heartbeats changes state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberTiming {
-    /// Silent for this long: suspect.
+    /// Time since the last heartbeat after which a peer is suspect.
     pub suspect_after: TimeSpan,
-    /// Silent for this long: gone.
+    /// Time since the last heartbeat after which a peer is gone.
     pub gone_after: TimeSpan,
 }
 
 #[derive(Debug, Clone)]
 struct MemberEntry {
-    heard: Moment,
+    received_at: Moment,
     heartbeat: BoxHeartbeat,
 }
 
-/// The peers of one box.
+/// The last heartbeat of each peer of one box.
 #[derive(Debug)]
 pub struct MemberTable {
     timing: MemberTiming,
@@ -87,29 +89,30 @@
 }
 
 impl MemberTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(timing: MemberTiming) -> MemberTable {
         MemberTable { timing, entries: BTreeMap::new() }
     }
 
-    /// Takes a heartbeat that arrived at `now`; an older one than is held is ignored.
+    /// Stores a heartbeat that arrived at `now`. Returns false and ignores it if it is not newer
+    /// than the last one of the same peer.
     pub fn record_heartbeat(&mut self, heartbeat: BoxHeartbeat, now: Moment) -> bool {
-        let order = |beat: &BoxHeartbeat| (beat.incarnation, beat.sequence);
+        let position = |beat: &BoxHeartbeat| (beat.incarnation, beat.sequence);
         let stale = self
             .entries
             .get(&heartbeat.from)
-            .is_some_and(|entry| order(&entry.heartbeat) >= order(&heartbeat));
+            .is_some_and(|entry| position(&entry.heartbeat) >= position(&heartbeat));
         if !stale {
             let from = heartbeat.from.clone();
-            self.entries.insert(from, MemberEntry { heard: now, heartbeat });
+            self.entries.insert(from, MemberEntry { received_at: now, heartbeat });
         }
         !stale
     }
 
-    /// The state of a peer.
+    /// Returns the state of a peer.
     pub fn state(&self, peer: &BoxId, now: Moment) -> MemberState {
         let Some(entry) = self.entries.get(peer) else { return MemberState::Gone };
-        let silent = now.since(entry.heard);
+        let silent = now.since(entry.received_at);
         if silent >= self.timing.gone_after {
             MemberState::Gone
         } else if silent >= self.timing.suspect_after {
@@ -121,15 +124,15 @@
         }
     }
 
-    /// The last heartbeat of each peer that is not gone.
+    /// Returns the last heartbeat of each peer that is not gone.
     pub fn heartbeats(&self, now: Moment) -> impl Iterator<Item = &BoxHeartbeat> {
         self.entries
             .values()
-            .filter(move |entry| now.since(entry.heard) < self.timing.gone_after)
+            .filter(move |entry| now.since(entry.received_at) < self.timing.gone_after)
             .map(|entry| &entry.heartbeat)
     }
 
-    /// Every peer that takes new work, in order of name.
+    /// Returns every peer that takes new work, sorted by id.
     pub fn live(&self, now: Moment) -> Vec<BoxId> {
         self.entries
             .keys()
@@ -138,7 +141,8 @@
             .collect()
     }
 
-    /// Every peer ever heard of with its state, in order of name.
+    /// Returns every peer that ever sent a heartbeat, with its state and the next offset that it
+    /// will apply, sorted by id.
     pub fn states(&self, now: Moment) -> Vec<(BoxId, MemberState, Offset)> {
         self.entries
             .iter()
