--- a/crates/sedgehill-core/src/placement/decision.rs
+++ b/crates/sedgehill-core/src/placement/decision.rs
@@ -1,4 +1,4 @@
-//! What the placement of a hall decides, and why.
+//! Actions and decisions of the placement in a data hall.
 
 use std::collections::BTreeSet;
 
@@ -8,45 +8,45 @@
 use crate::ids::{TaskId, WorkerId};
 use crate::job::TaskEnd;
 
-/// What the lead has to do.
+/// An action that the lead must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementAction {
-    /// Start a task.
+    /// Send the order to start a task to a worker.
     Start(WorkerId, TaskStart),
-    /// Ask for the inventory, and pass on renewals and stops.
+    /// Send lease renewals and stop orders to a worker and request its inventory.
     Sync(WorkerId, WorkerSync),
-    /// Record attempts that ended.
+    /// Append a record of the attempts that ended.
     End(Vec<TaskEnd>),
-    /// Record workers before they are used, and those that surely run nothing any more.
+    /// Append a change of the roster: the workers on which tasks may run.
     Roster {
-        /// Workers about to be used.
+        /// Workers that may be used once they are in the roster.
         add: BTreeSet<WorkerId>,
-        /// Workers that surely run nothing.
+        /// Workers that are no longer listed and cannot be running any task.
         remove: BTreeSet<WorkerId>,
     },
 }
 
-/// Why a waiting task waits.
+/// Why a task waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// The lead is new and has not heard of every worker yet.
+    /// The lead is new and does not yet know what every worker runs.
     Recovering,
-    /// No worker has room for it now.
+    /// No worker has enough free resources now.
     NoRoom,
-    /// No worker of the hall could ever hold it.
+    /// No worker of the data hall has enough resources in total.
     NeverFits,
-    /// The other tasks of its gang are being stopped, so that all start together.
+    /// Its gang is incomplete: the other tasks are being stopped, so that all start together.
     Regrouping,
 }
 
-/// One decision, for the log line and for reading back.
+/// A decision about one task, for the log and for status queries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementDecision {
     /// The task.
     pub task: TaskId,
-    /// The worker that was chosen, or why none was.
+    /// The chosen worker, or why none was chosen.
     pub result: Result<WorkerId, WaitReason>,
-    /// Workers with room.
+    /// Number of workers that could have run the task.
     pub candidates: usize,
 }
--- a/crates/sedgehill-core/src/placement/message.rs
+++ b/crates/sedgehill-core/src/placement/message.rs
@@ -1,4 +1,4 @@
-//! What a lead and its workers say to each other.
+//! Messages between a lead and the workers of its data hall.
 
 use std::collections::BTreeSet;
 
@@ -8,63 +8,63 @@
 use crate::job::TaskOutcome;
 use crate::units::{ResourceSet, TimeSpan};
 
-/// The order to start a task.
+/// Order to start a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStart {
-    /// The attempt.
+    /// The attempt to start.
     pub attempt: AttemptId,
-    /// The term of the lead that starts it.
+    /// Epoch of the lead that starts it.
     pub epoch: Epoch,
-    /// What it is given.
+    /// Resources that the task may use.
     pub resources: ResourceSet,
-    /// How long it runs without a renewal.
+    /// Time after which the worker stops the task unless its lease is renewed.
     pub lease: TimeSpan,
-    /// The declared run time.
+    /// Declared run time of the task.
     pub run_time: TimeSpan,
 }
 
-/// What a lead asks of a worker at each sync.
+/// Periodic request of a lead to a worker, which the worker answers with its [`WorkerInventory`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerSync {
-    /// The term of the lead.
+    /// Epoch of the lead.
     pub epoch: Epoch,
-    /// How long the renewed tasks run without another renewal.
+    /// New lease of the renewed tasks, from the receipt of the request.
     pub lease: TimeSpan,
-    /// Tasks whose leases are renewed.
+    /// Attempts whose leases are renewed.
     pub renew: BTreeSet<AttemptId>,
-    /// Tasks to stop.
+    /// Attempts to stop.
     pub stop: BTreeSet<AttemptId>,
-    /// Ended tasks that the worker need not report any more.
+    /// Ended attempts that the worker no longer needs to report.
     pub forget: BTreeSet<AttemptId>,
 }
 
-/// One task as its worker reports it.
+/// One attempt as reported by its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What it was given.
+    /// Resources that the task was given.
     pub resources: ResourceSet,
-    /// How it ended; none while it runs.
+    /// How it ended; `None` while it runs.
     pub outcome: Option<TaskOutcome>,
 }
 
-/// Everything a worker runs or has to report.
+/// All attempts that a worker runs, and ended attempts that it was not yet told to forget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerInventory {
-    /// The run of the worker: tasks of an earlier run are gone.
+    /// Run of the worker's process. Tasks of an earlier run no longer exist.
     pub incarnation: Incarnation,
-    /// The tasks.
+    /// The running and ended attempts.
     pub tasks: Vec<TaskReport>,
 }
 
-/// How a start order ended.
+/// Result of a start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartReply {
-    /// The task runs.
+    /// The worker started the task.
     Started,
-    /// The worker refused: the task does not run there.
+    /// The worker refused, or the order was never sent: the task does not run there.
     Refused,
-    /// No answer: the task may run there now or soon.
+    /// There was no answer: the task may run there now, or start while the order is in transit.
     Unknown,
 }
--- a/crates/sedgehill-core/src/placement/mod.rs
+++ b/crates/sedgehill-core/src/placement/mod.rs
@@ -1,9 +1,9 @@
 //! Places tasks on the workers of one data hall, for the box that leads the hall.
 //!
-//! A worker runs whatever is sent to it, so the lead alone keeps account of its room. A new lead
-//! believes nothing: [`HallPlacer`] asks each worker for its inventory before it starts anything
-//! there, and starts no task that a silent worker could still be running until the lease of any
-//! such task has surely lapsed.
+//! Workers run every task that is sent to them, so only the lead tracks how much of their resources
+//! is in use. A new lead starts without any assumption: [`HallPlacer`] requests the inventory of
+//! each worker before it starts a task there. It does not start a task that a silent worker may
+//! still be running until the lease of that task has expired.
 
 mod decision;
 mod message;
@@ -26,48 +26,55 @@
 pub use worker::WorkerView;
 use worker::{PlacedTask, TaskPhase, WorkerEntry};
 
-/// Failed starts in a row that shut a worker out.
+/// Consecutive failures that suspend a worker.
 const SUSPENSION_FAILURES: u32 = 3;
-/// How long a worker is shut out at first; it doubles up to [`MAX_SUSPENSION`].
+/// Duration of the first suspension. It doubles with each further one, up to [`MAX_SUSPENSION`].
 const FIRST_SUSPENSION: TimeSpan = TimeSpan(2_000);
-/// The longest that a worker is shut out before it is probed.
+/// Maximum duration of a suspension, after which a task probes the worker.
 const MAX_SUSPENSION: TimeSpan = TimeSpan(60_000);
 
-/// The times of placement.
+/// Durations used by the placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementTiming {
-    /// How long a task runs on without a renewal.
+    /// Time for which a task runs without a renewal of its lease.
     pub lease: TimeSpan,
-    /// How long a message may be under way, and how far clocks may drift over a lease.
+    /// Maximum time from sending a message to its arrival. It also bounds the clock drift between
+    /// lead and worker over the duration of a lease.
     pub max_delivery_delay: TimeSpan,
-    /// How often each worker is asked for its inventory and has its leases renewed.
+    /// Interval at which the lead requests each worker's inventory and renews its leases.
     pub sync_every: TimeSpan,
 }
 
-/// The tasks and workers of one hall under one epoch.
+/// Places the tasks of one data hall under one epoch of its lead.
 #[derive(Debug)]
 pub struct HallPlacer {
     hall: HallName,
     epoch: Epoch,
     timing: PlacementTiming,
+    /// Time at which the lead began.
     started_at: Moment,
     workers: BTreeMap<WorkerId, WorkerEntry>,
     tasks: PlacementTable,
-    /// Open jobs of which no task waits, so that a look at waiting work passes them over.
+    /// Open jobs without a task to place, which are skipped in the search for waiting tasks.
     fully_placed: BTreeSet<JobId>,
-    /// Gangs that lost a task: the others are stopped, so that all start together again.
+    /// Incomplete gangs, whose running tasks are stopped so that all tasks start together again.
     regrouping: BTreeSet<JobId>,
+    /// Ended attempts that are not in the log yet.
     ended: BTreeMap<TaskId, TaskEnd>,
+    /// Tasks in `ended` that were returned in a [`PlacementAction::End`].
     returned_ends: BTreeSet<TaskId>,
+    /// The last roster change that was returned: workers to add and to remove.
     requested_roster_change: (BTreeSet<WorkerId>, BTreeSet<WorkerId>),
     duplicate_runs: u64,
+    /// Times before which tasks are not started again.
     backoff_until: BTreeMap<TaskId, Moment>,
     wait_reasons: BTreeMap<TaskId, WaitReason>,
+    /// Decisions since the last [`HallPlacer::take_decisions`].
     decisions: Vec<PlacementDecision>,
 }
 
 impl HallPlacer {
-    /// A placer for a lead that started_at at `now`.
+    /// Creates a placer for a lead that begins at `now`.
     pub fn new(hall: HallName, epoch: Epoch, timing: PlacementTiming, now: Moment) -> HallPlacer {
         HallPlacer {
             hall,
@@ -88,74 +95,75 @@
         }
     }
 
-    /// The term that this placer acts under.
+    /// Returns the epoch of the lead.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The decisions since the last call.
+    /// Returns the decisions since the last call.
     pub fn take_decisions(&mut self) -> Vec<PlacementDecision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Where a task is placed, and since when.
+    /// Returns the worker on which a task is placed, and since when.
     pub fn placement(&self, task: &TaskId) -> Option<(&WorkerId, Moment)> {
         self.tasks.get(task).map(|placed| (&placed.worker, placed.placed_at))
     }
 
-    /// The tasks that hold room on a worker, as the worker would report them.
+    /// Returns the tasks placed on a worker, in the form in which the worker reports them.
     pub fn running_on(&self, worker: &WorkerId) -> impl Iterator<Item = TaskReport> {
-        self.tasks.on(worker).map(|(task, placed)| TaskReport {
+        self.tasks.tasks_on(worker).map(|(task, placed)| TaskReport {
             attempt: AttemptId { task: *task, attempt: placed.attempt },
             resources: placed.resources,
             outcome: None,
         })
     }
 
-    /// Why a task waits.
+    /// Returns why a task waits.
     pub fn wait_reason(&self, task: &TaskId) -> Option<WaitReason> {
         self.wait_reasons.get(task).copied()
     }
 
-    /// The room of the hall: all and free.
+    /// Returns the total and the free resources of the hall's known workers that are not draining.
     pub fn capacity(&self) -> (ResourceSet, ResourceSet) {
         let sum = |get: fn(&WorkerEntry) -> ResourceSet| {
             self.workers
                 .values()
-                .filter(|room| room.is_known() && !room.view.leaving)
-                .fold(ResourceSet::default(), |sum, room| sum.plus(&get(room)))
+                .filter(|entry| entry.has_inventory() && !entry.view.leaving)
+                .fold(ResourceSet::default(), |sum, entry| sum.plus(&get(entry)))
         };
-        (sum(|room| room.view.total), sum(WorkerEntry::free))
+        (sum(|entry| entry.view.total), sum(WorkerEntry::free))
     }
 
-    /// How often a worker reported a task that another was known to run. Workers cause this by
-    /// running on beyond a lease; the lead stops the second run.
+    /// Returns how often a worker reported a running attempt although the task was placed
+    /// otherwise. This happens if a worker runs a task beyond its lease; the lead stops the
+    /// duplicate.
     pub fn duplicate_runs(&self) -> u64 {
         self.duplicate_runs
     }
 
-    /// The tasks that are placed.
+    /// Returns the number of placed tasks.
     pub fn placed_count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Whether a start order is under way, so that the lead must not be handed over yet.
+    /// Whether the result of a start order is still awaited, so that the lead must not be released.
     pub fn has_pending_starts(&self) -> bool {
         self.tasks.iter().any(|(_, placed)| matches!(placed.phase, TaskPhase::Starting))
     }
 
-    /// Takes in the workers that the platform lists, and those on which an earlier lead may have
-    /// started tasks.
+    /// Updates the workers from the platform's list and from the roster in the log, which contains
+    /// all workers on which an earlier lead may have started tasks.
     pub fn sync_workers(&mut self, listed: &[WorkerView], roster: &BTreeSet<WorkerId>) {
-        for room in self.workers.values_mut() {
-            room.listed = false;
+        for entry in self.workers.values_mut() {
+            entry.listed = false;
         }
         for view in listed.iter().filter(|view| view.hall == self.hall) {
-            let room = self
+            let entry = self
                 .workers
                 .entry(view.id.clone())
                 .or_insert_with(|| WorkerEntry::new(view.clone()));
-            room.renew(view.clone());
+            entry.update_view(view.clone());
         }
         for worker in roster {
             if !self.workers.contains_key(worker) {
@@ -167,7 +175,8 @@
         }
     }
 
-    /// Moves on to `now` and says what to do. To be called only while the lead may act.
+    /// Advances to `now` and returns the actions to carry out. May be called only while the box
+    /// holds the lead.
     pub fn tick(&mut self, state: &ClusterState, now: Moment) -> Vec<PlacementAction> {
         let mut actions = Vec::new();
         self.drop_recorded_ends(state);
@@ -184,31 +193,31 @@
         actions
     }
 
-    /// Drops ends that the log has, and the tasks with them.
+    /// Drops the ended attempts that are recorded in the log by now.
     fn drop_recorded_ends(&mut self, state: &ClusterState) {
         let fully_placed = &mut self.fully_placed;
         self.ended.retain(|task, end| {
             let job = state.jobs.get(&task.job);
-            let unsettled = job
+            let unrecorded = job
                 .and_then(|job| job.tasks.get(task.index as usize))
                 .is_some_and(|task| task.attempts <= end.attempt && task.outcome.is_none());
-            if !unsettled {
+            if !unrecorded {
                 fully_placed.remove(&task.job);
             }
-            unsettled
+            unrecorded
         });
         self.returned_ends.retain(|task| self.ended.contains_key(task));
     }
 
-    /// Gives up on tasks of silent workers once their leases have surely lapsed.
+    /// Ends the tasks that count as lost, since their leases have expired on silent workers.
     fn expire_leases(&mut self, now: Moment) {
-        let lapsed: Vec<TaskId> = self
+        let lost: Vec<TaskId> = self
             .tasks
             .iter()
             .filter(|(_, placed)| placed.lost_at <= now)
             .map(|(task, _)| *task)
             .collect();
-        for task in lapsed {
+        for task in lost {
             self.end_task(task, TaskOutcome::Lost, now);
         }
     }
@@ -220,13 +229,13 @@
         self.regrouping.retain(|job| is_open(state, job));
     }
 
-    /// Ends that were not handed over to be recorded before.
+    /// Returns the ended attempts that were not returned before.
     fn take_new_ends(&mut self) -> Vec<TaskEnd> {
         let returned_ends = &mut self.returned_ends;
         self.ended.values().filter(|end| returned_ends.insert(end.task)).copied().collect()
     }
 
-    /// Takes a task out of the account; its job may have waiting tasks from now on.
+    /// Removes a placed task. Its job may have tasks to place again.
     fn remove_task(&mut self, task: &TaskId) -> Option<PlacedTask> {
         self.fully_placed.remove(&task.job);
         self.tasks.remove(task)
@@ -234,40 +243,43 @@
 
     fn end_task(&mut self, task: TaskId, outcome: TaskOutcome, now: Moment) {
         let Some(placed) = self.remove_task(&task) else { return };
-        if let Some(room) = self.workers.get_mut(&placed.worker) {
-            room.release(&placed.resources);
-            room.record_outcome(outcome, now);
+        if let Some(entry) = self.workers.get_mut(&placed.worker) {
+            entry.release(&placed.resources);
+            entry.record_outcome(outcome, now);
         }
         self.ended.insert(task, TaskEnd { task, attempt: placed.attempt, outcome });
         if outcome != TaskOutcome::Done {
-            let wait = TimeSpan(500u64 << placed.attempt.min(6));
-            self.backoff_until.insert(task, now.after(wait));
+            let backoff = TimeSpan(500u64 << placed.attempt.min(6));
+            self.backoff_until.insert(task, now.after(backoff));
         }
     }
 
+    /// Returns the change that the roster needs, unless it was returned before. Usable workers are
+    /// added; workers that are no longer listed are removed once no task can be running on them.
     fn roster_change(&mut self, state: &ClusterState, now: Moment) -> Option<PlacementAction> {
         let roster =
             state.halls.get(&self.hall).map(|hall| hall.roster.clone()).unwrap_or_default();
-        let usable = |room: &&WorkerEntry| room.listed && !room.view.leaving && room.is_known();
+        let usable =
+            |entry: &&WorkerEntry| entry.listed && !entry.view.leaving && entry.has_inventory();
         let add: BTreeSet<WorkerId> = self
             .workers
             .values()
             .filter(usable)
-            .map(|room| room.view.id.clone())
+            .map(|entry| entry.view.id.clone())
             .filter(|id| !roster.contains(id))
             .collect();
-        let lapse = self.earlier_leases_end();
+        let earlier_leases_end = self.earlier_leases_end();
         let tasks = &self.tasks;
         let remove: BTreeSet<WorkerId> = roster
             .iter()
-            .filter(|id| now >= lapse && !tasks.has_tasks(id))
-            .filter(|id| self.workers.get(*id).is_none_or(|room| !room.listed))
+            .filter(|id| now >= earlier_leases_end && !tasks.has_tasks(id))
+            .filter(|id| self.workers.get(*id).is_none_or(|entry| !entry.listed))
             .cloned()
             .collect();
-        for room in self.workers.values_mut() {
-            room.in_roster = roster.contains(&room.view.id);
+        for entry in self.workers.values_mut() {
+            entry.in_roster = roster.contains(&entry.view.id);
         }
-        self.workers.retain(|id, room| room.listed || roster.contains(id) || tasks.has_tasks(id));
+        self.workers.retain(|id, entry| entry.listed || roster.contains(id) || tasks.has_tasks(id));
         let change = (add, remove);
         if change == self.requested_roster_change {
             return None;
@@ -277,17 +289,18 @@
         (!add.is_empty() || !remove.is_empty()).then_some(PlacementAction::Roster { add, remove })
     }
 
-    /// When whatever an earlier lead started has surely ended, unless a worker has reported it.
+    /// Returns the time by which the leases of all tasks that earlier leads started have expired,
+    /// unless a worker has reported them.
     fn earlier_leases_end(&self) -> Moment {
         self.started_at.after(self.timing.lease).after(self.timing.max_delivery_delay)
     }
 
-    /// Asserts that the account of each worker that changed is right.
+    /// Checks the resources in use of each worker for which they changed.
     fn check_usage(&mut self) {
-        for (worker, room) in &mut self.workers {
-            if room.take_usage_changed() {
-                let placed = self.tasks.on(worker);
-                room.check_usage(
+        for (worker, entry) in &mut self.workers {
+            if entry.take_usage_changed() {
+                let placed = self.tasks.tasks_on(worker);
+                entry.check_usage(
                     placed.fold(ResourceSet::default(), |sum, (_, placed)| {
                         sum.plus(&placed.resources)
                     }),
--- a/crates/sedgehill-core/src/placement/score.rs
+++ b/crates/sedgehill-core/src/placement/score.rs
@@ -1,4 +1,4 @@
-//! Which worker fits a task best.
+//! Chooses the worker that fits a task best.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,8 @@
 use crate::ids::WorkerId;
 use crate::units::{Moment, ResourceSet};
 
-/// The fullest worker that still holds the task, and how many could hold it.
+/// Returns the usable worker with the least resources left over after the task, and the number of
+/// workers that could run it.
 pub(super) fn best_fit(
     workers: &BTreeMap<WorkerId, WorkerEntry>,
     need: &ResourceSet,
@@ -14,33 +15,33 @@
 ) -> (Option<WorkerId>, usize) {
     let mut candidates = 0;
     let mut best: Option<(u64, &WorkerId)> = None;
-    for (id, room) in workers {
-        if !room.free().fits(need) || !room.is_usable(now) {
+    for (id, entry) in workers {
+        if !entry.free().fits(need) || !entry.is_usable(now) {
             continue;
         }
         candidates += 1;
-        let left = leftover(room, need);
-        if best.is_none_or(|(least, _)| left < least) {
-            best = Some((left, id));
+        let leftover = leftover_share(entry, need);
+        if best.is_none_or(|(lowest, _)| leftover < lowest) {
+            best = Some((leftover, id));
         }
     }
     (best.map(|(_, id)| id.clone()), candidates)
 }
 
-/// The share of the worker left free, summed over its resources, in millionths. An accelerator
-/// left over where none is needed weighs heavily, so that such workers stay free for work that
-/// needs them.
-fn leftover(room: &WorkerEntry, need: &ResourceSet) -> u64 {
+/// Returns the shares of the worker's cores and memory that remain free after the task, added up,
+/// in millionths. A worker with a free accelerator gets a penalty for a task that needs none, so
+/// that it stays available for tasks that do.
+fn leftover_share(entry: &WorkerEntry, need: &ResourceSet) -> u64 {
     const SCALE: u64 = 1_000_000;
-    const UNUSED_ACCELERATOR: u64 = 3 * SCALE;
+    const IDLE_ACCELERATOR_PENALTY: u64 = 3 * SCALE;
     let share = |free: u64, need: u64, total: u64| match total {
         0 => 0,
         total => (u128::from(free - need) * u128::from(SCALE) / u128::from(total)) as u64,
     };
-    let total = &room.view.total;
-    let left = room.free();
-    let cores = share(left.cores.0, need.cores.0, total.cores.0);
-    let memory = share(left.memory.0, need.memory.0, total.memory.0);
-    let wasted = need.accelerators == 0 && left.accelerators > 0;
-    cores + memory + if wasted { UNUSED_ACCELERATOR } else { 0 }
+    let total = &entry.view.total;
+    let free = entry.free();
+    let cores = share(free.cores.0, need.cores.0, total.cores.0);
+    let memory = share(free.memory.0, need.memory.0, total.memory.0);
+    let idles_accelerator = need.accelerators == 0 && free.accelerators > 0;
+    cores + memory + if idles_accelerator { IDLE_ACCELERATOR_PENALTY } else { 0 }
 }
--- a/crates/sedgehill-core/src/placement/table.rs
+++ b/crates/sedgehill-core/src/placement/table.rs
@@ -1,12 +1,12 @@
-//! Which task holds room on which worker.
+//! Index of the placed tasks by task and by worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::worker::PlacedTask;
 use crate::ids::{TaskId, WorkerId};
 
-/// The tasks that hold room, found by task and by worker, so that a look at one worker costs nothing
-/// for the others.
+/// The tasks that hold resources, indexed by task and by worker, so that listing the tasks of one
+/// worker does not scan the others.
 #[derive(Debug, Default)]
 pub(super) struct PlacementTable {
     tasks: BTreeMap<TaskId, PlacedTask>,
@@ -26,8 +26,8 @@
         self.tasks.get(task)
     }
 
-    /// The task, if it holds room on this worker.
-    pub fn get_on(&mut self, worker: &WorkerId, task: &TaskId) -> Option<&mut PlacedTask> {
+    /// Returns the task if it is placed on this worker.
+    pub fn get_on_worker(&mut self, worker: &WorkerId, task: &TaskId) -> Option<&mut PlacedTask> {
         self.tasks.get_mut(task).filter(|placed| placed.worker == *worker)
     }
 
@@ -35,10 +35,10 @@
         self.tasks.iter()
     }
 
-    /// The tasks on one worker.
-    pub fn on(&self, worker: &WorkerId) -> impl Iterator<Item = (&TaskId, &PlacedTask)> {
-        let here = self.by_worker.get(worker).into_iter().flatten();
-        here.map(|task| (task, &self.tasks[task]))
+    /// Returns the tasks placed on one worker.
+    pub fn tasks_on(&self, worker: &WorkerId) -> impl Iterator<Item = (&TaskId, &PlacedTask)> {
+        let tasks = self.by_worker.get(worker).into_iter().flatten();
+        tasks.map(|task| (task, &self.tasks[task]))
     }
 
     pub fn has_tasks(&self, worker: &WorkerId) -> bool {
@@ -49,18 +49,18 @@
     ///
     /// # Panics
     ///
-    /// If the task holds room already: it would run in two places.
+    /// Panics if the task is already placed, since it would run twice.
     pub fn insert(&mut self, task: TaskId, placed: PlacedTask) {
         self.by_worker.entry(placed.worker.clone()).or_default().insert(task);
-        let before = self.tasks.insert(task, placed);
-        assert!(before.is_none(), "invariant: no task runs in two places: {task}");
+        let previous = self.tasks.insert(task, placed);
+        assert!(previous.is_none(), "invariant: no task runs in two places: {task}");
     }
 
     pub fn remove(&mut self, task: &TaskId) -> Option<PlacedTask> {
         let placed = self.tasks.remove(task)?;
-        if let Some(here) = self.by_worker.get_mut(&placed.worker) {
-            here.remove(task);
-            if here.is_empty() {
+        if let Some(tasks) = self.by_worker.get_mut(&placed.worker) {
+            tasks.remove(task);
+            if tasks.is_empty() {
                 self.by_worker.remove(&placed.worker);
             }
         }
--- a/crates/sedgehill-core/src/placement/waiting.rs
+++ b/crates/sedgehill-core/src/placement/waiting.rs
@@ -1,4 +1,4 @@
-//! Which waiting task goes where, and why one waits.
+//! Places waiting tasks on workers and records why tasks wait.
 
 use super::worker::{PlacedTask, TaskPhase, WorkerEntry};
 use super::{HallPlacer, PlacementAction, PlacementDecision, TaskStart, WaitReason, score};
@@ -8,18 +8,20 @@
 use crate::units::{Moment, ResourceSet};
 
 impl HallPlacer {
-    /// Whether every worker on which something could run has been heard of, or its leases lapsed.
+    /// Whether every worker in the roster has sent an inventory, or all leases of earlier leads
+    /// have expired. Before that, no task is started.
     fn is_recovered(&self, now: Moment) -> bool {
-        let heard_of = |room: &WorkerEntry| !room.in_roster || room.is_known();
-        now >= self.earlier_leases_end() || self.workers.values().all(heard_of)
+        let is_accounted = |entry: &WorkerEntry| !entry.in_roster || entry.has_inventory();
+        now >= self.earlier_leases_end() || self.workers.values().all(is_accounted)
     }
 
+    /// Places waiting tasks, by priority and then in the order of submission.
     pub(super) fn place_waiting(
         &mut self,
         state: &ClusterState,
         now: Moment,
     ) -> Vec<PlacementAction> {
-        let recovered = self.is_recovered(now);
+        let is_recovered = self.is_recovered(now);
         let mut jobs: Vec<(&JobId, &JobState)> = state
             .jobs
             .iter()
@@ -33,7 +35,7 @@
             if waiting.is_empty() {
                 continue;
             }
-            if !recovered {
+            if !is_recovered {
                 self.record_waits(&waiting, WaitReason::Recovering, 0);
             } else if job.gang && self.update_regrouping(*id, job, &waiting) {
                 self.record_waits(&waiting, WaitReason::Regrouping, 0);
@@ -46,19 +48,20 @@
         actions
     }
 
-    /// Whether a gang with waiting tasks has others that run, are being recorded or back off. Those
-    /// that run are stopped: a gang starts whole.
+    /// Whether a gang must wait because some of its unfinished tasks cannot be placed now: they
+    /// run, their end is not recorded yet, or they are backing off. Its running tasks are stopped,
+    /// since all tasks of a gang start together.
     fn update_regrouping(&mut self, id: JobId, job: &JobState, waiting: &[(TaskId, u32)]) -> bool {
         let unfinished = job.tasks.iter().filter(|task| task.outcome.is_none()).count();
-        let whole = waiting.len() == unfinished;
-        match whole {
+        let all_waiting = waiting.len() == unfinished;
+        match all_waiting {
             true => self.regrouping.remove(&id),
             false => self.regrouping.insert(id),
         };
-        !whole
+        !all_waiting
     }
 
-    /// The tasks of a job that may be placed now.
+    /// Returns the tasks of a job that may be placed now, with the number of their next attempt.
     fn waiting_tasks(&mut self, id: JobId, job: &JobState, now: Moment) -> Vec<(TaskId, u32)> {
         let unplaced: Vec<(TaskId, u32)> = job
             .tasks
@@ -75,6 +78,7 @@
         unplaced.into_iter().filter(|(task, _)| is_due(task)).collect()
     }
 
+    /// Places the tasks of a batch job one by one until one does not fit.
     fn place_independent(
         &mut self,
         job: &JobState,
@@ -94,23 +98,23 @@
         actions
     }
 
-    /// Places all tasks of a gang that do not run yet, or none of them.
+    /// Places all given tasks of a gang, or none of them.
     fn place_gang(
         &mut self,
         job: &JobState,
         waiting: &[(TaskId, u32)],
         now: Moment,
     ) -> Vec<PlacementAction> {
-        let before = self.workers.clone();
+        let original_workers = self.workers.clone();
         let mut chosen = Vec::new();
         for _ in waiting {
             let (worker, candidates) = score::best_fit(&self.workers, &job.shape.resources, now);
             let Some(worker) = worker else { break };
-            let room = self.workers.get_mut(&worker).expect("the worker was just chosen");
-            room.reserve(&job.shape.resources);
+            let entry = self.workers.get_mut(&worker).expect("the chosen worker has an entry");
+            entry.reserve(&job.shape.resources);
             chosen.push((worker, candidates));
         }
-        self.workers = before;
+        self.workers = original_workers;
         if chosen.len() < waiting.len() {
             let reason = self.wait_reason_for(&job.shape.resources);
             self.record_waits(waiting, reason, chosen.len());
@@ -125,13 +129,16 @@
             .collect()
     }
 
+    /// Returns why a task that needs `need` cannot be placed.
     fn wait_reason_for(&self, need: &ResourceSet) -> WaitReason {
-        match self.workers.values().any(|room| room.view.total.fits(need)) {
+        match self.workers.values().any(|entry| entry.view.total.fits(need)) {
             true => WaitReason::NoRoom,
             false => WaitReason::NeverFits,
         }
     }
 
+    /// Stores the reason for which tasks wait, and adds a decision for each task whose reason
+    /// changed.
     fn record_waits(&mut self, waiting: &[(TaskId, u32)], reason: WaitReason, candidates: usize) {
         for (task, _) in waiting {
             if self.wait_reasons.insert(*task, reason) != Some(reason) {
@@ -144,6 +151,7 @@
         }
     }
 
+    /// Reserves the resources of a task on a worker and returns the start order.
     fn start(
         &mut self,
         job: &JobState,
@@ -154,8 +162,8 @@
         now: Moment,
     ) -> PlacementAction {
         let resources = job.shape.resources;
-        let room = self.workers.get_mut(&worker).expect("the worker was just chosen");
-        room.reserve(&resources);
+        let entry = self.workers.get_mut(&worker).expect("the chosen worker has an entry");
+        entry.reserve(&resources);
         self.wait_reasons.remove(&task);
         let placed = PlacedTask {
             worker: worker.clone(),
--- a/crates/sedgehill-core/src/placement/worker.rs
+++ b/crates/sedgehill-core/src/placement/worker.rs
@@ -1,4 +1,4 @@
-//! The account of one worker's room.
+//! State of one worker as known to the lead of its data hall.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,41 +9,41 @@
 use crate::job::TaskOutcome;
 use crate::units::{Moment, ResourceSet, TimeSpan};
 
-/// What the platform's list says of a worker.
+/// A worker as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerView {
-    /// The worker.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Its data hall.
+    /// Data hall in which it runs.
     pub hall: HallName,
-    /// Its rack.
+    /// Rack in which it runs.
     pub rack: RackName,
-    /// Where it listens; none if it is no longer listed.
+    /// Address on which it listens; `None` if it is no longer listed.
     pub address: Option<std::net::SocketAddr>,
-    /// What it has.
+    /// Resources that it has.
     pub total: ResourceSet,
-    /// Whether it takes no new work.
+    /// Whether it is draining and takes no new tasks.
     pub leaving: bool,
 }
 
-/// How far the start of a task has come.
+/// Progress of the start of a placed task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TaskPhase {
-    /// The order is under way.
+    /// The start order was issued and its result is not known yet.
     Starting,
-    /// The order was not answered; it may still arrive until this moment.
+    /// The start order was not answered, and the worker may still receive it.
     Uncertain {
-        /// When it has surely arrived or been lost.
+        /// Time by which the order has arrived or was lost.
         until: Moment,
     },
-    /// The worker has said that it runs.
+    /// The worker reported that the task runs.
     Running {
-        /// When that was first heard.
+        /// Time of the last report.
         confirmed: Moment,
     },
 }
 
-/// A task that holds room.
+/// A task that holds resources of a worker.
 #[derive(Debug, Clone)]
 pub(super) struct PlacedTask {
     pub worker: WorkerId,
@@ -51,44 +51,54 @@
     pub resources: ResourceSet,
     pub phase: TaskPhase,
     pub placed_at: Moment,
-    /// When its lease has surely lapsed, if nothing is heard of it until then.
+    /// Time at which its lease has expired on the worker even with the longest delivery delay,
+    /// unless the worker reports it again. The task then counts as lost.
     pub lost_at: Moment,
 }
 
 impl PlacedTask {
-    /// Whether an inventory asked for at `sent` must list the task if it runs.
-    pub fn must_be_in_inventory(&self, sent: Moment) -> bool {
+    /// Whether the answer to a sync sent at `sync_sent` must list the task if it runs.
+    pub fn must_be_in_inventory(&self, sync_sent: Moment) -> bool {
         match self.phase {
             TaskPhase::Starting => false,
-            TaskPhase::Uncertain { until } => until <= sent,
-            TaskPhase::Running { confirmed } => confirmed < sent,
+            TaskPhase::Uncertain { until } => until <= sync_sent,
+            TaskPhase::Running { confirmed } => confirmed < sync_sent,
         }
     }
 }
 
-/// One worker as its lead knows it.
+/// One worker as known to the lead.
 #[derive(Debug, Clone)]
 pub(super) struct WorkerEntry {
     pub view: WorkerView,
+    /// Whether the platform lists the worker.
     pub listed: bool,
+    /// Whether the roster in the log contains the worker.
     pub in_roster: bool,
     /// Ended attempts that the worker reports until it is told to forget them.
     pub reported_ends: BTreeSet<AttemptId>,
-    /// Attempts that run here although the task is known to run elsewhere; they are stopped.
+    /// Attempts that run here although another attempt of the task, or one on another worker, is
+    /// placed, with their resources. They are stopped.
     pub duplicates: BTreeMap<AttemptId, ResourceSet>,
+    /// Resources in use by placed tasks and duplicates.
     used: ResourceSet,
     /// Whether `used` changed since it was last checked.
-    changed: bool,
+    usage_changed: bool,
+    /// Whether a sync is in progress.
     syncing: bool,
+    /// Whether the last sync was not answered.
     silent: bool,
+    /// Run of the worker's process in the last inventory; `None` before the first inventory.
     incarnation: Option<Incarnation>,
     next_sync: Moment,
+    /// Consecutive failed starts and tasks.
     failures: u32,
+    /// Suspensions since the last success.
     suspensions: u32,
     suspended_until: Option<Moment>,
-    /// Until then one task at a time probes the worker. Without an end a gang that needs several
-    /// tasks on it would wait for ever.
-    probed_until: Moment,
+    /// Until this time, the worker gets only one task at a time as a probe. The limit must end,
+    /// since otherwise a gang that needs several tasks on this worker would wait forever.
+    probing_until: Moment,
 }
 
 impl WorkerEntry {
@@ -100,7 +110,7 @@
             reported_ends: BTreeSet::new(),
             duplicates: BTreeMap::new(),
             used: ResourceSet::default(),
-            changed: true,
+            usage_changed: true,
             syncing: false,
             silent: false,
             incarnation: None,
@@ -108,11 +118,12 @@
             failures: 0,
             suspensions: 0,
             suspended_until: None,
-            probed_until: Moment(0),
+            probing_until: Moment(0),
         }
     }
 
-    /// A worker that an earlier lead used and the platform no longer lists.
+    /// Creates the entry of a worker that is in the roster of an earlier lead and no longer listed
+    /// by the platform.
     pub fn unlisted(id: WorkerId, hall: HallName) -> WorkerEntry {
         let rack = "unknown".parse().expect("a valid name");
         let total = ResourceSet::default();
@@ -120,13 +131,13 @@
         WorkerEntry { listed: false, ..WorkerEntry::new(view) }
     }
 
-    /// Takes a newer view of the platform.
-    pub fn renew(&mut self, view: WorkerView) {
+    /// Replaces the view by a newer one of the platform.
+    pub fn update_view(&mut self, view: WorkerView) {
         self.view = view;
         self.listed = true;
     }
 
-    /// What is free; nothing in a dimension where more is in use than the worker has.
+    /// Returns the free resources: zero in a dimension in which more is in use than the worker has.
     pub fn free(&self) -> ResourceSet {
         self.view.total.saturating_minus(&self.used)
     }
@@ -136,8 +147,8 @@
         self.silent
     }
 
-    /// Whether the worker has said what it runs.
-    pub fn is_known(&self) -> bool {
+    /// Whether the worker has sent an inventory.
+    pub fn has_inventory(&self) -> bool {
         self.incarnation.is_some()
     }
 
@@ -145,55 +156,60 @@
         self.suspended_until.is_some_and(|until| now < until)
     }
 
-    /// Whether a task may be started here now. After being shut out, one task probes the worker.
+    /// Whether a task may be started on the worker now. After a suspension, one task at a time
+    /// probes the worker.
     pub fn is_usable(&self, now: Moment) -> bool {
-        let probing = now < self.probed_until && !self.used.is_empty();
+        let probing = now < self.probing_until && !self.used.is_empty();
         self.listed
             && self.in_roster
-            && self.is_known()
+            && self.has_inventory()
             && !self.view.leaving
             && !self.is_suspended(now)
             && !probing
             && !self.silent
     }
 
-    /// Gives room to a task about to be started.
+    /// Reserves resources for a task that is about to be started.
+    ///
+    /// # Panics
+    ///
+    /// Panics if more would be in use than the worker has.
     pub fn reserve(&mut self, need: &ResourceSet) {
         self.add_usage(need);
         assert!(self.view.total.fits(&self.used), "invariant: no worker is given more than it has");
     }
 
-    /// Counts what runs already, whether it fits or not.
+    /// Adds the resources of a task that already runs, even if they exceed what the worker has.
     pub fn add_usage(&mut self, need: &ResourceSet) {
         self.used = self.used.plus(need);
-        self.changed = true;
+        self.usage_changed = true;
     }
 
     pub fn release(&mut self, need: &ResourceSet) {
-        self.changed = true;
-        self.used = self.used.minus(need).expect("invariant: room is given back once");
+        self.usage_changed = true;
+        self.used = self.used.minus(need).expect("invariant: reserved resources are released once");
     }
 
-    /// Notes an attempt that must not run here. Returns whether it was not known before.
+    /// Adds an attempt that must not run here. Returns true if it is new.
     pub fn add_duplicate(&mut self, attempt: AttemptId, need: ResourceSet) -> bool {
-        let new = self.duplicates.insert(attempt, need).is_none();
-        if new {
+        let is_new = self.duplicates.insert(attempt, need).is_none();
+        if is_new {
             self.add_usage(&need);
         }
-        new
+        is_new
     }
 
-    /// Drops the duplicates that have stopped.
-    pub fn remove_duplicates(&mut self, stopped: impl Fn(&AttemptId) -> bool) {
-        let gone: Vec<AttemptId> =
-            self.duplicates.keys().filter(|attempt| stopped(attempt)).copied().collect();
-        for attempt in gone {
+    /// Removes the duplicates for which `has_stopped` returns true.
+    pub fn remove_duplicates(&mut self, has_stopped: impl Fn(&AttemptId) -> bool) {
+        let stopped: Vec<AttemptId> =
+            self.duplicates.keys().filter(|attempt| has_stopped(attempt)).copied().collect();
+        for attempt in stopped {
             let need = self.duplicates.remove(&attempt).expect("the key was just seen");
             self.release(&need);
         }
     }
 
-    /// Notes the answer to a sync, or that there was none.
+    /// Records the answer to a sync; `None` if there was none.
     pub fn record_sync_reply(&mut self, reply: Option<&WorkerInventory>) {
         self.syncing = false;
         self.silent = reply.is_none();
@@ -208,46 +224,53 @@
         self.reported_ends.retain(|attempt| reported.contains(attempt));
     }
 
+    /// Records the outcome of a task or a start order. Consecutive failures suspend the worker.
     pub fn record_outcome(&mut self, outcome: TaskOutcome, now: Moment) {
         if outcome == TaskOutcome::Done {
             self.failures = 0;
             self.suspensions = 0;
             self.suspended_until = None;
-            self.probed_until = Moment(0);
+            self.probing_until = Moment(0);
             return;
         }
         self.failures += 1;
-        let probed = self.suspended_until.is_some();
-        if probed || self.failures >= SUSPENSION_FAILURES {
-            let wait = FIRST_SUSPENSION.0.saturating_mul(1 << self.suspensions.min(16));
-            let wait = TimeSpan(wait.min(MAX_SUSPENSION.0));
+        let was_probe = self.suspended_until.is_some();
+        if was_probe || self.failures >= SUSPENSION_FAILURES {
+            let duration = FIRST_SUSPENSION.0.saturating_mul(1 << self.suspensions.min(16));
+            let duration = TimeSpan(duration.min(MAX_SUSPENSION.0));
             self.suspensions += 1;
-            self.suspended_until = Some(now.after(wait));
-            self.probed_until = now.after(wait).after(wait);
+            self.suspended_until = Some(now.after(duration));
+            self.probing_until = now.after(duration).after(duration);
         }
     }
 
-    /// Whether it is time to ask the worker; if so, the next time is set.
-    pub fn try_begin_sync(&mut self, every: TimeSpan, now: Moment) -> bool {
+    /// Whether a sync is due. If so, marks it as in progress and schedules the next one after
+    /// `interval`.
+    pub fn try_begin_sync(&mut self, interval: TimeSpan, now: Moment) -> bool {
         let due = !self.syncing && self.next_sync <= now && self.view.address.is_some();
         if due {
             self.syncing = true;
-            self.next_sync = now.after(every);
+            self.next_sync = now.after(interval);
         }
         due
     }
 
-    /// Whether the account changed since the last call.
+    /// Whether the resources in use changed since the last call.
     pub fn take_usage_changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.usage_changed)
     }
 
-    /// Asserts that the account of the worker matches the tasks placed on it.
+    /// Checks that the resources in use are those of the placed tasks, `placed`, and of the
+    /// duplicates.
+    ///
+    /// # Panics
+    ///
+    /// Panics if they differ.
     pub fn check_usage(&self, placed: ResourceSet) {
-        let runs = self.duplicates.values().fold(placed, |sum, need| sum.plus(need));
+        let expected = self.duplicates.values().fold(placed, |sum, need| sum.plus(need));
         assert!(
-            self.used == runs,
-            "invariant: no worker is given more than it has: {} accounts for {}, runs {runs}",
+            self.used == expected,
+            "invariant: no worker is given more than it has: {} counts {} in use, its tasks need {expected}",
             self.view.id,
             self.used
         );
