--- a/crates/sedgehill-core/src/state/claims.rs
+++ b/crates/sedgehill-core/src/state/claims.rs
@@ -1,11 +1,12 @@
-//! Claims of once-only requests in the fold.
+//! Applies claims of idempotency keys, which make requests run at most once.
 
 use super::{ClusterState, KeyClaim, RecordVerdict, VoidReason};
 use crate::ids::{IdempotencyKey, Offset, OrgName, RecordId};
 
-/// How long a claim of a once-only request is kept, and how old its key may be, in milliseconds.
+/// Maximum age of an idempotency key, and the time for which its claim is kept, in milliseconds.
 pub const CLAIM_WINDOW_MS: u64 = 3_600_000;
-/// How far a key's time may lie ahead of the platform's, in milliseconds.
+/// Maximum time by which a key's creation time may be ahead of the platform's clock, in
+/// milliseconds.
 pub const MAX_KEY_AHEAD_MS: u64 = 60_000;
 
 impl ClusterState {
@@ -32,10 +33,11 @@
         RecordVerdict::Accepted { at }
     }
 
-    /// Whether the key was made recently enough that no claim of it can have been forgotten.
+    /// Whether the creation time of the key is recent enough that a claim of it cannot have been
+    /// discarded, and not too far ahead of the platform's clock.
     pub fn is_key_in_window(&self, key: IdempotencyKey) -> bool {
-        let made = key.created_at_ms();
-        made + CLAIM_WINDOW_MS > self.clock_ms && made < self.clock_ms + MAX_KEY_AHEAD_MS
+        let created = key.created_at_ms();
+        created + CLAIM_WINDOW_MS > self.clock_ms && created < self.clock_ms + MAX_KEY_AHEAD_MS
     }
 
     pub(super) fn release_key(
@@ -45,23 +47,23 @@
         claim: RecordId,
         at: Offset,
     ) -> RecordVerdict {
-        let found = self.claims.get_mut(organisation).and_then(|claims| claims.get_mut(&key));
-        match found.filter(|found| found.claim == claim) {
-            Some(found) => {
-                found.released = true;
+        let last_claim = self.claims.get_mut(organisation).and_then(|claims| claims.get_mut(&key));
+        match last_claim.filter(|last_claim| last_claim.claim == claim) {
+            Some(last_claim) => {
+                last_claim.released = true;
                 RecordVerdict::Accepted { at }
             }
             None => RecordVerdict::Void { reason: VoidReason::NotClaimant },
         }
     }
 
-    /// Forgets claims whose keys no longer pass [`ClusterState::is_key_in_window`].
+    /// Discards claims whose keys no longer pass [`ClusterState::is_key_in_window`].
     pub(super) fn expire_claims(&mut self) {
-        let clock = self.clock_ms;
+        let clock_ms = self.clock_ms;
         for claims in self.claims.values_mut() {
-            // Keys are ordered by the time in them, so the oldest come first.
+            // Keys sort by their creation time, so the oldest come first.
             while let Some(entry) = claims.first_entry() {
-                if entry.key().created_at_ms() + CLAIM_WINDOW_MS > clock {
+                if entry.key().created_at_ms() + CLAIM_WINDOW_MS > clock_ms {
                     break;
                 }
                 entry.remove();
--- a/crates/sedgehill-core/src/state/jobs.rs
+++ b/crates/sedgehill-core/src/state/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in the fold: submission, admission under quotas, ends and moves.
+//! Applies records about jobs: submission, admission under quotas, ends of tasks and moves.
 
 use super::{ClusterState, RecordVerdict, VoidReason};
 use crate::ids::{Epoch, HallName, JobId, Offset, OrgName, RecordId, TemplateName};
@@ -6,7 +6,7 @@
 use crate::spec::{TaskShape, WorkShape};
 use crate::units::ResourceSet;
 
-/// Ended jobs kept for reading back.
+/// Number of ended jobs, kept for status queries, above which each submission removes the oldest.
 pub const MAX_KEPT_JOBS: usize = 1_000;
 
 impl ClusterState {
@@ -18,8 +18,8 @@
         at: Offset,
     ) -> RecordVerdict {
         let job = JobId(id.0);
-        if let Some(own) = self.jobs.get(&job) {
-            return RecordVerdict::Accepted { at: own.submitted };
+        if let Some(existing) = self.jobs.get(&job) {
+            return RecordVerdict::Accepted { at: existing.submitted };
         }
         match self.new_job(request, hall, at) {
             Err(reason) => RecordVerdict::Void { reason },
@@ -32,7 +32,7 @@
         }
     }
 
-    /// What the tasks of a job need, from its template.
+    /// Returns the requirements of a job's tasks, from its template.
     pub fn task_shape(&self, request: &JobRequest) -> Result<&TaskShape, VoidReason> {
         let template = self.template(&request.template).ok_or(VoidReason::NoSuchTemplate)?;
         match &template.work {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether a job could be submitted to a hall.
+    /// Checks whether a job may be submitted to a data hall.
     pub fn check_job(&self, request: &JobRequest, hall: &HallName) -> Result<(), VoidReason> {
         let shape = self.task_shape(request)?;
         let parameters = self
@@ -53,8 +53,8 @@
         if !parameters.allows(hall) {
             return Err(VoidReason::HallNotAllowed);
         }
-        let whole = shape.resources.times(request.tasks);
-        if parameters.quota.is_some_and(|quota| !quota.fits(&whole)) {
+        let demand = shape.resources.times(request.tasks);
+        if parameters.quota.is_some_and(|quota| !quota.fits(&demand)) {
             return Err(VoidReason::OverQuota);
         }
         Ok(())
@@ -82,39 +82,43 @@
         })
     }
 
-    /// Opens held jobs of an organisation, oldest first, as far as its quota allows.
+    /// Opens held jobs of an organisation and a template, oldest first, as far as the quota allows.
     fn admit_held(&mut self, organisation: &OrgName, template: &TemplateName) {
         let quota = self.parameters(organisation, template).and_then(|parameters| parameters.quota);
-        let mine = |job: &JobState| {
+        let has_key = |job: &JobState| {
             job.request.organisation == *organisation && job.request.template == *template
         };
         let demand = |job: &JobState| job.shape.resources.times(job.request.tasks);
         let mut used = self
             .jobs
             .values()
-            .filter(|job| mine(job) && job.phase == JobPhase::Open)
+            .filter(|job| has_key(job) && job.phase == JobPhase::Open)
             .fold(ResourceSet::default(), |sum, job| sum.plus(&demand(job)));
-        let mut held: Vec<&mut JobState> =
-            self.jobs.values_mut().filter(|job| mine(job) && job.phase == JobPhase::Held).collect();
+        let mut held: Vec<&mut JobState> = self
+            .jobs
+            .values_mut()
+            .filter(|job| has_key(job) && job.phase == JobPhase::Held)
+            .collect();
         held.sort_by_key(|job| job.submitted);
         for job in held {
-            let wanted = used.plus(&demand(job));
-            if quota.is_some_and(|quota| !quota.fits(&wanted)) {
+            let used_with_job = used.plus(&demand(job));
+            if quota.is_some_and(|quota| !quota.fits(&used_with_job)) {
                 break;
             }
-            used = wanted;
+            used = used_with_job;
             job.phase = JobPhase::Open;
         }
     }
 
+    /// Removes the oldest ended job if more than [`MAX_KEPT_JOBS`] are kept.
     fn prune_jobs(&mut self) {
-        let ended = |job: &JobState| job.phase.is_final();
-        let count = self.jobs.values().filter(|job| ended(job)).count();
+        let has_ended = |job: &JobState| job.phase.is_final();
+        let count = self.jobs.values().filter(|job| has_ended(job)).count();
         if count <= MAX_KEPT_JOBS {
             return;
         }
         let oldest =
-            self.jobs.iter().filter(|(_, job)| ended(job)).min_by_key(|(_, job)| job.submitted);
+            self.jobs.iter().filter(|(_, job)| has_ended(job)).min_by_key(|(_, job)| job.submitted);
         if let Some(id) = oldest.map(|(id, _)| *id) {
             self.jobs.remove(&id);
         }
@@ -137,22 +141,22 @@
         ends: &[TaskEnd],
         at: Offset,
     ) -> RecordVerdict {
-        if !self.holds_epoch(hall, epoch) {
+        if !self.is_current_epoch(hall, epoch) {
             return RecordVerdict::Void { reason: VoidReason::StaleEpoch };
         }
-        let mut any = false;
+        let mut any_ended = false;
         for end in ends {
             let Some(job) = self.jobs.get_mut(&end.task.job) else { continue };
             if job.hall != *hall || !job.end_attempt(end) {
                 continue;
             }
-            any = true;
+            any_ended = true;
             if job.phase.is_final() {
                 let request = job.request.clone();
                 self.admit_held(&request.organisation, &request.template);
             }
         }
-        match any {
+        match any_ended {
             true => RecordVerdict::Accepted { at },
             false => RecordVerdict::Void { reason: VoidReason::AttemptEnded },
         }
@@ -166,7 +170,7 @@
         to: &HallName,
         at: Offset,
     ) -> RecordVerdict {
-        if !self.holds_epoch(hall, epoch) {
+        if !self.is_current_epoch(hall, epoch) {
             return RecordVerdict::Void { reason: VoidReason::StaleEpoch };
         }
         let movable = |job: &&mut JobState| job.hall == *hall && !job.phase.is_final();
--- a/crates/sedgehill-core/src/state/leads.rs
+++ b/crates/sedgehill-core/src/state/leads.rs
@@ -1,4 +1,4 @@
-//! Leads and rosters of halls in the fold.
+//! Applies records about the leads and rosters of data halls.
 
 use std::collections::BTreeSet;
 
@@ -27,7 +27,8 @@
         RecordVerdict::Accepted { at }
     }
 
-    pub(super) fn touch_lead(
+    /// Renews the lead, or releases it if `release` is true.
+    pub(super) fn renew_or_release_lead(
         &mut self,
         hall: &HallName,
         epoch: Epoch,
@@ -45,7 +46,8 @@
         }
     }
 
-    pub(super) fn holds_epoch(&self, hall: &HallName, epoch: Epoch) -> bool {
+    /// Whether the lead of the hall has this epoch and was not released.
+    pub(super) fn is_current_epoch(&self, hall: &HallName, epoch: Epoch) -> bool {
         let lead = self.halls.get(hall).and_then(|state| state.lead.as_ref());
         lead.is_some_and(|lead| lead.epoch == epoch && !lead.released)
     }
@@ -58,7 +60,7 @@
         remove: &BTreeSet<WorkerId>,
         at: Offset,
     ) -> RecordVerdict {
-        if !self.holds_epoch(hall, epoch) {
+        if !self.is_current_epoch(hall, epoch) {
             return RecordVerdict::Void { reason: VoidReason::StaleEpoch };
         }
         let state = self.halls.entry(hall.clone()).or_default();
--- a/crates/sedgehill-core/src/state/mod.rs
+++ b/crates/sedgehill-core/src/state/mod.rs
@@ -1,7 +1,8 @@
-//! The state of the cluster as a fold over the log.
+//! State of the cluster, computed by applying the log in order.
 //!
-//! [`ClusterState::apply`] is a pure function of the prefix of the log, so every box that has read
-//! as far reaches the same verdict on every record. A record that does not hold changes nothing.
+//! [`ClusterState::apply`] depends only on the state and the entry, so that all boxes that have
+//! read the same part of the log reach the same verdict on every record. A rejected record changes
+//! nothing.
 
 mod claims;
 mod fold;
@@ -24,133 +25,136 @@
 pub use fold::LogFold;
 pub use jobs::MAX_KEPT_JOBS;
 
-/// Versions kept of each template and of each organisation's parameters.
+/// Number of versions that are kept of each template and of each organisation's parameters.
 pub const MAX_KEPT_VERSIONS: usize = 16;
 
-/// What became of a record.
+/// Result of applying a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "kebab-case")]
 pub enum RecordVerdict {
-    /// It holds since this offset.
+    /// The record took effect.
     Accepted {
-        /// The offset at which it took effect.
+        /// Offset at which it took effect.
         at: Offset,
     },
-    /// Another version was in force than the one it edited.
+    /// The published version was based on another version than the current one.
     Conflict {
-        /// The version in force.
+        /// The current version; `None` if there is none.
         winner: Option<Version>,
     },
-    /// It does not hold.
+    /// The record was rejected.
     Void {
-        /// Why not.
+        /// Why it was rejected.
         reason: VoidReason,
     },
 }
 
-/// Why a record does not hold.
+/// Why a record is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VoidReason {
-    /// The epoch is not the current one.
+    /// The epoch is not the current one, or its lead was released.
     StaleEpoch,
-    /// The lead was claimed or renewed since.
+    /// The lead was claimed, renewed or released after the offset that the claimant read.
     LeadTaken,
     /// The job is unknown, ended or in another hall.
     NoSuchJob,
-    /// The attempt had ended already.
+    /// None of the attempts is the current attempt of a task that the hall places.
     AttemptEnded,
-    /// No batch or gang template of that name, or no parameters for the organisation.
+    /// There is no batch or gang template of that name, or the organisation has no parameters for
+    /// it.
     NoSuchTemplate,
-    /// The number of tasks is zero or too large.
+    /// The number of tasks is zero or exceeds the limit.
     TaskCount,
-    /// A single task or the gang needs more than the organisation's quota.
+    /// All tasks of the job together need more than the organisation's quota.
     OverQuota,
-    /// The parameters do not allow the hall.
+    /// The organisation's parameters do not allow the data hall.
     HallNotAllowed,
-    /// The key is claimed by another request.
+    /// The idempotency key is claimed by another record, or this record's own claim was released.
     KeyClaimed,
-    /// The key's time lies outside the claim window.
+    /// The creation time of the key is outside the claim window.
     KeyOutsideWindow,
-    /// The claim is not the one in force.
+    /// The claim to release is not the last claim of the key.
     NotClaimant,
 }
 
-/// One version of a template or of parameters.
+/// A published version of a template or of parameters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// The version.
+    /// Number of the version.
     pub version: Version,
-    /// The version that it replaced.
+    /// The version that it replaced; `None` for the first.
     pub base: Option<Version>,
-    /// The record that published it.
+    /// Id of the record that published it.
     pub id: RecordId,
-    /// When the platform took it, in milliseconds of Unix time.
+    /// Time of publication by the platform's clock, in milliseconds of Unix time.
     pub at_ms: u64,
-    /// The content.
+    /// Content of the version.
     pub spec: ConfigSpec,
 }
 
-/// The lead of a hall.
+/// The lead of a data hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallLead {
-    /// The box that leads.
+    /// Box that holds the lead.
     pub holder: BoxId,
-    /// The term.
+    /// Epoch of the lead.
     pub epoch: Epoch,
-    /// The offset of the last claim, renewal or release.
+    /// Offset of the last claim, renewal or release.
     pub renewed: Offset,
-    /// Whether the holder gave it up.
+    /// Whether the holder released the lead.
     pub released: bool,
 }
 
-/// What the log has of one hall.
+/// State of one data hall according to the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallState {
-    /// The last lead, if there ever was one.
+    /// The last lead, which may be released; `None` if the lead was never claimed.
     pub lead: Option<HallLead>,
-    /// The workers on which tasks may run.
+    /// Workers on which tasks may run.
     pub roster: BTreeSet<WorkerId>,
 }
 
-/// A claimed once-only request.
+/// The claim of an idempotency key, which allows its request to run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
-    /// The record that claimed it.
+    /// Id of the record that claimed the key.
     pub claim: RecordId,
-    /// When, in milliseconds of Unix time.
+    /// Time of the claim by the platform's clock, in milliseconds of Unix time.
     pub at_ms: u64,
-    /// Whether the claim was given back since the request did not run.
+    /// Whether the claim was released because the request did not run.
     pub released: bool,
 }
 
-/// Everything that the log has in force.
+/// State of the cluster after a prefix of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The next offset to apply.
+    /// Offset of the next entry to apply.
     pub next: Offset,
-    /// The platform's time of the last entry, in milliseconds of Unix time.
+    /// Latest time of an entry by the platform's clock, in milliseconds of Unix time.
     pub clock_ms: u64,
-    /// Versions of each template and of parameters, the newest last.
+    /// Versions of each template and of parameters, the newest last. Only the last
+    /// [`MAX_KEPT_VERSIONS`] are kept.
     pub configs: BTreeMap<ConfigKey, Vec<ConfigVersion>>,
-    /// Jobs.
+    /// All unfinished jobs, and ended jobs until they are pruned (see [`MAX_KEPT_JOBS`]).
     pub jobs: BTreeMap<JobId, JobState>,
-    /// Halls.
+    /// Leads and rosters of the data halls.
     pub halls: BTreeMap<HallName, HallState>,
-    /// Claimed keys of once-only requests.
+    /// Claims of idempotency keys within the claim window.
     pub claims: BTreeMap<OrgName, BTreeMap<IdempotencyKey, KeyClaim>>,
-    /// Boxes asked to drain.
+    /// Boxes that are asked to drain.
     pub draining: BTreeSet<BoxId>,
 }
 
 impl ClusterState {
-    /// Applies the next entry and says what became of each of its records.
+    /// Applies the next entry of the log and returns the verdict on each of its records.
     ///
     /// # Panics
     ///
-    /// If the entry is not the next one: folding with a gap would break every promise.
+    /// Panics if the entry is not the next one, since the state after a gap would differ from that
+    /// of other boxes.
     pub fn apply(&mut self, entry: &LogEntry) -> Vec<(RecordId, RecordVerdict)> {
-        assert_eq!(entry.offset, self.next, "invariant: the log is folded without gaps");
+        assert_eq!(entry.offset, self.next, "invariant: the log is applied without gaps");
         self.clock_ms = self.clock_ms.max(entry.at_ms);
         self.expire_claims();
         let verdicts = entry
@@ -169,8 +173,12 @@
             RecordBody::Submit { request, hall } => self.submit(record.id, request, hall, at),
             RecordBody::Cancel { job } => self.cancel(*job, at),
             RecordBody::ClaimLead { hall, after } => self.claim_lead(record, hall, *after, at),
-            RecordBody::RenewLead { hall, epoch } => self.touch_lead(hall, *epoch, false, at),
-            RecordBody::ReleaseLead { hall, epoch } => self.touch_lead(hall, *epoch, true, at),
+            RecordBody::RenewLead { hall, epoch } => {
+                self.renew_or_release_lead(hall, *epoch, false, at)
+            }
+            RecordBody::ReleaseLead { hall, epoch } => {
+                self.renew_or_release_lead(hall, *epoch, true, at)
+            }
             RecordBody::Roster { hall, epoch, add, remove } => {
                 self.change_roster(hall, *epoch, add, remove, at)
             }
@@ -191,7 +199,7 @@
                 };
                 RecordVerdict::Accepted { at }
             }
-            // A reader that has folded this far holds the same state already.
+            // A reader that has applied the log up to here has the same state already.
             RecordBody::Snapshot { .. } => RecordVerdict::Accepted { at },
         }
     }
@@ -204,8 +212,8 @@
         at: Offset,
     ) -> RecordVerdict {
         let versions = self.configs.entry(spec.key()).or_default();
-        if let Some(own) = versions.iter().find(|version| version.id == id) {
-            return RecordVerdict::Accepted { at: Offset(own.version.0) };
+        if let Some(published) = versions.iter().find(|version| version.id == id) {
+            return RecordVerdict::Accepted { at: Offset(published.version.0) };
         }
         let current = versions.last().map(|version| version.version);
         if current != base {
@@ -225,12 +233,12 @@
         RecordVerdict::Accepted { at }
     }
 
-    /// The version in force under a key.
+    /// Returns the current version under a key.
     pub fn current(&self, key: &ConfigKey) -> Option<&ConfigVersion> {
         self.configs.get(key).and_then(|versions| versions.last())
     }
 
-    /// The template in force under a name.
+    /// Returns the current version of a template.
     pub fn template(&self, name: &TemplateName) -> Option<&WorkTemplate> {
         match self.current(&ConfigKey::Template(name.clone()))?.spec {
             ConfigSpec::Template(ref template) => Some(template),
@@ -238,7 +246,7 @@
         }
     }
 
-    /// The parameters in force for an organisation and a template.
+    /// Returns the current parameters of an organisation for a template.
     pub fn parameters(&self, org: &OrgName, template: &TemplateName) -> Option<&OrgParameters> {
         let key = ConfigKey::Parameters(org.clone(), template.clone());
         match self.current(&key)?.spec {
@@ -247,7 +255,7 @@
         }
     }
 
-    /// The last offset that this state contains, none if it contains nothing.
+    /// Returns the offset of the last applied entry, or `None` if no entry was applied.
     pub fn last_offset(&self) -> Option<Offset> {
         self.next.0.checked_sub(1).map(Offset)
     }
