--- a/crates/sedgehill-core/tests/testsuite/cell/fakes.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/fakes.rs
@@ -1,4 +1,4 @@
-//! The log and the workers.
+//! In-memory log and workers with injected faults.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,25 +8,26 @@
 use sedgehill_core::record::{LogEntry, RecordBatch};
 use sedgehill_core::units::{Moment, ResourceSet};
 
-/// What becomes of appends.
+/// Fault of appends to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum AppendFate {
-    /// They take effect and are answered.
+pub enum AppendFault {
+    /// Appends take effect and are acknowledged.
     #[default]
-    Works,
-    /// They take effect and the answer is lost.
-    AnswerLost,
-    /// They have no effect and no answer.
-    Lost,
+    None,
+    /// Appends take effect, but the acknowledgement is lost.
+    ReplyLost,
+    /// Appends are lost: they have no effect and no acknowledgement.
+    RequestLost,
 }
 
-/// The platform's log.
+/// In-memory log of the platform.
 #[derive(Debug, Default)]
 pub struct FakeLog {
+    /// Offset of the oldest retained entry.
     pub first: u64,
     pub entries: VecDeque<LogEntry>,
-    pub down: bool,
-    pub fate: AppendFate,
+    pub unavailable: bool,
+    pub append_fault: AppendFault,
     pub clock_ms: u64,
 }
 
@@ -35,41 +36,41 @@
         self.first + self.entries.len() as u64
     }
 
-    /// Appends whatever the faults; for the set-up of a run.
+    /// Appends regardless of faults, for the setup of a run.
     pub fn append(&mut self, batch: RecordBatch, now: Moment) -> Offset {
         let offset = Offset(self.next());
         self.entries.push_back(LogEntry { offset, at_ms: now.0, batch });
         offset
     }
 
-    /// Appends as a box does. Returns the offset if there is an answer.
+    /// Appends subject to the faults. Returns the offset if the append is acknowledged.
     pub fn try_append(&mut self, batch: RecordBatch, now: Moment) -> Option<Offset> {
-        if self.down || self.fate == AppendFate::Lost {
+        if self.unavailable || self.append_fault == AppendFault::RequestLost {
             return None;
         }
         let offset = self.append(batch, now);
-        (self.fate == AppendFate::Works).then_some(offset)
+        (self.append_fault == AppendFault::None).then_some(offset)
     }
 
     pub fn read(&self, from: Offset) -> Vec<LogEntry> {
-        if self.down {
+        if self.unavailable {
             return Vec::new();
         }
         let skip = from.0.saturating_sub(self.first) as usize;
         self.entries.iter().skip(skip).cloned().collect()
     }
 
-    /// Forgets what is older than the last snapshot that was appended, but for the last `keep`
-    /// entries: the platform's retention is longer than the interval of snapshots.
-    pub fn forget(&mut self, keep: usize) {
+    /// Discards entries that the last snapshot covers, but keeps at least the last `keep` entries,
+    /// since the platform retains entries for longer than the interval between snapshots.
+    pub fn truncate(&mut self, keep: usize) {
         let snapshot = self.entries.iter().rev().find_map(|entry| {
             entry.batch.records.iter().find_map(|record| match &record.body {
                 sedgehill_core::record::RecordBody::Snapshot { at, .. } => Some(at.0 + 1),
                 _ => None,
             })
         });
-        let Some(limit) = snapshot else { return };
-        while self.entries.len() > keep && self.first < limit {
+        let Some(covered_until) = snapshot else { return };
+        while self.entries.len() > keep && self.first < covered_until {
             self.entries.pop_front();
             self.first += 1;
         }
@@ -84,7 +85,7 @@
     outcome: TaskOutcome,
 }
 
-/// A worker without guards: it starts whatever it is sent.
+/// A worker that starts every task that it is sent, without checking its resources.
 #[derive(Debug)]
 pub struct FakeWorker {
     pub total: ResourceSet,
@@ -95,16 +96,16 @@
     incarnation: u64,
 }
 
-/// What a lead asks of a worker.
+/// A request of a lead to a worker.
 #[derive(Debug, Clone)]
-pub enum WorkerAsk {
+pub enum WorkerRequest {
     Start(TaskStart),
     Sync(WorkerSync),
 }
 
-/// What a worker answers.
+/// A reply of a worker.
 #[derive(Debug, Clone)]
-pub enum WorkerAnswer {
+pub enum WorkerReply {
     Start(StartReply),
     Inventory(WorkerInventory),
 }
@@ -131,36 +132,36 @@
         self.running.values().fold(ResourceSet::default(), |sum, task| sum.plus(&task.resources))
     }
 
-    /// Ends tasks that are done or whose leases have lapsed.
-    pub fn turn(&mut self, now: Moment) {
-        let over: Vec<AttemptId> = self
+    /// Ends the tasks that are due to finish or whose leases have expired.
+    pub fn end_due_tasks(&mut self, now: Moment) {
+        let due: Vec<AttemptId> = self
             .running
             .iter()
             .filter(|(_, task)| task.ends_at <= now || task.lease_until <= now)
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in over {
+        for attempt in due {
             let task = self.running.remove(&attempt).expect("the key was just seen");
             let outcome = if task.ends_at <= now { task.outcome } else { TaskOutcome::Lost };
             self.ended.insert(attempt, (task.resources, outcome));
         }
     }
 
-    pub fn answer(
+    pub fn handle(
         &mut self,
-        ask: &WorkerAsk,
+        request: &WorkerRequest,
         now: Moment,
         starts: &mut u64,
-    ) -> Option<WorkerAnswer> {
-        match ask {
-            WorkerAsk::Start(start) => {
+    ) -> Option<WorkerReply> {
+        match request {
+            WorkerRequest::Start(start) => {
                 *starts += 1;
                 self.start(start, now);
-                Some(WorkerAnswer::Start(StartReply::Started))
+                Some(WorkerReply::Start(StartReply::Started))
             }
-            WorkerAsk::Sync(sync) => {
+            WorkerRequest::Sync(sync) => {
                 self.sync(sync, now);
-                Some(WorkerAnswer::Inventory(self.inventory()))
+                Some(WorkerReply::Inventory(self.inventory()))
             }
         }
     }
@@ -205,24 +206,26 @@
     }
 }
 
-/// A message between a box and a worker, under way.
+/// A message in transit between a box and a worker.
 #[derive(Debug)]
 pub enum WorkerMessage {
-    Ask {
-        node: usize,
+    Request {
+        /// Index of the box that sent the request.
+        from: usize,
         epoch: Epoch,
         hall: HallName,
         worker: WorkerId,
-        ask: WorkerAsk,
+        request: WorkerRequest,
         sent: Moment,
     },
-    Answer {
-        node: usize,
+    Reply {
+        /// Index of the box that sent the request.
+        from: usize,
         epoch: Epoch,
         hall: HallName,
         worker: WorkerId,
-        ask: WorkerAsk,
-        answer: Option<WorkerAnswer>,
+        request: WorkerRequest,
+        reply: Option<WorkerReply>,
         sent: Moment,
     },
 }
@@ -230,22 +233,23 @@
 impl WorkerMessage {
     pub fn sent(&self) -> Moment {
         match self {
-            WorkerMessage::Ask { sent, .. } | WorkerMessage::Answer { sent, .. } => *sent,
+            WorkerMessage::Request { sent, .. } | WorkerMessage::Reply { sent, .. } => *sent,
         }
     }
 
-    pub fn node(&self) -> usize {
+    /// Returns the index of the box that sent the request.
+    pub fn from(&self) -> usize {
         match self {
-            WorkerMessage::Ask { node, .. } | WorkerMessage::Answer { node, .. } => *node,
+            WorkerMessage::Request { from, .. } | WorkerMessage::Reply { from, .. } => *from,
         }
     }
 
-    /// What the sender gets when the message or its answer is lost.
-    pub fn without_answer(self) -> WorkerMessage {
+    /// Converts the message to the reply that its sender gets if the request or its reply is lost.
+    pub fn into_lost(self) -> WorkerMessage {
         match self {
-            WorkerMessage::Ask { node, epoch, hall, worker, ask, sent }
-            | WorkerMessage::Answer { node, epoch, hall, worker, ask, sent, .. } => {
-                WorkerMessage::Answer { node, epoch, hall, worker, ask, answer: None, sent }
+            WorkerMessage::Request { from, epoch, hall, worker, request, sent }
+            | WorkerMessage::Reply { from, epoch, hall, worker, request, sent, .. } => {
+                WorkerMessage::Reply { from, epoch, hall, worker, request, reply: None, sent }
             }
         }
     }
--- a/crates/sedgehill-core/tests/testsuite/cell/mod.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/mod.rs
@@ -1,9 +1,11 @@
-//! A whole cell in one thread: several cores, a log and workers that fail, and an oracle that knows
-//! what really runs. Steps are chosen from outside, so a run is repeated by its steps.
+//! Simulates a cell in one thread: boxes that run the core, a log and workers, all with faults.
+//!
+//! The simulation knows which tasks really run and checks the core's invariants against that. It
+//! has no randomness of its own, so that a list of steps reproduces a run.
 
 mod checks;
 mod fakes;
-mod node;
+mod test_box;
 
 use std::collections::BTreeMap;
 
@@ -17,133 +19,135 @@
 use sedgehill_core::units::{CoreCount, MemorySize, Moment, ResourceSet, TimeSpan};
 use uuid::Uuid;
 
-pub use fakes::{AppendFate, FakeLog, FakeWorker, WorkerMessage};
-pub use node::CoreNode;
+pub use fakes::{AppendFault, FakeLog, FakeWorker, WorkerMessage};
+pub use test_box::TestBox;
 
-const BOXES: usize = 3;
+const BOX_COUNT: usize = 3;
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 const WORKERS_PER_HALL: usize = 3;
-/// Moments within which a healed cell must come to rest: longer than the longest time for which a
-/// worker that failed everything is shut out and probed.
-const SETTLE_MOMENTS: usize = 4_000;
-/// How long an ordinary moment lasts.
-const ORDINARY_MILLIS: u64 = 50;
-/// The sender of messages that nobody waits for any more.
-const NOBODY: usize = usize::MAX;
-
-/// The lead's times. Messages to workers arrive within the margin or not at all.
+/// Number of ticks within which a cell without faults must finish all work. It covers the longest
+/// suspension of a worker on which every task failed, and its probing afterwards.
+const MAX_SETTLE_TICKS: usize = 4_000;
+/// Duration of one tick, in milliseconds.
+const TICK_MILLIS: u64 = 50;
+/// Index of the sending box of requests for whose reply no box waits any more.
+const NO_SENDER: usize = usize::MAX;
+
+/// Durations of the lead protocol. The margin exceeds the longest delivery delay.
 pub const LEAD_TIMING: LeadTiming = LeadTiming {
     term: TimeSpan(2_000),
     margin: TimeSpan(600),
     renew_every: TimeSpan(500),
     stagger: TimeSpan(200),
 };
-/// The placement's times.
-pub const PLACE_TIMING: PlacementTiming = PlacementTiming {
+/// Durations of the placement.
+pub const PLACEMENT_TIMING: PlacementTiming = PlacementTiming {
     lease: TimeSpan(3_000),
     max_delivery_delay: TimeSpan(500),
     sync_every: TimeSpan(300),
 };
 
-/// A safety rule that a run switches off, to show that the run would notice.
+/// A safety rule that a run disables to show that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum SwitchedOff {
-    /// Nothing: the product as it is.
+pub enum DisabledRule {
+    /// All rules are enabled.
     #[default]
-    Nothing,
-    /// A box sends what it decided under a lead that has lapsed meanwhile.
+    NoRule,
+    /// A box sends orders that it decided under a lead that has ended since.
     EpochCheck,
-    /// Room of a silent worker is given out before its leases have lapsed.
-    SilentWorkerRoom,
-    /// A lead counts its term from when it heard that the log has its renewal.
-    TermFromSending,
-    /// A claimant does not wait for the last term to end.
+    /// Tasks of a silent worker are started elsewhere before their leases have expired.
+    SilentWorkerLease,
+    /// A lead counts its term from reading its renewal in the log instead of from sending it.
+    TermFromSendTime,
+    /// A claimant does not wait for the end of the last term.
     ClaimWait,
-    /// A state older than the one held is taken over.
-    NewerStateOnly,
+    /// A box accepts an older state from a peer.
+    NewerStateCheck,
     /// A record is appended again under a new id.
-    SameRecordId,
-    /// A new lead starts tasks before it has heard of every worker.
+    StableRecordId,
+    /// A new lead starts tasks before it knows what the workers of earlier leads run.
     Recovery,
 }
 
-/// What can happen. Numbers pick among whatever there is.
+/// One step of a run. An index selects one of the existing items, modulo their number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CellStep {
     /// Time passes.
     Advance(u64),
     /// A box runs its controllers once.
-    Turn(usize),
-    /// Every box that runs does so, time passes a little and messages arrive: an ordinary moment.
-    Ordinary(u8),
-    /// A message to a worker arrives, or its answer does.
-    Deliver(usize),
-    /// A message is lost.
-    Lose(usize),
-    /// What becomes of the next append.
-    Fate(AppendFate),
-    /// A box dies.
-    Kill(usize),
-    /// A box starts again.
-    Restart(usize),
-    /// A box stands still.
-    Pause(usize),
-    /// A box goes on.
-    Resume(usize),
-    /// A box stands still for longer than its term, from the middle of whatever it was doing.
-    Sleep(usize),
-    /// The log answers nothing.
+    RunBox(usize),
+    /// A number of ticks without faults: in each, all boxes run, time passes and messages arrive.
+    Tick(u8),
+    /// A request to a worker or its reply arrives.
+    DeliverMessage(usize),
+    /// The sender of a message loses the connection. With an odd index, a request still arrives.
+    LoseMessage(usize),
+    /// Sets the fault of all appends from now on.
+    SetAppendFault(AppendFault),
+    /// A box crashes.
+    KillBox(usize),
+    /// A crashed box starts again with empty memory.
+    RestartBox(usize),
+    /// A box is paused and keeps its memory.
+    PauseBox(usize),
+    /// A paused box resumes.
+    ResumeBox(usize),
+    /// A box decides, is paused for longer than a term, and then carries out what it decided.
+    SuspendBox(usize),
+    /// The log becomes unavailable.
     LogDown,
-    /// It answers again.
+    /// The log becomes available again.
     LogUp,
-    /// The log forgets all but its last entries.
-    Forget(usize),
+    /// The log discards entries that a snapshot covers, down to this number of entries.
+    TruncateLog(usize),
     /// A box appends a snapshot.
-    Snapshot(usize),
-    /// A box takes its state from another.
-    TakeState(usize, usize),
-    /// An operator submits a job.
-    Submit(usize, u32, bool),
+    AppendSnapshot(usize),
+    /// The second box adopts the state of the first.
+    TransferState(usize, usize),
+    /// An operator submits a job to a box: number of tasks (modulo) and whether it is a gang.
+    SubmitJob(usize, u32, bool),
     /// An operator cancels a job.
-    Cancel(usize),
-    /// Two operators publish against the same version.
-    Race(usize, usize),
-    /// A worker dies and comes back empty.
+    CancelJob(usize),
+    /// Two boxes publish a change of the same parameters, each based on the version it knows.
+    PublishConcurrently(usize, usize),
+    /// A worker crashes and restarts without tasks.
     RestartWorker(usize),
-    /// A worker stops answering, or answers again.
+    /// A worker stops or resumes answering.
     SilenceWorker(usize, bool),
-    /// Every task of a worker fails from now on, or no more.
-    BreakWorker(usize, bool),
+    /// Sets whether every task started on a worker fails at once.
+    FailWorkerTasks(usize, bool),
 }
 
-/// The cell.
+/// A simulated cell.
 #[derive(Debug)]
 pub struct Cell {
     pub now: Moment,
-    pub off: SwitchedOff,
+    pub disabled: DisabledRule,
     pub log: FakeLog,
     pub workers: BTreeMap<WorkerId, FakeWorker>,
-    pub nodes: Vec<CoreNode>,
+    pub boxes: Vec<TestBox>,
     pub messages: Vec<WorkerMessage>,
     pub views: Vec<WorkerView>,
     next_id: u128,
+    /// Jobs that were submitted.
     jobs: Vec<JobId>,
+    /// Last version of each configuration seen at each run of a box.
     versions: BTreeMap<(usize, u32, ConfigKey), u64>,
     publishes: Vec<RecordId>,
     pub starts: u64,
 }
 
 impl Cell {
-    /// A cell with its templates published, at rest.
-    pub fn new(off: SwitchedOff) -> Cell {
+    /// Creates a cell without jobs, with its templates published.
+    pub fn new(disabled: DisabledRule) -> Cell {
         let views = worker_views();
         let workers = views.iter().map(|view| (view.id.clone(), FakeWorker::new(view.total)));
         let mut cell = Cell {
             now: Moment(1_000),
-            off,
+            disabled,
             log: FakeLog::default(),
             workers: workers.collect(),
-            nodes: (0..BOXES).map(|index| CoreNode::new(index, off)).collect(),
+            boxes: (0..BOX_COUNT).map(|index| TestBox::new(index, disabled)).collect(),
             messages: Vec::new(),
             views,
             next_id: 1,
@@ -157,7 +161,7 @@
     }
 
     fn publish_templates(&mut self) {
-        let manifest: WorkManifest = TEMPLATES.parse().expect("the templates are right");
+        let manifest: WorkManifest = TEMPLATES.parse().expect("the templates are valid");
         for spec in manifest.specs {
             let body = RecordBody::Publish { base: None, spec };
             let record = self.record(0, body);
@@ -171,13 +175,13 @@
     }
 
     fn record(&mut self, by: usize, body: RecordBody) -> LogRecord {
-        LogRecord { id: self.new_id(), by: node::box_id(by), body }
+        LogRecord { id: self.new_id(), by: test_box::box_id(by), body }
     }
 
-    /// Makes one step and checks every promise.
+    /// Performs one step and checks every invariant.
     pub fn step(&mut self, step: &CellStep) -> Result<(), String> {
         match *step {
-            CellStep::Sleep(index) => self.sleep(index % BOXES),
+            CellStep::SuspendBox(index) => self.suspend_box(index % BOX_COUNT),
             _ => {
                 self.perform(step);
                 self.check()
@@ -185,43 +189,49 @@
         }
     }
 
-    fn sleep(&mut self, index: usize) -> Result<(), String> {
-        self.turn(index);
-        self.nodes[index].paused = true;
-        let moments = (LEAD_TIMING.term.0 + 2 * LEAD_TIMING.margin.0) / ORDINARY_MILLIS;
-        for _ in 0..moments {
-            self.ordinary(1);
+    fn suspend_box(&mut self, index: usize) -> Result<(), String> {
+        self.run_box(index);
+        self.boxes[index].paused = true;
+        let ticks = (LEAD_TIMING.term.0 + 2 * LEAD_TIMING.margin.0) / TICK_MILLIS;
+        for _ in 0..ticks {
+            self.tick(1);
             self.check()?;
         }
-        self.nodes[index].paused = false;
-        self.turn(index);
+        self.boxes[index].paused = false;
+        self.run_box(index);
         self.check()
     }
 
     fn perform(&mut self, step: &CellStep) {
         match *step {
             CellStep::Advance(millis) => self.advance(millis),
-            CellStep::Turn(index) => self.turn(index % BOXES),
-            CellStep::Ordinary(count) => self.ordinary(count),
-            CellStep::Deliver(pick) => self.deliver(pick),
-            CellStep::Lose(pick) => self.lose(pick),
-            CellStep::Fate(fate) => self.log.fate = fate,
-            CellStep::Kill(index) => self.nodes[index % BOXES].running = false,
-            CellStep::Restart(index) => self.restart(index % BOXES),
-            CellStep::Pause(index) => self.nodes[index % BOXES].paused = true,
-            CellStep::Resume(index) => self.nodes[index % BOXES].paused = false,
-            CellStep::Sleep(_) => unreachable!("it is made of several moments"),
-            CellStep::LogDown => self.log.down = true,
-            CellStep::LogUp => self.log.down = false,
-            CellStep::Forget(keep) => self.log.forget(keep),
-            CellStep::Snapshot(index) => self.snapshot(index % BOXES),
-            CellStep::TakeState(from, to) => self.take_state(from % BOXES, to % BOXES),
-            CellStep::Submit(index, tasks, gang) => self.submit(index % BOXES, tasks, gang),
-            CellStep::Cancel(pick) => self.cancel(pick),
-            CellStep::Race(first, second) => self.race(first % BOXES, second % BOXES),
+            CellStep::RunBox(index) => self.run_box(index % BOX_COUNT),
+            CellStep::Tick(count) => self.tick(count),
+            CellStep::DeliverMessage(pick) => self.deliver_message(pick),
+            CellStep::LoseMessage(pick) => self.lose_message(pick),
+            CellStep::SetAppendFault(fault) => self.log.append_fault = fault,
+            CellStep::KillBox(index) => self.boxes[index % BOX_COUNT].running = false,
+            CellStep::RestartBox(index) => self.restart_box(index % BOX_COUNT),
+            CellStep::PauseBox(index) => self.boxes[index % BOX_COUNT].paused = true,
+            CellStep::ResumeBox(index) => self.boxes[index % BOX_COUNT].paused = false,
+            CellStep::SuspendBox(_) => unreachable!("a suspension consists of several ticks"),
+            CellStep::LogDown => self.log.unavailable = true,
+            CellStep::LogUp => self.log.unavailable = false,
+            CellStep::TruncateLog(keep) => self.log.truncate(keep),
+            CellStep::AppendSnapshot(index) => self.append_snapshot(index % BOX_COUNT),
+            CellStep::TransferState(from, to) => {
+                self.transfer_state(from % BOX_COUNT, to % BOX_COUNT)
+            }
+            CellStep::SubmitJob(index, tasks, gang) => {
+                self.submit_job(index % BOX_COUNT, tasks, gang)
+            }
+            CellStep::CancelJob(pick) => self.cancel_job(pick),
+            CellStep::PublishConcurrently(first, second) => {
+                self.publish_concurrently(first % BOX_COUNT, second % BOX_COUNT)
+            }
             CellStep::RestartWorker(pick) => self.worker(pick).restart(),
             CellStep::SilenceWorker(pick, silent) => self.worker(pick).silent = silent,
-            CellStep::BreakWorker(pick, broken) => self.worker(pick).fails_all = broken,
+            CellStep::FailWorkerTasks(pick, fails) => self.worker(pick).fails_all = fails,
         }
     }
 
@@ -234,115 +244,129 @@
         self.now = self.now.after(TimeSpan(millis));
         self.log.clock_ms = self.now.0;
         for worker in self.workers.values_mut() {
-            worker.turn(self.now);
+            worker.end_due_tasks(self.now);
         }
-        self.expire_messages();
+        self.lose_late_messages();
     }
 
-    /// Messages that are under way for longer than they may be are lost: their connections are
-    /// closed.
-    fn expire_messages(&mut self) {
+    /// Loses messages that exceed the maximum delivery delay, since their connections time out.
+    fn lose_late_messages(&mut self) {
         let now = self.now;
-        let late =
-            |message: &WorkerMessage| now.since(message.sent()) > PLACE_TIMING.max_delivery_delay;
-        let (lost, kept) = std::mem::take(&mut self.messages).into_iter().partition(late);
+        let is_late = |message: &WorkerMessage| {
+            now.since(message.sent()) > PLACEMENT_TIMING.max_delivery_delay
+        };
+        let (lost, kept) = std::mem::take(&mut self.messages).into_iter().partition(is_late);
         self.messages = kept;
         for message in lost {
-            self.answer_lost(message);
+            self.deliver_no_reply(message);
         }
     }
 
-    fn turn(&mut self, index: usize) {
-        let mut node = std::mem::replace(&mut self.nodes[index], CoreNode::new(index, self.off));
-        node.turn(self);
-        self.nodes[index] = node;
+    fn run_box(&mut self, index: usize) {
+        let mut test_box =
+            std::mem::replace(&mut self.boxes[index], TestBox::new(index, self.disabled));
+        test_box.run(self);
+        self.boxes[index] = test_box;
     }
 
-    fn ordinary(&mut self, count: u8) {
+    fn tick(&mut self, count: u8) {
         for _ in 0..count {
-            for index in 0..BOXES {
-                self.turn(index);
+            for index in 0..BOX_COUNT {
+                self.run_box(index);
             }
-            self.advance(ORDINARY_MILLIS);
+            self.advance(TICK_MILLIS);
             for _ in 0..self.messages.len() {
-                self.deliver(0);
+                self.deliver_message(0);
             }
         }
     }
 
-    fn deliver(&mut self, pick: usize) {
+    fn deliver_message(&mut self, pick: usize) {
         if self.messages.is_empty() {
             return;
         }
         let message = self.messages.remove(pick % self.messages.len());
         match message {
-            WorkerMessage::Ask { node, epoch, hall, worker, ask, sent } => {
+            WorkerMessage::Request { from, epoch, hall, worker, request, sent } => {
                 let now = self.now;
-                let fake = self.workers.get_mut(&worker).expect("workers are never removed");
-                let answer =
-                    if fake.silent { None } else { fake.answer(&ask, now, &mut self.starts) };
-                let back = WorkerMessage::Answer { node, epoch, hall, worker, ask, answer, sent };
-                self.messages.push(back);
+                let target = self.workers.get_mut(&worker).expect("workers are never removed");
+                let reply = if target.silent {
+                    None
+                } else {
+                    target.handle(&request, now, &mut self.starts)
+                };
+                let message =
+                    WorkerMessage::Reply { from, epoch, hall, worker, request, reply, sent };
+                self.messages.push(message);
             }
-            WorkerMessage::Answer { node, .. } => self.take_answer(node, message),
+            WorkerMessage::Reply { from, .. } => self.deliver_reply(from, message),
         }
     }
 
-    fn lose(&mut self, pick: usize) {
+    fn lose_message(&mut self, pick: usize) {
         if !self.messages.is_empty() {
             let message = self.messages.remove(pick % self.messages.len());
             if pick % 2 == 1
-                && let WorkerMessage::Ask { epoch, hall, worker, ask, sent, .. } = &message
+                && let WorkerMessage::Request { epoch, hall, worker, request, sent, .. } = &message
             {
-                // The sender gives up, and the message arrives all the same.
-                let (hall, worker, ask) = (hall.clone(), worker.clone(), ask.clone());
-                let (node, epoch, sent) = (NOBODY, *epoch, *sent);
-                self.messages.push(WorkerMessage::Ask { node, epoch, hall, worker, ask, sent });
+                // The sender gives up, but the request still arrives.
+                let (hall, worker, request) = (hall.clone(), worker.clone(), request.clone());
+                let (from, epoch, sent) = (NO_SENDER, *epoch, *sent);
+                self.messages.push(WorkerMessage::Request {
+                    from,
+                    epoch,
+                    hall,
+                    worker,
+                    request,
+                    sent,
+                });
             }
-            self.answer_lost(message);
+            self.deliver_no_reply(message);
         }
     }
 
-    /// The sender learns that it gets no answer.
-    fn answer_lost(&mut self, message: WorkerMessage) {
-        let node = message.node();
-        self.take_answer(node, message.without_answer());
+    /// Tells the sender that there is no reply.
+    fn deliver_no_reply(&mut self, message: WorkerMessage) {
+        let from = message.from();
+        self.deliver_reply(from, message.into_lost());
     }
 
-    fn take_answer(&mut self, index: usize, message: WorkerMessage) {
-        if let Some(node) = self.nodes.get_mut(index) {
-            node.receive(message);
+    fn deliver_reply(&mut self, index: usize, message: WorkerMessage) {
+        if let Some(test_box) = self.boxes.get_mut(index) {
+            test_box.receive(message);
         }
     }
 
-    fn restart(&mut self, index: usize) {
-        if self.nodes[index].running {
+    fn restart_box(&mut self, index: usize) {
+        if self.boxes[index].running {
             return;
         }
-        let run = self.nodes[index].run + 1;
-        self.nodes[index] = CoreNode::new(index, self.off);
-        self.nodes[index].run = run;
+        let run_number = self.boxes[index].run_number + 1;
+        self.boxes[index] = TestBox::new(index, self.disabled);
+        self.boxes[index].run_number = run_number;
     }
 
-    fn snapshot(&mut self, index: usize) {
-        let node = &self.nodes[index];
-        let Some(state) = node.fold.state().filter(|_| node.is_awake()).cloned() else { return };
+    fn append_snapshot(&mut self, index: usize) {
+        let test_box = &self.boxes[index];
+        let Some(state) = test_box.fold.state().filter(|_| test_box.is_awake()).cloned() else {
+            return;
+        };
         let Some(at) = state.last_offset() else { return };
         let body = RecordBody::Snapshot { at, state: Box::new(state) };
         let id = self.new_id();
-        self.nodes[index].submit(id, body);
+        self.boxes[index].submit(id, body);
     }
 
-    fn take_state(&mut self, from: usize, to: usize) {
-        let Some(state) = self.nodes[from].fold.state().cloned() else { return };
-        if self.nodes[to].is_awake() {
+    fn transfer_state(&mut self, from: usize, to: usize) {
+        let Some(state) = self.boxes[from].fold.state().cloned() else { return };
+        if self.boxes[to].is_awake() {
             let now = self.now;
-            self.nodes[to].adopt(state, now);
+            self.boxes[to].adopt(state, now);
         }
     }
 
-    fn submit(&mut self, index: usize, tasks: u32, gang: bool) {
-        if !self.nodes[index].is_awake() {
+    fn submit_job(&mut self, index: usize, tasks: u32, gang: bool) {
+        if !self.boxes[index].is_awake() {
             return;
         }
         let template = if gang { "together" } else { "apart" };
@@ -354,27 +378,27 @@
         let id = self.new_id();
         let hall = HALLS[tasks as usize % HALLS.len()].parse().expect("a valid name");
         self.jobs.push(JobId(id.0));
-        self.nodes[index].submit(id, RecordBody::Submit { request, hall });
+        self.boxes[index].submit(id, RecordBody::Submit { request, hall });
     }
 
-    fn cancel(&mut self, pick: usize) {
+    fn cancel_job(&mut self, pick: usize) {
         if self.jobs.is_empty() {
             return;
         }
         let job = self.jobs[pick % self.jobs.len()];
         let id = self.new_id();
-        let awake = self.nodes.iter().position(CoreNode::is_awake);
+        let awake = self.boxes.iter().position(TestBox::is_awake);
         if let Some(index) = awake {
-            self.nodes[index].submit(id, RecordBody::Cancel { job });
+            self.boxes[index].submit(id, RecordBody::Cancel { job });
         }
     }
 
-    fn race(&mut self, first: usize, second: usize) {
+    fn publish_concurrently(&mut self, first: usize, second: usize) {
         for index in [first, second] {
-            if !self.nodes[index].is_awake() {
+            if !self.boxes[index].is_awake() {
                 continue;
             }
-            let Some(state) = self.nodes[index].fold.state() else { continue };
+            let Some(state) = self.boxes[index].fold.state() else { continue };
             let key: ConfigKey = "parameters/org/apart".parse().expect("a valid key");
             let Some(current) = state.current(&key) else { continue };
             let ConfigSpec::Parameters(mut parameters) = current.spec.clone() else { continue };
@@ -382,48 +406,51 @@
             let (base, spec) = (Some(current.version), ConfigSpec::Parameters(parameters));
             let id = self.new_id();
             self.publishes.push(id);
-            self.nodes[index].submit(id, RecordBody::Publish { base, spec });
+            self.boxes[index].submit(id, RecordBody::Publish { base, spec });
         }
     }
 
-    /// Heals everything and lets the cell come to rest; then every job must have ended.
-    pub fn settle(&mut self) -> Result<(), String> {
-        self.log.down = false;
-        self.log.fate = AppendFate::Works;
+    /// Removes all faults, resumes or restarts the boxes and runs the cell until every job has
+    /// ended.
+    pub fn run_until_idle(&mut self) -> Result<(), String> {
+        self.log.unavailable = false;
+        self.log.append_fault = AppendFault::None;
         for worker in self.workers.values_mut() {
             worker.silent = false;
             worker.fails_all = false;
         }
-        for index in 0..BOXES {
-            self.nodes[index].paused = false;
-            self.restart(index);
+        for index in 0..BOX_COUNT {
+            self.boxes[index].paused = false;
+            self.restart_box(index);
         }
-        for _ in 0..SETTLE_MOMENTS {
-            self.step(&CellStep::Ordinary(1))?;
-            if self.is_at_rest() {
+        for _ in 0..MAX_SETTLE_TICKS {
+            self.step(&CellStep::Tick(1))?;
+            if self.is_idle() {
                 return Ok(());
             }
         }
-        Err(format!("the cell does not come to rest: {}", self.describe_open_jobs()))
+        Err(format!("the cell does not become idle: {}", self.describe_open_work()))
     }
 
-    fn is_at_rest(&self) -> bool {
-        let ended = |node: &CoreNode| {
-            node.fold
+    fn is_idle(&self) -> bool {
+        let has_finished = |test_box: &TestBox| {
+            test_box
+                .fold
                 .state()
                 .is_some_and(|state| state.jobs.values().all(|job| job.phase.is_final()))
-                && node.pending.is_empty()
+                && test_box.pending.is_empty()
         };
-        self.nodes.iter().all(ended)
+        self.boxes.iter().all(has_finished)
             && self.workers.values().all(|worker| worker.running.is_empty())
     }
 
-    fn describe_open_jobs(&self) -> String {
-        let state = self.nodes[0].fold.state();
+    fn describe_open_work(&self) -> String {
+        let state = self.boxes[0].fold.state();
         let open =
             state.map(|state| state.jobs.values().filter(|job| !job.phase.is_final()).count());
         let running: usize = self.workers.values().map(|worker| worker.running.len()).sum();
-        let pending: Vec<usize> = self.nodes.iter().map(|node| node.pending.len()).collect();
+        let pending: Vec<usize> =
+            self.boxes.iter().map(|test_box| test_box.pending.len()).collect();
         format!("open jobs {open:?}, running tasks {running}, pending records {pending:?}")
     }
 }
--- a/crates/sedgehill-core/tests/testsuite/cell/node.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/test_box.rs
@@ -1,4 +1,4 @@
-//! One box: the core with just enough around it to read, append and send.
+//! A simulated box: the core with the code that reads and appends records and sends messages.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +9,55 @@
 use sedgehill_core::state::{ClusterState, LogFold, RecordVerdict};
 use sedgehill_core::units::{Moment, TimeSpan};
 
-use super::fakes::{WorkerAnswer, WorkerAsk};
-use super::{BOXES, Cell, HALLS, LEAD_TIMING, PLACE_TIMING, SwitchedOff, WorkerMessage};
+use super::fakes::{WorkerReply, WorkerRequest};
+use super::{BOX_COUNT, Cell, DisabledRule, HALLS, LEAD_TIMING, PLACEMENT_TIMING, WorkerMessage};
 
 pub fn box_id(index: usize) -> BoxId {
     format!("box-{index}").parse().expect("a valid name")
 }
 
-/// A record on its way.
+/// A record to append that the box has not read back from the log yet.
 #[derive(Debug, Clone)]
 pub struct PendingRecord {
     body: RecordBody,
+    /// Time of the first append.
     first_sent: Option<Moment>,
+    /// Offset in the acknowledgement of the last append.
     acknowledged: Option<Offset>,
 }
 
-/// One box.
+/// A simulated box.
 #[derive(Debug)]
-pub struct CoreNode {
+pub struct TestBox {
     index: usize,
-    pub run: u32,
-    off: SwitchedOff,
+    /// Number of restarts.
+    pub run_number: u32,
+    disabled: DisabledRule,
     pub running: bool,
     pub paused: bool,
     pub fold: LogFold,
     pub pending: BTreeMap<RecordId, PendingRecord>,
     leads: BTreeMap<HallName, LeadTimer>,
     placers: BTreeMap<HallName, HallPlacer>,
-    /// Decided before a pause, sent after it: what the check before sending must catch.
+    /// Requests that are sent at the next run, which may come after a pause. The check before
+    /// sending must then hold them back.
     outbox: Vec<WorkerMessage>,
-    /// What the log answered; it is acted on at the next turn, however late that is.
+    /// Entries read from the log, which are applied at the next run, even if it comes late.
     fetched: Vec<LogEntry>,
-    /// Answers that arrived; a box that is paused reads them when it goes on.
+    /// Replies that arrived. A paused box handles them when it resumes.
     inbox: Vec<WorkerMessage>,
 }
 
-impl CoreNode {
-    pub fn new(index: usize, off: SwitchedOff) -> CoreNode {
+impl TestBox {
+    pub fn new(index: usize, disabled: DisabledRule) -> TestBox {
         let leads = HALLS.iter().map(|hall| {
             let hall: HallName = hall.parse().expect("a valid name");
             (hall.clone(), LeadTimer::new(hall, box_id(index), LEAD_TIMING))
         });
-        CoreNode {
+        TestBox {
             index,
-            run: 0,
-            off,
+            run_number: 0,
+            disabled,
             running: true,
             paused: false,
             fold: LogFold::default(),
@@ -70,7 +74,7 @@
         self.running && !self.paused
     }
 
-    pub fn holds(&self, hall: &HallName, now: Moment) -> bool {
+    pub fn holds_lead(&self, hall: &HallName, now: Moment) -> bool {
         self.leads.get(hall).is_some_and(|timer| timer.held_at(now).is_some())
     }
 
@@ -79,84 +83,84 @@
         self.pending.insert(id, pending);
     }
 
-    /// Jobs in the state that are not among those submitted.
-    pub fn double_jobs(&self, known: &[JobId]) -> Option<JobId> {
+    /// Returns a job in the state that is not among those submitted.
+    pub fn unknown_job(&self, submitted: &[JobId]) -> Option<JobId> {
         let state = self.fold.state()?;
-        state.jobs.keys().find(|job| !known.contains(job)).copied()
+        state.jobs.keys().find(|job| !submitted.contains(job)).copied()
     }
 
     pub fn adopt(&mut self, state: ClusterState, now: Moment) {
-        if self.off == SwitchedOff::NewerStateOnly {
+        if self.disabled == DisabledRule::NewerStateCheck {
             self.fold = LogFold::default();
         }
         self.fold.adopt(state);
-        self.observe(now);
+        self.observe_leads(now);
     }
 
-    /// Sends what was decided, reads the log, decides, and appends.
-    pub fn turn(&mut self, cell: &mut Cell) {
+    /// Handles replies, sends requests, reads the log, decides and appends.
+    pub fn run(&mut self, cell: &mut Cell) {
         if !self.is_awake() {
             return;
         }
         let now = cell.now;
         for message in std::mem::take(&mut self.inbox) {
-            self.take_answer(message, now);
+            self.handle_reply(message, now);
         }
-        self.send(cell);
-        self.read(cell, now);
-        self.lead(cell, now);
-        self.place(cell, now);
-        self.append(cell, now);
+        self.send_outbox(cell);
+        self.read_log(cell, now);
+        self.submit_lead_records(cell, now);
+        self.run_placement(cell, now);
+        self.append_pending(cell, now);
     }
 
-    fn read(&mut self, cell: &Cell, now: Moment) {
+    fn read_log(&mut self, cell: &Cell, now: Moment) {
         for entry in std::mem::take(&mut self.fetched) {
             for (id, verdict) in self.fold.feed(entry) {
-                self.settle(id, &verdict, now);
+                self.handle_verdict(id, &verdict, now);
             }
-            self.observe(now);
+            self.observe_leads(now);
         }
         self.fetched = cell.log.read(self.fold.next());
     }
 
-    fn observe(&mut self, now: Moment) {
+    fn observe_leads(&mut self, now: Moment) {
         let Some(state) = self.fold.state() else { return };
         for (hall, timer) in &mut self.leads {
-            // Without the wait a claimant believes that it read the last renewal long ago.
-            let read = match self.off {
-                SwitchedOff::ClaimWait => Moment(now.0.saturating_sub(2 * LEAD_TIMING.term.0)),
+            // To skip the wait, the box pretends to have read the last renewal long ago.
+            let read_at = match self.disabled {
+                DisabledRule::ClaimWait => Moment(now.0.saturating_sub(2 * LEAD_TIMING.term.0)),
                 _ => now,
             };
-            timer.observe(state.halls.get(hall).and_then(|hall| hall.lead.as_ref()), read);
+            timer.observe(state.halls.get(hall).and_then(|hall| hall.lead.as_ref()), read_at);
         }
     }
 
-    fn settle(&mut self, id: RecordId, verdict: &RecordVerdict, now: Moment) {
+    fn handle_verdict(&mut self, id: RecordId, verdict: &RecordVerdict, now: Moment) {
         let Some(pending) = self.pending.remove(&id) else { return };
-        self.observe(now);
+        self.observe_leads(now);
         let RecordVerdict::Accepted { at } = verdict else { return };
         let Some(sent) = pending.first_sent else { return };
-        let counted_from = if self.off == SwitchedOff::TermFromSending { now } else { sent };
+        let term_start = if self.disabled == DisabledRule::TermFromSendTime { now } else { sent };
         match pending.body {
-            RecordBody::ClaimLead { hall, .. } => self.confirm(&hall, Epoch(at.0), counted_from),
-            RecordBody::RenewLead { hall, epoch } => self.confirm(&hall, epoch, counted_from),
+            RecordBody::ClaimLead { hall, .. } => self.confirm_lead(&hall, Epoch(at.0), term_start),
+            RecordBody::RenewLead { hall, epoch } => self.confirm_lead(&hall, epoch, term_start),
             _ => {}
         }
     }
 
-    fn confirm(&mut self, hall: &HallName, epoch: Epoch, sent: Moment) {
+    fn confirm_lead(&mut self, hall: &HallName, epoch: Epoch, sent: Moment) {
         if let Some(timer) = self.leads.get_mut(hall) {
             timer.record_confirmation(epoch, sent);
         }
     }
 
-    fn lead(&mut self, cell: &mut Cell, now: Moment) {
+    fn submit_lead_records(&mut self, cell: &mut Cell, now: Moment) {
         if self.fold.state().is_none() {
             return;
         }
         let mut bodies = Vec::new();
         for (position, (hall, timer)) in self.leads.iter_mut().enumerate() {
-            let rank = (self.index + position) % BOXES;
+            let rank = (self.index + position) % BOX_COUNT;
             match timer.next_action(rank, now) {
                 LeadAction::Wait => {}
                 LeadAction::Claim { after } => {
@@ -175,7 +179,7 @@
         }
     }
 
-    fn place(&mut self, cell: &mut Cell, now: Moment) {
+    fn run_placement(&mut self, cell: &mut Cell, now: Moment) {
         let halls: Vec<HallName> = self.leads.keys().cloned().collect();
         for hall in halls {
             let Some(held) = self.leads[&hall].held_at(now) else {
@@ -183,26 +187,26 @@
                 continue;
             };
             let Some(state) = self.fold.state() else { continue };
-            let timing = place_timing(self.off);
-            // Without recovery a lead believes that it began long ago.
-            let began = if self.off == SwitchedOff::Recovery { Moment(0) } else { now };
-            let fresh = || HallPlacer::new(hall.clone(), held.epoch, timing, began);
-            let placer = self.placers.entry(hall.clone()).or_insert_with(fresh);
+            let timing = placement_timing(self.disabled);
+            // To skip recovery, the lead pretends to have begun long ago.
+            let started_at = if self.disabled == DisabledRule::Recovery { Moment(0) } else { now };
+            let new_placer = || HallPlacer::new(hall.clone(), held.epoch, timing, started_at);
+            let placer = self.placers.entry(hall.clone()).or_insert_with(new_placer);
             if placer.epoch() != held.epoch {
-                *placer = fresh();
+                *placer = new_placer();
             }
             let roster = state.halls.get(&hall).map(|hall| hall.roster.clone()).unwrap_or_default();
             let roster =
-                if self.off == SwitchedOff::Recovery { Default::default() } else { roster };
+                if self.disabled == DisabledRule::Recovery { Default::default() } else { roster };
             placer.sync_workers(&cell.views, &roster);
             let actions = placer.tick(state, now);
             for action in actions {
-                self.act(cell, &hall, held.epoch, action, now);
+                self.perform_action(cell, &hall, held.epoch, action, now);
             }
         }
     }
 
-    fn act(
+    fn perform_action(
         &mut self,
         cell: &mut Cell,
         hall: &HallName,
@@ -210,15 +214,15 @@
         action: PlacementAction,
         now: Moment,
     ) {
-        let node = self.index;
-        let (worker, ask) = match action {
+        let from = self.index;
+        let (worker, request) = match action {
             PlacementAction::Start(worker, mut start) => {
-                start.lease = PLACE_TIMING.lease;
-                (worker, WorkerAsk::Start(start))
+                start.lease = PLACEMENT_TIMING.lease;
+                (worker, WorkerRequest::Start(start))
             }
             PlacementAction::Sync(worker, mut sync) => {
-                sync.lease = PLACE_TIMING.lease;
-                (worker, WorkerAsk::Sync(sync))
+                sync.lease = PLACEMENT_TIMING.lease;
+                (worker, WorkerRequest::Sync(sync))
             }
             PlacementAction::End(ends) => {
                 let body = RecordBody::EndTasks { hall: hall.clone(), epoch, ends };
@@ -230,35 +234,37 @@
             }
         };
         let (hall, sent) = (hall.clone(), now);
-        self.outbox.push(WorkerMessage::Ask { node, epoch, hall, worker, ask, sent });
+        self.outbox.push(WorkerMessage::Request { from, epoch, hall, worker, request, sent });
     }
 
-    /// Sends what was decided at the last turn, after one more look at the clock.
-    fn send(&mut self, cell: &mut Cell) {
+    /// Sends the requests of the last run if the lead still holds now, and refuses them otherwise.
+    fn send_outbox(&mut self, cell: &mut Cell) {
         let now = cell.now;
         for message in std::mem::take(&mut self.outbox) {
-            let WorkerMessage::Ask { node, epoch, hall, worker, ask, .. } = message else {
+            let WorkerMessage::Request { from, epoch, hall, worker, request, .. } = message else {
                 continue;
             };
-            let held = self.leads[&hall].held_at(now).is_some_and(|held| held.epoch == epoch);
-            let message = WorkerMessage::Ask { node, epoch, hall, worker, ask, sent: now };
-            if held || self.off == SwitchedOff::EpochCheck {
+            let is_held = self.leads[&hall].held_at(now).is_some_and(|held| held.epoch == epoch);
+            let message = WorkerMessage::Request { from, epoch, hall, worker, request, sent: now };
+            if is_held || self.disabled == DisabledRule::EpochCheck {
                 cell.messages.push(message);
             } else {
-                self.refuse(message, now);
+                self.refuse_request(message, now);
             }
         }
     }
 
-    /// A start that was never sent surely did not happen.
-    fn refuse(&mut self, message: WorkerMessage, now: Moment) {
-        let WorkerMessage::Ask { epoch, hall, worker, ask, sent, .. } = message else { return };
+    /// Tells the placer that a request was not sent: a start was refused, a sync got no reply.
+    fn refuse_request(&mut self, message: WorkerMessage, now: Moment) {
+        let WorkerMessage::Request { epoch, hall, worker, request, sent, .. } = message else {
+            return;
+        };
         let Some(placer) = self.placers.get_mut(&hall).filter(|placer| placer.epoch() == epoch)
         else {
             return;
         };
-        match ask {
-            WorkerAsk::Start(start) => {
+        match request {
+            WorkerRequest::Start(start) => {
                 placer.handle_start_reply(
                     &worker,
                     start.attempt.task,
@@ -267,66 +273,72 @@
                     now,
                 );
             }
-            WorkerAsk::Sync(sync) => placer.handle_sync_reply(&worker, &sync, None, sent, now),
+            WorkerRequest::Sync(sync) => placer.handle_sync_reply(&worker, &sync, None, sent, now),
         }
     }
 
-    /// An answer arrives.
+    /// Stores a reply until the next run.
     pub fn receive(&mut self, message: WorkerMessage) {
         if self.running {
             self.inbox.push(message);
         }
     }
 
-    fn take_answer(&mut self, message: WorkerMessage, now: Moment) {
-        let WorkerMessage::Answer { epoch, hall, worker, ask, answer, sent, .. } = message else {
+    fn handle_reply(&mut self, message: WorkerMessage, now: Moment) {
+        let WorkerMessage::Reply { epoch, hall, worker, request, reply, sent, .. } = message else {
             return;
         };
         let Some(placer) = self.placers.get_mut(&hall).filter(|placer| placer.epoch() == epoch)
         else {
             return;
         };
-        match (ask, answer) {
-            (WorkerAsk::Start(start), answer) => {
-                let reply = match answer {
-                    Some(WorkerAnswer::Start(reply)) => reply,
+        match (request, reply) {
+            (WorkerRequest::Start(start), reply) => {
+                let reply = match reply {
+                    Some(WorkerReply::Start(reply)) => reply,
                     _ => StartReply::Unknown,
                 };
                 placer.handle_start_reply(&worker, start.attempt.task, reply, sent, now);
             }
-            (WorkerAsk::Sync(sync), Some(WorkerAnswer::Inventory(inventory))) => {
+            (WorkerRequest::Sync(sync), Some(WorkerReply::Inventory(inventory))) => {
                 placer.handle_sync_reply(&worker, &sync, Some(inventory), sent, now);
             }
-            (WorkerAsk::Sync(sync), _) => placer.handle_sync_reply(&worker, &sync, None, sent, now),
+            (WorkerRequest::Sync(sync), _) => {
+                placer.handle_sync_reply(&worker, &sync, None, sent, now)
+            }
         }
     }
 
-    /// What the log has and this box skipped, since it took over a later state, is appended again.
-    fn doubt(&mut self) {
+    /// Marks records to be appended again whose entries this box did not read, since it adopted a
+    /// later state and so missed their verdicts.
+    fn retry_skipped_records(&mut self) {
         let Some(next) = self.fold.state().map(|state| state.next) else { return };
         for pending in self.pending.values_mut() {
             pending.acknowledged = pending.acknowledged.filter(|offset| *offset >= next);
         }
     }
 
-    fn append(&mut self, cell: &mut Cell, now: Moment) {
-        self.doubt();
+    fn append_pending(&mut self, cell: &mut Cell, now: Moment) {
+        self.retry_skipped_records();
         let mut batch = RecordBatch::default();
-        let wanted: Vec<RecordId> = self
+        let unacknowledged: Vec<RecordId> = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.acknowledged.is_none())
             .map(|(id, _)| *id)
             .collect();
-        for id in wanted {
+        for id in unacknowledged {
             let mut pending = self.pending.remove(&id).expect("the key was just seen");
-            let again = pending.first_sent.is_some();
-            if again && is_worthless(&pending, now) {
+            let is_retry = pending.first_sent.is_some();
+            if is_retry && is_expired_lead_record(&pending, now) {
                 continue;
             }
             pending.first_sent.get_or_insert(now);
-            let id =
-                if again && self.off == SwitchedOff::SameRecordId { cell.new_id() } else { id };
+            let id = if is_retry && self.disabled == DisabledRule::StableRecordId {
+                cell.new_id()
+            } else {
+                id
+            };
             batch.records.push(LogRecord {
                 id,
                 by: box_id(self.index),
@@ -340,26 +352,27 @@
         let ids: Vec<RecordId> = batch.records.iter().map(|record| record.id).collect();
         let offset = cell.log.try_append(batch, now);
         for id in ids {
-            self.pending.get_mut(&id).expect("it was just put there").acknowledged = offset;
+            self.pending.get_mut(&id).expect("the record was just inserted").acknowledged = offset;
         }
     }
 }
 
-/// A claim or renewal that is older than its term is not appended again.
-fn is_worthless(pending: &PendingRecord, now: Moment) -> bool {
+/// Whether the record is a claim or renewal that was first sent longer than a term ago. It is not
+/// appended again.
+fn is_expired_lead_record(pending: &PendingRecord, now: Moment) -> bool {
     let expires =
         matches!(pending.body, RecordBody::ClaimLead { .. } | RecordBody::RenewLead { .. });
     expires && pending.first_sent.is_some_and(|sent| now.since(sent) >= LEAD_TIMING.term)
 }
 
-/// The times that a placer counts with. Workers are always told the real lease.
-fn place_timing(off: SwitchedOff) -> PlacementTiming {
-    match off {
-        SwitchedOff::SilentWorkerRoom => PlacementTiming {
+/// Durations that the placer assumes. The leases sent to workers are always the real ones.
+fn placement_timing(disabled: DisabledRule) -> PlacementTiming {
+    match disabled {
+        DisabledRule::SilentWorkerLease => PlacementTiming {
             lease: TimeSpan(200),
             max_delivery_delay: TimeSpan(0),
-            ..PLACE_TIMING
+            ..PLACEMENT_TIMING
         },
-        _ => PLACE_TIMING,
+        _ => PLACEMENT_TIMING,
     }
 }
--- a/crates/sedgehill-core/tests/testsuite/random_cell.rs
+++ b/crates/sedgehill-core/tests/testsuite/random_cell.rs
@@ -1,56 +1,56 @@
-//! Random steps against the whole cell, with every promise checked after each step.
+//! Runs random steps on a simulated cell and checks every invariant after each step.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-use crate::cell::{AppendFate, Cell, CellStep, SwitchedOff};
+use crate::cell::{AppendFault, Cell, CellStep, DisabledRule};
 
-/// The seed of runs that name no other.
+/// Default seed.
 pub const SEED: u64 = 20_261_202;
 
-/// Any step, ordinary moments the most often.
+/// Generates any step; ticks without faults are the most frequent.
 pub fn any_step() -> impl Strategy<Value = CellStep> {
     let pick = 0usize..1_000;
     prop_oneof![
-        30 => (1u8..8).prop_map(CellStep::Ordinary),
-        10 => pick.clone().prop_map(CellStep::Turn),
+        30 => (1u8..8).prop_map(CellStep::Tick),
+        10 => pick.clone().prop_map(CellStep::RunBox),
         6 => (1u64..400).prop_map(CellStep::Advance),
         2 => (400u64..4_000).prop_map(CellStep::Advance),
-        8 => pick.clone().prop_map(CellStep::Deliver),
-        5 => pick.clone().prop_map(CellStep::Lose),
-        6 => any_fate().prop_map(CellStep::Fate),
-        2 => pick.clone().prop_map(CellStep::Kill),
-        4 => pick.clone().prop_map(CellStep::Restart),
-        3 => pick.clone().prop_map(CellStep::Pause),
-        5 => pick.clone().prop_map(CellStep::Resume),
-        2 => pick.clone().prop_map(CellStep::Sleep),
+        8 => pick.clone().prop_map(CellStep::DeliverMessage),
+        5 => pick.clone().prop_map(CellStep::LoseMessage),
+        6 => any_append_fault().prop_map(CellStep::SetAppendFault),
+        2 => pick.clone().prop_map(CellStep::KillBox),
+        4 => pick.clone().prop_map(CellStep::RestartBox),
+        3 => pick.clone().prop_map(CellStep::PauseBox),
+        5 => pick.clone().prop_map(CellStep::ResumeBox),
+        2 => pick.clone().prop_map(CellStep::SuspendBox),
         1 => Just(CellStep::LogDown),
         3 => Just(CellStep::LogUp),
-        1 => (5usize..40).prop_map(CellStep::Forget),
-        3 => pick.clone().prop_map(CellStep::Snapshot),
-        2 => (pick.clone(), pick.clone()).prop_map(|(from, to)| CellStep::TakeState(from, to)),
-        6 => (pick.clone(), 0u32..100, any::<bool>()).prop_map(|(a, b, c)| CellStep::Submit(a, b, c)),
-        2 => pick.clone().prop_map(CellStep::Cancel),
-        2 => (pick.clone(), pick.clone()).prop_map(|(a, b)| CellStep::Race(a, b)),
+        1 => (5usize..40).prop_map(CellStep::TruncateLog),
+        3 => pick.clone().prop_map(CellStep::AppendSnapshot),
+        2 => (pick.clone(), pick.clone()).prop_map(|(from, to)| CellStep::TransferState(from, to)),
+        6 => (pick.clone(), 0u32..100, any::<bool>()).prop_map(|(a, b, c)| CellStep::SubmitJob(a, b, c)),
+        2 => pick.clone().prop_map(CellStep::CancelJob),
+        2 => (pick.clone(), pick.clone()).prop_map(|(a, b)| CellStep::PublishConcurrently(a, b)),
         1 => pick.clone().prop_map(CellStep::RestartWorker),
         3 => (pick.clone(), any::<bool>()).prop_map(|(a, b)| CellStep::SilenceWorker(a, b)),
-        1 => (pick, any::<bool>()).prop_map(|(a, b)| CellStep::BreakWorker(a, b)),
+        1 => (pick, any::<bool>()).prop_map(|(a, b)| CellStep::FailWorkerTasks(a, b)),
     ]
 }
 
-fn any_fate() -> impl Strategy<Value = AppendFate> {
+fn any_append_fault() -> impl Strategy<Value = AppendFault> {
     prop_oneof![
-        3 => Just(AppendFate::Works),
-        1 => Just(AppendFate::AnswerLost),
-        1 => Just(AppendFate::Lost),
+        3 => Just(AppendFault::None),
+        1 => Just(AppendFault::ReplyLost),
+        1 => Just(AppendFault::RequestLost),
     ]
 }
 
-/// The steps are the whole model: what must hold is checked against what really runs.
-struct AnySteps;
+/// Model without state: the invariants are checked against the simulated cell itself.
+struct StepModel;
 
-impl ReferenceStateMachine for AnySteps {
+impl ReferenceStateMachine for StepModel {
     type State = ();
     type Transition = CellStep;
 
@@ -69,32 +69,32 @@
 
 impl StateMachineTest for CellTest {
     type SystemUnderTest = Cell;
-    type Reference = AnySteps;
+    type Reference = StepModel;
 
     fn init_test((): &()) -> Cell {
-        Cell::new(SwitchedOff::Nothing)
+        Cell::new(DisabledRule::NoRule)
     }
 
     fn apply(mut cell: Cell, (): &(), step: CellStep) -> Cell {
-        if let Err(broken) = cell.step(&step) {
-            panic!("{broken}");
+        if let Err(violation) = cell.step(&step) {
+            panic!("{violation}");
         }
         cell
     }
 
     fn teardown(mut cell: Cell, (): ()) {
-        if let Err(broken) = cell.settle() {
-            panic!("{broken}");
+        if let Err(violation) = cell.run_until_idle() {
+            panic!("{violation}");
         }
     }
 }
 
-/// How many cases to run: `PROPTEST_CASES` for longer runs, with `PROPTEST_RNG_SEED` for others.
+/// Reads the number of cases from `PROPTEST_CASES` and the seed from `PROPTEST_RNG_SEED`, if set.
 fn config() -> ProptestConfig {
-    const CASES: u32 = 150;
+    const DEFAULT_CASES: u32 = 150;
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     ProptestConfig {
-        cases: number("PROPTEST_CASES").map_or(CASES, |cases| cases as u32),
+        cases: number("PROPTEST_CASES").map_or(DEFAULT_CASES, |cases| cases as u32),
         rng_seed: RngSeed::Fixed(number("PROPTEST_RNG_SEED").unwrap_or(SEED)),
         failure_persistence: None,
         max_shrink_iters: 20_000,
@@ -106,5 +106,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn every_promise_holds_at_every_step(sequential 50..300 => CellTest);
+    fn every_invariant_holds_at_every_step(sequential 50..300 => CellTest);
 }
--- a/crates/sedgehill-core/tests/testsuite/regressions.rs
+++ b/crates/sedgehill-core/tests/testsuite/regressions.rs
@@ -1,54 +1,55 @@
-//! Failures that the random runs found, each as its shortest run.
+//! Minimal runs that reproduce failures found by the random runs.
 
-use crate::cell::{AppendFate, Cell, CellStep, SwitchedOff};
+use crate::cell::{AppendFault, Cell, CellStep, DisabledRule};
 
 fn run(steps: &[CellStep]) {
-    let mut cell = Cell::new(SwitchedOff::Nothing);
+    let mut cell = Cell::new(DisabledRule::NoRule);
     for step in steps {
-        cell.step(step).expect("every promise holds");
+        cell.step(step).expect("every invariant holds");
     }
-    cell.settle().expect("the cell comes to rest");
+    cell.run_until_idle().expect("the cell becomes idle");
 }
 
-/// Every worker of the hall had failed tasks, and each was probed with one task at a time for ever:
-/// the gang never found room for all its tasks at once.
+/// After failures on every worker of a hall, each worker was probed with one task at a time without
+/// end, so that a gang never got resources for all its tasks at the same time.
 #[test]
-fn a_gang_starts_on_workers_that_were_shut_out() {
+fn a_gang_starts_on_workers_after_their_suspension() {
     use CellStep::*;
     run(&[
-        Sleep(0),
-        BreakWorker(949, true),
-        Sleep(550),
-        Ordinary(8),
-        BreakWorker(114, true),
-        Ordinary(11),
-        Fate(AppendFate::Lost),
-        Kill(80),
-        Sleep(0),
-        Fate(AppendFate::Works),
+        SuspendBox(0),
+        FailWorkerTasks(949, true),
+        SuspendBox(550),
+        Tick(8),
+        FailWorkerTasks(114, true),
+        Tick(11),
+        SetAppendFault(AppendFault::RequestLost),
+        KillBox(80),
+        SuspendBox(0),
+        SetAppendFault(AppendFault::None),
         LogUp,
-        Ordinary(1),
-        Submit(570, 16, true),
-        Ordinary(3),
-        Sleep(164),
-        Ordinary(1),
+        Tick(1),
+        SubmitJob(570, 16, true),
+        Tick(3),
+        SuspendBox(164),
+        Tick(1),
         RestartWorker(152),
     ]);
 }
 
-/// A box took over a later state from a peer and skipped the verdicts on its own records.
+/// A box that adopted a later state from a peer missed the verdicts on its own records, which
+/// stayed pending.
 #[test]
-fn records_are_settled_after_a_state_was_taken_over() {
+fn pending_records_get_verdicts_after_a_state_was_adopted() {
     use CellStep::*;
     run(&[
-        Ordinary(10),
-        Fate(AppendFate::Lost),
-        Ordinary(15),
+        Tick(10),
+        SetAppendFault(AppendFault::RequestLost),
+        Tick(15),
         Advance(364),
         Advance(386),
-        Ordinary(1),
-        Fate(AppendFate::Works),
-        Ordinary(1),
-        TakeState(292, 570),
+        Tick(1),
+        SetAppendFault(AppendFault::None),
+        Tick(1),
+        TransferState(292, 570),
     ]);
 }
