--- a/crates/sedgehill-core/tests/testsuite/dispatch.rs
+++ b/crates/sedgehill-core/tests/testsuite/dispatch.rs
@@ -1,4 +1,5 @@
-//! The queue of one service, against a simple oracle: who waits, who holds what.
+//! Tests the queue of one service against a model that tracks which requests wait and which hold a
+//! slot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +12,7 @@
 use sedgehill_core::ids::EndpointId;
 use sedgehill_core::units::{Moment, TimeSpan};
 
-const EJECT: EjectionPolicy = EjectionPolicy {
+const EJECTION_POLICY: EjectionPolicy = EjectionPolicy {
     failure_threshold: 3,
     base_duration: TimeSpan(1_000),
     max_duration: TimeSpan(8_000),
@@ -53,7 +54,7 @@
 }
 
 fn queue() -> DispatchQueue<u32> {
-    DispatchQueue::new("near".parse().expect("a valid name"), LIMITS, EJECT)
+    DispatchQueue::new("near".parse().expect("a valid name"), LIMITS, EJECTION_POLICY)
 }
 
 #[derive(Debug, Clone)]
@@ -74,9 +75,10 @@
     ]
 }
 
-/// What the oracle knows: where each request is.
+/// Model of the queue: the state of each request.
 #[derive(Default)]
-struct QueueOracle {
+struct QueueModel {
+    /// Endpoint at which each dispatched request holds a slot.
     held: BTreeMap<u32, EndpointId>,
     waiting: BTreeSet<u32>,
     ended: BTreeSet<u32>,
@@ -84,15 +86,18 @@
     views: BTreeMap<EndpointId, EndpointView>,
 }
 
-impl QueueOracle {
-    fn begin(&mut self, choice: &DispatchChoice, token: u32) -> Result<(), TestCaseError> {
+impl QueueModel {
+    fn dispatch(&mut self, choice: &DispatchChoice, token: u32) -> Result<(), TestCaseError> {
         let view = &self.views[&choice.endpoint];
-        prop_assert!(!view.leaving, "a leaving endpoint got work");
+        prop_assert!(!view.leaving, "a request was sent to a draining endpoint");
         prop_assert!(!self.near_only.contains(&token) || view.hall.as_str() == "near");
-        prop_assert!(self.held.insert(token, choice.endpoint.clone()).is_none(), "sent twice");
-        prop_assert!(!self.ended.contains(&token), "sent after its end");
+        prop_assert!(
+            self.held.insert(token, choice.endpoint.clone()).is_none(),
+            "the request was sent twice"
+        );
+        prop_assert!(!self.ended.contains(&token), "the request was sent after its end");
         let busy = self.held.values().filter(|endpoint| **endpoint == choice.endpoint).count();
-        prop_assert!(busy as u32 <= view.share, "over the share");
+        prop_assert!(busy as u32 <= view.share, "more requests than the endpoint's share");
         Ok(())
     }
 }
@@ -104,36 +109,36 @@
     #[test]
     fn each_request_is_sent_once_within_shares_or_refused(steps in proptest::collection::vec(any_step(), 1..200)) {
         let mut queue = queue();
-        let mut oracle = QueueOracle::default();
+        let mut model = QueueModel::default();
         let mut now = Moment(1_000);
-        let mut next = 0u32;
+        let mut next_token = 0u32;
         for step in steps {
             let chosen = match step {
                 QueueStep::Offer { patience, near_only } => {
-                    let token = next;
-                    next += 1;
+                    let token = next_token;
+                    next_token += 1;
                     if near_only {
-                        oracle.near_only.insert(token);
+                        model.near_only.insert(token);
                     }
                     let request = request(now.0 + patience, now.0 + 2_000, near_only);
                     match queue.offer(request, token, now) {
                         DispatchOffer::Chosen(choice, token) => vec![(choice, token)],
                         DispatchOffer::Waiting => {
-                            oracle.waiting.insert(token);
+                            model.waiting.insert(token);
                             Vec::new()
                         }
                         DispatchOffer::Refused(_, token) => {
-                            oracle.ended.insert(token);
+                            model.ended.insert(token);
                             Vec::new()
                         }
                     }
                 }
                 QueueStep::Release { pick, good } => {
-                    let Some(token) = oracle.held.keys().nth(pick % oracle.held.len().max(1)).copied() else { continue };
-                    let endpoint = oracle.held.remove(&token).expect("the key was just seen");
-                    oracle.ended.insert(token);
-                    let evidence = if good { EndpointOutcome::Success } else { EndpointOutcome::Failure };
-                    queue.release(&endpoint, evidence, TimeSpan(10), now)
+                    let Some(token) = model.held.keys().nth(pick % model.held.len().max(1)).copied() else { continue };
+                    let endpoint = model.held.remove(&token).expect("the key was just seen");
+                    model.ended.insert(token);
+                    let outcome = if good { EndpointOutcome::Success } else { EndpointOutcome::Failure };
+                    queue.release(&endpoint, outcome, TimeSpan(10), now)
                 }
                 QueueStep::Sync { shares, leaving } => {
                     let views: Vec<EndpointView> = shares
@@ -141,38 +146,38 @@
                         .enumerate()
                         .map(|(index, share)| view(index, *share, index == leaving))
                         .collect();
-                    oracle.views = views.iter().map(|view| (view.id.clone(), view.clone())).collect();
+                    model.views = views.iter().map(|view| (view.id.clone(), view.clone())).collect();
                     queue.sync(views, now)
                 }
                 QueueStep::Advance(millis) => {
                     now = now.after(TimeSpan(millis));
                     for token in queue.expire(now) {
-                        prop_assert!(oracle.waiting.remove(&token), "expired without waiting");
-                        oracle.ended.insert(token);
+                        prop_assert!(model.waiting.remove(&token), "a request expired that did not wait");
+                        model.ended.insert(token);
                     }
                     queue.dispatch_waiting(now)
                 }
             };
             for (choice, token) in chosen {
-                oracle.waiting.remove(&token);
-                oracle.begin(&choice, token)?;
+                model.waiting.remove(&token);
+                model.dispatch(&choice, token)?;
             }
-            prop_assert_eq!(queue.waiting(), oracle.waiting.len());
-            prop_assert_eq!(queue.in_flight() as usize, oracle.held.len());
+            prop_assert_eq!(queue.waiting(), model.waiting.len());
+            prop_assert_eq!(queue.in_flight() as usize, model.held.len());
             prop_assert!(queue.waiting() <= LIMITS.count);
         }
     }
 
-    /// Over all boxes, the shares of an endpoint make up its slots.
+    /// The shares of all boxes at an endpoint add up to its slots.
     #[test]
-    fn shares_make_up_the_slots(slots in 1u32..100, boxes in 1usize..12, endpoint in 0usize..1_000) {
+    fn shares_add_up_to_the_slots(slots in 1u32..100, boxes in 1usize..12, endpoint in 0usize..1_000) {
         let endpoint = id(endpoint);
         let sum: u32 = (0..boxes).map(|rank| slot_share(slots, boxes, rank, &endpoint)).sum();
         prop_assert_eq!(sum, slots);
     }
 }
 
-fn taken(offer: DispatchOffer<u32>) -> EndpointId {
+fn chosen_endpoint(offer: DispatchOffer<u32>) -> EndpointId {
     match offer {
         DispatchOffer::Chosen(choice, _) => choice.endpoint,
         other => panic!("expected an endpoint, got {other:?}"),
@@ -180,23 +185,23 @@
 }
 
 #[test]
-fn quick_work_passes_heavy_work_and_heavy_work_does_not_starve() {
+fn requests_with_short_patience_go_first_without_starving_others() {
     let mut queue = queue();
     let now = Moment(1_000);
     queue.sync(vec![view(0, 1, false)], now);
-    taken(queue.offer(request(1_000, 9_000, false), 0, now));
+    chosen_endpoint(queue.offer(request(1_000, 9_000, false), 0, now));
     assert!(matches!(queue.offer(request(6_000, 9_000, false), 1, now), DispatchOffer::Waiting));
     assert!(matches!(queue.offer(request(1_100, 9_000, false), 2, now), DispatchOffer::Waiting));
     let next = queue.release(&id(0), EndpointOutcome::Success, TimeSpan(5), now);
-    assert_eq!(next[0].1, 2, "the quick one first");
+    assert_eq!(next[0].1, 2, "the request that is due first");
     let later = Moment(1_900);
     assert!(matches!(queue.offer(request(6_100, 9_000, false), 3, later), DispatchOffer::Waiting));
     let next = queue.release(&id(0), EndpointOutcome::Success, TimeSpan(5), later);
-    assert_eq!(next[0].1, 1, "the heavy one before a quick one that is due later");
+    assert_eq!(next[0].1, 1, "the earlier request before one that is due later");
 }
 
 #[test]
-fn an_organisation_over_its_queue_is_refused_and_others_are_not() {
+fn only_the_organisation_at_its_queue_limit_is_refused() {
     let mut queue = queue();
     let now = Moment(1_000);
     queue.sync(Vec::new(), now);
@@ -216,30 +221,46 @@
 }
 
 #[test]
-fn a_failing_endpoint_is_ejected_probed_and_taken_back() {
+fn a_failing_endpoint_is_ejected_probed_and_readmitted() {
     let mut queue = queue();
     let mut now = Moment(1_000);
     let views = || vec![view(0, 2, false), view(1, 2, false)];
     queue.sync(views(), now);
     for token in 0..3 {
         assert_eq!(
-            taken(queue.offer(request(1_000, 9_000, false), token, now)),
+            chosen_endpoint(queue.offer(request(1_000, 9_000, false), token, now)),
             id(0),
-            "near first"
+            "the endpoint in the own hall first"
         );
         queue.release(&id(0), EndpointOutcome::Failure, TimeSpan(1), now);
     }
-    assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 3, now)), id(1), "it is ejected");
+    assert_eq!(
+        chosen_endpoint(queue.offer(request(1_000, 9_000, false), 3, now)),
+        id(1),
+        "the endpoint is ejected"
+    );
     now = Moment(2_000);
     queue.sync(views(), now);
-    assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 4, now)), id(0), "it is probed");
-    assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 5, now)), id(1), "with one request");
+    assert_eq!(
+        chosen_endpoint(queue.offer(request(1_000, 9_000, false), 4, now)),
+        id(0),
+        "the endpoint is probed"
+    );
+    assert_eq!(
+        chosen_endpoint(queue.offer(request(1_000, 9_000, false), 5, now)),
+        id(1),
+        "the probe is a single request"
+    );
     queue.release(&id(0), EndpointOutcome::Success, TimeSpan(1), now);
-    assert_eq!(taken(queue.offer(request(1_000, 9_000, false), 6, now)), id(0), "it is taken back");
+    assert_eq!(
+        chosen_endpoint(queue.offer(request(1_000, 9_000, false), 6, now)),
+        id(0),
+        "the endpoint is readmitted"
+    );
 }
 
 #[test]
-fn a_queue_whose_controllers_stood_still_hands_nothing_out() {
+fn a_queue_with_an_old_endpoint_list_dispatches_nothing() {
     let mut queue = queue();
     queue.sync(vec![view(0, 2, false)], Moment(1_000));
     let late = Moment(5_000);
--- a/crates/sedgehill-core/tests/testsuite/lead.rs
+++ b/crates/sedgehill-core/tests/testsuite/lead.rs
@@ -1,4 +1,4 @@
-//! The lead of a hall, by hand-made times.
+//! Tests of claiming, holding and losing the lead of a data hall, with fixed times.
 
 use sedgehill_core::ids::{BoxId, Epoch, HallName, Offset};
 use sedgehill_core::lead::{LeadAction, LeadTimer, LeadTiming};
@@ -24,12 +24,12 @@
     HallLead { holder: id(holder), epoch: Epoch(epoch), renewed: Offset(renewed), released: false }
 }
 
-fn timer(me: &str) -> LeadTimer {
-    LeadTimer::new(hall(), id(me), TIMING)
+fn timer(own_id: &str) -> LeadTimer {
+    LeadTimer::new(hall(), id(own_id), TIMING)
 }
 
 #[test]
-fn the_term_counts_from_when_the_renewal_was_sent() {
+fn the_term_counts_from_sending_the_renewal() {
     let mut timer = timer("box-1");
     timer.observe(Some(&lead("box-1", 5, 5)), Moment(4_000));
     timer.record_confirmation(Epoch(5), Moment(1_000));
@@ -38,18 +38,21 @@
     timer.record_confirmation(Epoch(5), Moment(3_000));
     assert!(timer.held_at(Moment(8_999)).is_some());
     timer.record_confirmation(Epoch(5), Moment(2_000));
-    assert!(timer.held_at(Moment(8_999)).is_some(), "an older confirmation does not shorten it");
+    assert!(
+        timer.held_at(Moment(8_999)).is_some(),
+        "an older confirmation does not shorten the term"
+    );
 }
 
 #[test]
-fn a_claimant_waits_for_term_and_margin_from_when_it_read() {
+fn a_claimant_waits_for_term_and_margin_after_reading() {
     let mut timer = timer("box-2");
     timer.observe(Some(&lead("box-1", 5, 9)), Moment(1_000));
     assert_eq!(timer.next_action(0, Moment(7_999)), LeadAction::Wait);
-    assert_eq!(timer.next_action(1, Moment(8_000)), LeadAction::Wait, "another is preferred");
+    assert_eq!(timer.next_action(1, Moment(8_000)), LeadAction::Wait, "another box is preferred");
     assert_eq!(timer.next_action(0, Moment(8_000)), LeadAction::Claim { after: Some(Offset(9)) });
     timer.observe(Some(&lead("box-1", 5, 12)), Moment(7_500));
-    assert_eq!(timer.next_action(0, Moment(8_000)), LeadAction::Wait, "it was renewed");
+    assert_eq!(timer.next_action(0, Moment(8_000)), LeadAction::Wait, "the lead was renewed");
 }
 
 #[test]
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn a_confirmation_that_comes_after_another_claim_is_worth_nothing() {
+fn a_confirmation_after_the_claim_of_another_box_has_no_effect() {
     let mut timer = timer("box-1");
     timer.observe(Some(&lead("box-2", 8, 8)), Moment(4_000));
     timer.record_confirmation(Epoch(5), Moment(3_900));
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_lead_that_another_claims_is_lost_at_once() {
+fn a_lead_ends_at_once_when_another_box_claims_it() {
     let mut timer = timer("box-1");
     timer.observe(Some(&lead("box-1", 5, 5)), Moment(1_000));
     timer.record_confirmation(Epoch(5), Moment(1_000));
--- a/crates/sedgehill-core/tests/testsuite/main.rs
+++ b/crates/sedgehill-core/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The core, apart from all I/O.
+//! Tests of the scheduling core, which does no I/O.
 
 mod cell;
 mod dispatch;
--- a/crates/sedgehill-core/tests/testsuite/manifest.rs
+++ b/crates/sedgehill-core/tests/testsuite/manifest.rs
@@ -1,4 +1,4 @@
-//! From JSON to checked types: nothing that is accepted is out of range, and nothing panics.
+//! Tests that parsing a manifest never panics and explains every error.
 
 use proptest::prelude::*;
 use sedgehill_core::manifest::WorkManifest;
@@ -44,7 +44,7 @@
         failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_json_is_accepted_or_explained(value in any_json()) {
+    fn any_json_is_accepted_or_gets_errors_with_paths(value in any_json()) {
         if let Err(errors) = value.to_string().parse::<WorkManifest>() {
             prop_assert!(!errors.0.is_empty());
             prop_assert!(errors.0.iter().all(|error| !error.path.is_empty() && !error.message.is_empty()));
@@ -52,19 +52,19 @@
     }
 
     #[test]
-    fn any_text_is_accepted_or_explained(text in "\\PC{0,200}") {
+    fn parsing_any_text_does_not_panic(text in "\\PC{0,200}") {
         let _ = text.parse::<WorkManifest>();
     }
 }
 
 #[test]
-fn a_whole_manifest_is_read() {
+fn a_complete_manifest_is_parsed() {
     let text = json!({
         "templates": [{ "name": "t", "type": "service", "slots": 8, "connections": 60,
             "kinds": { "k": { "patience": "1s", "timeout": "2s" } } }],
         "parameters": [{ "organisation": "o", "template": "t" }]
     });
-    let manifest: WorkManifest = text.to_string().parse().expect("it is right");
+    let manifest: WorkManifest = text.to_string().parse().expect("a valid manifest");
     assert_eq!(manifest.specs.len(), 2);
     assert!(manifest.check_references(|_| false).is_ok());
 }
--- a/crates/sedgehill-core/tests/testsuite/state.rs
+++ b/crates/sedgehill-core/tests/testsuite/state.rs
@@ -1,4 +1,4 @@
-//! The fold of the log: the same prefix gives the same verdicts, wherever a reader begins.
+//! Tests that the same log gives the same state and verdicts, whichever entry a reader starts at.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -23,8 +23,8 @@
     let text = format!(
         r#"{{ "parameters": [{{ "organisation": "o", "template": "t", "queue": {queue} }}] }}"#
     );
-    let manifest: WorkManifest = text.parse().expect("it is right");
-    manifest.specs.into_iter().next().expect("there is one")
+    let manifest: WorkManifest = text.parse().expect("a valid manifest");
+    manifest.specs.into_iter().next().expect("one entry")
 }
 
 fn publish(base: Option<u64>, queue: u64) -> RecordBody {
@@ -41,44 +41,47 @@
 }
 
 #[test]
-fn of_two_edits_of_one_version_the_first_wins() {
+fn the_first_of_two_edits_of_a_version_is_accepted() {
     let mut state = ClusterState::default();
     state.apply(&entry(0, 1, vec![(1, publish(None, 1))]));
     let verdicts =
         state.apply(&entry(1, 2, vec![(2, publish(Some(0), 2)), (3, publish(Some(0), 3))]));
     assert_eq!(verdicts[0].1, RecordVerdict::Accepted { at: Offset(1) });
     assert_eq!(verdicts[1].1, RecordVerdict::Conflict { winner: Some(Version(1)) });
-    let again = state.apply(&entry(2, 3, vec![(2, publish(Some(0), 2))]));
+    let repeated = state.apply(&entry(2, 3, vec![(2, publish(Some(0), 2))]));
     assert_eq!(
-        again[0].1,
+        repeated[0].1,
         RecordVerdict::Accepted { at: Offset(1) },
-        "a second copy has no effect"
+        "a record appended again has no second effect"
     );
     let key: ConfigKey = "parameters/o/t".parse().expect("a valid key");
     assert_eq!(state.current(&key).map(|version| version.version), Some(Version(1)));
 }
 
 #[test]
-fn a_key_is_claimed_once_and_forgotten_only_when_it_is_refused() {
+fn a_claim_is_discarded_only_when_its_key_is_outside_the_window() {
     let mut state = ClusterState::default();
     let key = key_at(10_000_000);
     let accepted = state.apply(&entry(0, 10_000_000, vec![(1, claim(key))]));
     assert!(matches!(accepted[0].1, RecordVerdict::Accepted { .. }));
     let second = state.apply(&entry(1, 10_000_001, vec![(2, claim(key))]));
     assert_eq!(second[0].1, RecordVerdict::Void { reason: VoidReason::KeyClaimed });
-    let last_moment = 10_000_000 + CLAIM_WINDOW_MS - 1;
-    let third = state.apply(&entry(2, last_moment, vec![(3, claim(key))]));
+    let last_ms_in_window = 10_000_000 + CLAIM_WINDOW_MS - 1;
+    let third = state.apply(&entry(2, last_ms_in_window, vec![(3, claim(key))]));
     assert_eq!(third[0].1, RecordVerdict::Void { reason: VoidReason::KeyClaimed });
-    let late = state.apply(&entry(3, last_moment + 1, vec![(4, claim(key))]));
+    let late = state.apply(&entry(3, last_ms_in_window + 1, vec![(4, claim(key))]));
     assert_eq!(late[0].1, RecordVerdict::Void { reason: VoidReason::KeyOutsideWindow });
-    assert!(state.claims.values().all(|claims| claims.is_empty()), "it is forgotten");
-    let turned_back = state.apply(&entry(4, 5, vec![(5, claim(key))]));
+    assert!(
+        state.claims.values().all(|claims| claims.is_empty()),
+        "the expired claim is discarded"
+    );
+    let clock_set_back = state.apply(&entry(4, 5, vec![(5, claim(key))]));
     let outside = RecordVerdict::Void { reason: VoidReason::KeyOutsideWindow };
-    assert_eq!(turned_back[0].1, outside, "the clock of the log does not go back");
+    assert_eq!(clock_set_back[0].1, outside, "the time of the state does not go back");
 }
 
 #[test]
-fn a_claim_given_back_may_be_claimed_by_another_but_not_by_a_late_copy() {
+fn a_released_key_may_be_claimed_by_another_record_but_not_by_the_same_again() {
     let mut state = ClusterState::default();
     let key = key_at(10_000_000);
     let organisation = "o".parse().expect("a valid name");
@@ -120,15 +123,15 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(13), failure_persistence: None,
         ..ProptestConfig::default() })]
 
-    /// A reader that begins behind a snapshot comes to the same state as one that read everything,
-    /// also if entries come twice.
+    /// A reader that starts at a later entry and finds a snapshot gets the same state as one that
+    /// read the whole log, even if every entry is delivered twice.
     #[test]
-    fn a_snapshot_joins_without_a_gap(
+    fn a_late_reader_gets_the_same_state_from_a_snapshot(
         batches in proptest::collection::vec(any_bodies(), 2..40),
         at in 0usize..40,
-        lost in 0usize..40,
+        discarded in 0usize..40,
     ) {
-        let mut whole = ClusterState::default();
+        let mut full_state = ClusterState::default();
         let mut entries = Vec::new();
         let at = at % batches.len();
         let mut snapshot = None;
@@ -136,40 +139,40 @@
             let bodies = bodies.into_iter().enumerate();
             let bodies = bodies.map(|(number, body)| ((index * 10 + number) as u128, body)).collect();
             let entry = entry(index as u64, index as u64, bodies);
-            whole.apply(&entry);
+            full_state.apply(&entry);
             entries.push(entry);
             if index == at {
-                snapshot = Some(whole.clone());
+                snapshot = Some(full_state.clone());
             }
         }
-        let state = Box::new(snapshot.expect("the index is within the run"));
+        let state = Box::new(snapshot.expect("the index is within the log"));
         let body = RecordBody::Snapshot { at: Offset(at as u64), state };
         let last = entries.len() as u64;
-        let closing = entry(last, last, vec![(u128::MAX, body)]);
-        whole.apply(&closing);
-        entries.push(closing);
+        let snapshot_entry = entry(last, last, vec![(u128::MAX, body)]);
+        full_state.apply(&snapshot_entry);
+        entries.push(snapshot_entry);
 
-        let first = lost % (at + 2);
+        let first = discarded % (at + 2);
         let mut fold = LogFold::default();
         for entry in &entries[first..] {
             fold.feed(entry.clone());
             fold.feed(entry.clone());
         }
-        prop_assert_eq!(fold.state(), Some(&whole));
+        prop_assert_eq!(fold.state(), Some(&full_state));
     }
 
-    /// An older state is never taken over.
+    /// An older state from elsewhere is never adopted.
     #[test]
-    fn nothing_reverts(batches in proptest::collection::vec(any_bodies(), 2..30), at in 0usize..30) {
+    fn an_older_state_is_not_adopted(batches in proptest::collection::vec(any_bodies(), 2..30), at in 0usize..30) {
         let mut fold = LogFold::default();
         let mut states = Vec::new();
         for (index, bodies) in batches.into_iter().enumerate() {
             let bodies = bodies.into_iter().enumerate();
             let bodies = bodies.map(|(number, body)| ((index * 10 + number) as u128, body)).collect();
             fold.feed(entry(index as u64, index as u64, bodies));
-            states.push(fold.state().expect("it began at the beginning").clone());
+            states.push(fold.state().expect("a state from the first entry on").clone());
         }
-        let newest = states.last().expect("there is one").clone();
+        let newest = states.last().expect("at least one state").clone();
         let old = states[at % states.len()].clone();
         prop_assert!(!fold.adopt(old));
         prop_assert_eq!(fold.state(), Some(&newest));
--- a/crates/sedgehill-core/tests/testsuite/units.rs
+++ b/crates/sedgehill-core/tests/testsuite/units.rs
@@ -1,4 +1,4 @@
-//! Sizes and times are written as they are read.
+//! Tests of parsing and formatting sizes, rates and times.
 
 use proptest::prelude::*;
 use sedgehill_core::units::{CoreCount, EventRate, MemorySize, TimeSpan};
@@ -8,7 +8,7 @@
         failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read_back(value in 0u64..1 << 50) {
+    fn formatted_values_parse_to_the_same_value(value in 0u64..1 << 50) {
         prop_assert_eq!(CoreCount(value).to_string().parse(), Ok(CoreCount(value)));
         prop_assert_eq!(MemorySize(value).to_string().parse(), Ok(MemorySize(value)));
         prop_assert_eq!(TimeSpan(value).to_string().parse(), Ok(TimeSpan(value)));
@@ -16,7 +16,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,12}") {
+    fn parsing_any_text_does_not_panic(text in "\\PC{0,12}") {
         let _ = text.parse::<CoreCount>();
         let _ = text.parse::<MemorySize>();
         let _ = text.parse::<TimeSpan>();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn units_of_other_quantities_are_refused() {
+fn units_of_other_quantities_are_rejected() {
     assert!("5GiB".parse::<TimeSpan>().is_err());
     assert!("5".parse::<TimeSpan>().is_err());
     assert!("5s".parse::<MemorySize>().is_err());
