--- a/crates/sedgehill-core/src/state/jobs.rs
+++ b/crates/sedgehill-core/src/state/jobs.rs
@@ -85,19 +85,19 @@
     /// Opens held jobs of an organisation and a template, oldest first, as far as the quota allows.
     fn admit_held(&mut self, organisation: &OrgName, template: &TemplateName) {
         let quota = self.parameters(organisation, template).and_then(|parameters| parameters.quota);
-        let has_key = |job: &JobState| {
+        let matches_template = |job: &JobState| {
             job.request.organisation == *organisation && job.request.template == *template
         };
         let demand = |job: &JobState| job.shape.resources.times(job.request.tasks);
         let mut used = self
             .jobs
             .values()
-            .filter(|job| has_key(job) && job.phase == JobPhase::Open)
+            .filter(|job| matches_template(job) && job.phase == JobPhase::Open)
             .fold(ResourceSet::default(), |sum, job| sum.plus(&demand(job)));
         let mut held: Vec<&mut JobState> = self
             .jobs
             .values_mut()
-            .filter(|job| has_key(job) && job.phase == JobPhase::Held)
+            .filter(|job| matches_template(job) && job.phase == JobPhase::Held)
             .collect();
         held.sort_by_key(|job| job.submitted);
         for job in held {
--- a/crates/sedgehill-core/tests/testsuite/cell/mod.rs
+++ b/crates/sedgehill-core/tests/testsuite/cell/mod.rs
@@ -207,8 +207,8 @@
             CellStep::Advance(millis) => self.advance(millis),
             CellStep::RunBox(index) => self.run_box(index % BOX_COUNT),
             CellStep::Tick(count) => self.tick(count),
-            CellStep::DeliverMessage(pick) => self.deliver_message(pick),
-            CellStep::LoseMessage(pick) => self.lose_message(pick),
+            CellStep::DeliverMessage(index) => self.deliver_message(index),
+            CellStep::LoseMessage(index) => self.lose_message(index),
             CellStep::SetAppendFault(fault) => self.log.append_fault = fault,
             CellStep::KillBox(index) => self.boxes[index % BOX_COUNT].running = false,
             CellStep::RestartBox(index) => self.restart_box(index % BOX_COUNT),
@@ -225,19 +225,19 @@
             CellStep::SubmitJob(index, tasks, gang) => {
                 self.submit_job(index % BOX_COUNT, tasks, gang)
             }
-            CellStep::CancelJob(pick) => self.cancel_job(pick),
+            CellStep::CancelJob(index) => self.cancel_job(index),
             CellStep::PublishConcurrently(first, second) => {
                 self.publish_concurrently(first % BOX_COUNT, second % BOX_COUNT)
             }
-            CellStep::RestartWorker(pick) => self.worker(pick).restart(),
-            CellStep::SilenceWorker(pick, silent) => self.worker(pick).silent = silent,
-            CellStep::FailWorkerTasks(pick, fails) => self.worker(pick).fails_all = fails,
+            CellStep::RestartWorker(index) => self.worker(index).restart(),
+            CellStep::SilenceWorker(index, silent) => self.worker(index).silent = silent,
+            CellStep::FailWorkerTasks(index, fails) => self.worker(index).fails_all = fails,
         }
     }
 
-    fn worker(&mut self, pick: usize) -> &mut FakeWorker {
+    fn worker(&mut self, index: usize) -> &mut FakeWorker {
         let count = self.workers.len();
-        self.workers.values_mut().nth(pick % count).expect("there are workers")
+        self.workers.values_mut().nth(index % count).expect("there are workers")
     }
 
     fn advance(&mut self, millis: u64) {
@@ -281,11 +281,11 @@
         }
     }
 
-    fn deliver_message(&mut self, pick: usize) {
+    fn deliver_message(&mut self, index: usize) {
         if self.messages.is_empty() {
             return;
         }
-        let message = self.messages.remove(pick % self.messages.len());
+        let message = self.messages.remove(index % self.messages.len());
         match message {
             WorkerMessage::Request { from, epoch, hall, worker, request, sent } => {
                 let now = self.now;
@@ -303,10 +303,10 @@
         }
     }
 
-    fn lose_message(&mut self, pick: usize) {
+    fn lose_message(&mut self, index: usize) {
         if !self.messages.is_empty() {
-            let message = self.messages.remove(pick % self.messages.len());
-            if pick % 2 == 1
+            let message = self.messages.remove(index % self.messages.len());
+            if index % 2 == 1
                 && let WorkerMessage::Request { epoch, hall, worker, request, sent, .. } = &message
             {
                 // The sender gives up, but the request still arrives.
@@ -381,11 +381,11 @@
         self.boxes[index].submit(id, RecordBody::Submit { request, hall });
     }
 
-    fn cancel_job(&mut self, pick: usize) {
+    fn cancel_job(&mut self, index: usize) {
         if self.jobs.is_empty() {
             return;
         }
-        let job = self.jobs[pick % self.jobs.len()];
+        let job = self.jobs[index % self.jobs.len()];
         let id = self.new_id();
         let awake = self.boxes.iter().position(TestBox::is_awake);
         if let Some(index) = awake {
--- a/crates/sedgehill-core/tests/testsuite/random_cell.rs
+++ b/crates/sedgehill-core/tests/testsuite/random_cell.rs
@@ -11,31 +11,31 @@
 
 /// Generates any step; ticks without faults are the most frequent.
 pub fn any_step() -> impl Strategy<Value = CellStep> {
-    let pick = 0usize..1_000;
+    let index = 0usize..1_000;
     prop_oneof![
         30 => (1u8..8).prop_map(CellStep::Tick),
-        10 => pick.clone().prop_map(CellStep::RunBox),
+        10 => index.clone().prop_map(CellStep::RunBox),
         6 => (1u64..400).prop_map(CellStep::Advance),
         2 => (400u64..4_000).prop_map(CellStep::Advance),
-        8 => pick.clone().prop_map(CellStep::DeliverMessage),
-        5 => pick.clone().prop_map(CellStep::LoseMessage),
+        8 => index.clone().prop_map(CellStep::DeliverMessage),
+        5 => index.clone().prop_map(CellStep::LoseMessage),
         6 => any_append_fault().prop_map(CellStep::SetAppendFault),
-        2 => pick.clone().prop_map(CellStep::KillBox),
-        4 => pick.clone().prop_map(CellStep::RestartBox),
-        3 => pick.clone().prop_map(CellStep::PauseBox),
-        5 => pick.clone().prop_map(CellStep::ResumeBox),
-        2 => pick.clone().prop_map(CellStep::SuspendBox),
+        2 => index.clone().prop_map(CellStep::KillBox),
+        4 => index.clone().prop_map(CellStep::RestartBox),
+        3 => index.clone().prop_map(CellStep::PauseBox),
+        5 => index.clone().prop_map(CellStep::ResumeBox),
+        2 => index.clone().prop_map(CellStep::SuspendBox),
         1 => Just(CellStep::LogDown),
         3 => Just(CellStep::LogUp),
         1 => (5usize..40).prop_map(CellStep::TruncateLog),
-        3 => pick.clone().prop_map(CellStep::AppendSnapshot),
-        2 => (pick.clone(), pick.clone()).prop_map(|(from, to)| CellStep::TransferState(from, to)),
-        6 => (pick.clone(), 0u32..100, any::<bool>()).prop_map(|(a, b, c)| CellStep::SubmitJob(a, b, c)),
-        2 => pick.clone().prop_map(CellStep::CancelJob),
-        2 => (pick.clone(), pick.clone()).prop_map(|(a, b)| CellStep::PublishConcurrently(a, b)),
-        1 => pick.clone().prop_map(CellStep::RestartWorker),
-        3 => (pick.clone(), any::<bool>()).prop_map(|(a, b)| CellStep::SilenceWorker(a, b)),
-        1 => (pick, any::<bool>()).prop_map(|(a, b)| CellStep::FailWorkerTasks(a, b)),
+        3 => index.clone().prop_map(CellStep::AppendSnapshot),
+        2 => (index.clone(), index.clone()).prop_map(|(from, to)| CellStep::TransferState(from, to)),
+        6 => (index.clone(), 0u32..100, any::<bool>()).prop_map(|(index, tasks, gang)| CellStep::SubmitJob(index, tasks, gang)),
+        2 => index.clone().prop_map(CellStep::CancelJob),
+        2 => (index.clone(), index.clone()).prop_map(|(first, second)| CellStep::PublishConcurrently(first, second)),
+        1 => index.clone().prop_map(CellStep::RestartWorker),
+        3 => (index.clone(), any::<bool>()).prop_map(|(index, silent)| CellStep::SilenceWorker(index, silent)),
+        1 => (index, any::<bool>()).prop_map(|(index, fails)| CellStep::FailWorkerTasks(index, fails)),
     ]
 }
 
