--- a/crates/sedgehill-cell/src/authority.rs
+++ b/crates/sedgehill-cell/src/authority.rs
@@ -16,7 +16,7 @@
 
 use crate::ids::{BoxName, FencingToken};
 use crate::standby::LinkRate;
-use crate::stored::decode_grown;
+use crate::stored::decode_with_defaults;
 
 /// A claim, a renewal or a resignation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,10 +35,10 @@
     pub resigned: bool,
     /// No lead before this one can give orders any more. It stands last: boxes of versions without it read the
     /// rest, and theirs are read without it.
-    pub sole: bool,
+    pub predecessors_expired: bool,
 }
 
-/// What stands for [`LeadRecord::sole`] if a record ends before it: leads before it may give orders.
+/// What stands for [`LeadRecord::predecessors_expired`] if a record ends before it: leads before it may give orders.
 const SOLE_MISSING: u8 = 0;
 
 impl LeadRecord {
@@ -49,30 +49,31 @@
 
     /// Reads a record back.
     pub fn decode(value: &[u8]) -> Result<LeadRecord, postcard::Error> {
-        decode_grown(value, &[SOLE_MISSING])
+        decode_with_defaults(value, &[SOLE_MISSING])
     }
 }
 
-/// Times of claims and renewals. They must satisfy `renew < suspect < silence` and `renew < term`.
+/// Times of claims and renewals. They must satisfy `renew_interval < unreachable_timeout < silence_timeout` and
+/// `renew_interval < term`.
 #[derive(Debug, Clone, Copy)]
 pub struct AuthorityTiming {
     /// Time between two renewals.
-    pub renew: TimeSpan,
+    pub renew_interval: TimeSpan,
     /// How long after the sending of its last successful renewal a lead may give orders.
     pub term: TimeSpan,
     /// Silence after which a lead that cannot be reached directly is followed.
-    pub suspect: TimeSpan,
+    pub unreachable_timeout: TimeSpan,
     /// Silence after which a lead is followed in any case.
-    pub silence: TimeSpan,
+    pub silence_timeout: TimeSpan,
 }
 
 impl Default for AuthorityTiming {
     fn default() -> AuthorityTiming {
         AuthorityTiming {
-            renew: TimeSpan(400),
+            renew_interval: TimeSpan(400),
             term: TimeSpan(2_400),
-            suspect: TimeSpan(1_000),
-            silence: TimeSpan(2_800),
+            unreachable_timeout: TimeSpan(1_000),
+            silence_timeout: TimeSpan(2_800),
         }
     }
 }
@@ -115,7 +116,7 @@
     /// What a box can bear whose link carries `link`: work that takes a core in full takes so much of a
     /// link too.
     pub fn bounded_by(self, link: LinkRate) -> BoxStrength {
-        let by_link = link.bytes() / LINK_BYTES_PER_MILLICORE;
+        let by_link = link.bytes_per_second() / LINK_BYTES_PER_MILLICORE;
         BoxStrength(self.0.min(u32::try_from(by_link).unwrap_or(u32::MAX)))
     }
 
@@ -136,9 +137,9 @@
 
 /// The last sign of the newest lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeadSign {
+pub struct LeadLiveness {
     /// When it came, or for an own record when that was sent.
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// Whether there is a link to the lead, and the store answers it.
     pub reachable: bool,
     /// Whether nothing listens at its address.
@@ -157,7 +158,7 @@
     reachable: bool,
     store_lag: TimeSpan,
     authority_until: Option<Moment>,
-    own_end: u64,
+    own_record_end: u64,
     /// The life of a holder at whose address nothing listens.
     gone: Option<u64>,
     followed_gone: Option<Moment>,
@@ -176,7 +177,7 @@
             reachable: false,
             store_lag: TimeSpan(0),
             authority_until: None,
-            own_end: 0,
+            own_record_end: 0,
             gone: None,
             followed_gone: None,
         }
@@ -203,8 +204,8 @@
     }
 
     /// The last sign of the newest lead, as it counts at `now`.
-    pub fn sign(&self, now: Moment) -> LeadSign {
-        LeadSign { heard: self.heard, reachable: self.reachable, gone: self.is_gone(now) }
+    pub fn liveness(&self, now: Moment) -> LeadLiveness {
+        LeadLiveness { last_heard: self.heard, reachable: self.reachable, gone: self.is_gone(now) }
     }
 
     /// Until when this box may give orders, which may be in the past; none if it has given up, or has read
@@ -231,14 +232,14 @@
     ///
     /// The answer may be heard after a later claim was read. Taken for the newest then, the record would have this
     /// box order beside its successor, and claim with the successor's own token.
-    pub fn note_own(
+    pub fn note_own_record(
         &mut self,
         record: LeadRecord,
         sent: Moment,
         end: u64,
         timing: &AuthorityTiming,
     ) -> bool {
-        self.own_end = self.own_end.max(end);
+        self.own_record_end = self.own_record_end.max(end);
         let overtaken = |newest: &LeadRecord| {
             newest.token > record.token
                 || (newest.token == record.token && newest.life != record.life)
@@ -273,14 +274,14 @@
     }
 
     /// Notes that the lead said on the link that the store answers it.
-    pub fn note_lead_served(&mut self, now: Moment) {
+    pub fn note_lead_healthy(&mut self, now: Moment) {
         self.reachable = true;
         self.heard = now;
     }
 
     /// Where the topic ended after the last own record; 0 before the first.
-    pub fn own_end(&self) -> u64 {
-        self.own_end
+    pub fn own_record_end(&self) -> u64 {
+        self.own_record_end
     }
 
     /// Notes whether the lead answers on the link between boxes.
@@ -295,7 +296,7 @@
 
     /// Notes that nothing listens at the address of the newest holder: its process is gone, or a path
     /// is broken in a way that refuses connections.
-    pub fn note_gone(&mut self) {
+    pub fn note_connection_refused(&mut self) {
         self.gone = self.newest.as_ref().map(|record| record.life);
     }
 
@@ -331,7 +332,7 @@
     pub fn has_predecessor(&self) -> bool {
         let Some(newest) = &self.newest else { return false };
         let is_over = newest.resigned || newest.holder == self.name;
-        !(is_over && newest.sole)
+        !(is_over && newest.predecessors_expired)
     }
 
     /// Whether this box should claim the lead at `now`; `rank` counts the boxes before it.
@@ -351,8 +352,8 @@
         let patience = match (vacant, self.reachable) {
             (true, _) => TimeSpan(0),
             // A lead whose renewals take their time in a slow store is not a silent one.
-            (false, true) => TimeSpan(timing.silence.0 + self.store_lag.0),
-            (false, false) => TimeSpan(timing.suspect.0 + self.store_lag.0),
+            (false, true) => TimeSpan(timing.silence_timeout.0 + self.store_lag.0),
+            (false, false) => TimeSpan(timing.unreachable_timeout.0 + self.store_lag.0),
         };
         let courtesy = match self.strength.yields_to(self.strongest) {
             true => WEAK_DELAY,
@@ -362,7 +363,7 @@
     }
 
     /// Whether the last lead was so much stronger that this box leaves the lead to boxes like that.
-    pub fn is_outdone(&self) -> bool {
+    pub fn is_weaker_than_lead(&self) -> bool {
         let newest = self.newest.as_ref();
         newest.is_some_and(|newest| self.strength.yields_to(newest.strength))
     }
@@ -376,7 +377,7 @@
             life: self.life,
             peer_address: peer_address.to_owned(),
             strength: self.strength,
-            sole: !self.has_predecessor(),
+            predecessors_expired: !self.has_predecessor(),
             resigned: false,
         }
     }
--- a/crates/sedgehill-cell/src/ids.rs
+++ b/crates/sedgehill-cell/src/ids.rs
@@ -176,7 +176,7 @@
 
 impl WorkerLife {
     /// Whether both may be the same life: the start of one of them is not known.
-    pub fn may_be(&self, other: &WorkerLife) -> bool {
+    pub fn may_equal(&self, other: &WorkerLife) -> bool {
         let unknown = self.start.is_none() || other.start.is_none();
         self.id == other.id && (unknown || self.start == other.start)
     }
--- a/crates/sedgehill-cell/src/job.rs
+++ b/crates/sedgehill-cell/src/job.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
     /// Time for one question, whatever it names, in microseconds.
-    pub decide_us: u64,
+    pub per_question_us: u64,
     /// Further time for each worker named, in microseconds.
-    pub each_us: u64,
+    pub per_worker_us: u64,
     /// How long a ticket is valid.
     pub valid: TimeSpan,
 }
@@ -22,7 +22,7 @@
 impl AdvicePolicy {
     /// The time that a question about `workers` workers takes.
     pub fn cost(&self, workers: usize) -> TimeSpan {
-        TimeSpan((self.decide_us + self.each_us * workers as u64).div_ceil(1000))
+        TimeSpan((self.per_question_us + self.per_worker_us * workers as u64).div_ceil(1000))
     }
 }
 
--- a/crates/sedgehill-cell/src/lib.rs
+++ b/crates/sedgehill-cell/src/lib.rs
@@ -8,24 +8,24 @@
 //! - [`organisation`] says who may call, and what each organisation may have running.
 //! - [`progress`] is what must survive of a job's course.
 //! - [`replica`] folds the cell's records into the jobs that every box knows.
-//! - [`brief`] is what boxes are told of jobs that do not stand by to lead.
+//! - [`summary`] is what boxes are told of jobs that do not stand by to lead.
 //! - [`standby`] decides which boxes do.
 //! - [`authority`] decides which box leads the cell.
-//! - [`patience`] decides how long to wait for the store.
+//! - [`timeout`] decides how long to wait for the store.
 //! - [`silence`] tells connections that fell silent from peers that do not answer.
-//! - [`suspicion`] is what is kept of workers that crash under a task.
+//! - [`crash_history`] is what is kept of workers that crash under a task.
 //! - [`scheduler`] is the lead's own state: workers, runs, waiting tasks and orders.
 
 pub mod authority;
-pub mod brief;
+pub mod crash_history;
 pub mod ids;
 pub mod job;
 pub mod organisation;
-pub mod patience;
 pub mod progress;
 pub mod replica;
 pub mod scheduler;
 pub mod silence;
 pub mod standby;
 mod stored;
-pub mod suspicion;
+pub mod summary;
+pub mod timeout;
--- a/crates/sedgehill-cell/src/organisation.rs
+++ b/crates/sedgehill-cell/src/organisation.rs
@@ -52,7 +52,7 @@
     /// The organisation.
     pub organisation: OrganisationName,
     /// Its place among the organisations of the configuration.
-    pub place: usize,
+    pub index: usize,
 }
 
 /// The keys in force.
@@ -95,7 +95,7 @@
 
 impl ResourceLimit {
     /// What may be started beside `used`.
-    pub fn room_beside(&self, used: &ResourceSet) -> ResourceSet {
+    pub fn remaining(&self, used: &ResourceSet) -> ResourceSet {
         let most = ResourceSet {
             cores: self.cores.unwrap_or(CoreCount(u64::MAX)),
             memory: self.memory.unwrap_or(MemorySize(u64::MAX)),
@@ -105,8 +105,8 @@
     }
 
     /// Whether so much could ever run at once.
-    pub fn admits(&self, need: &ResourceSet) -> bool {
-        self.room_beside(&ResourceSet::default()).fits(need)
+    pub fn allows(&self, need: &ResourceSet) -> bool {
+        self.remaining(&ResourceSet::default()).fits(need)
     }
 }
 
--- a/crates/sedgehill-cell/src/progress.rs
+++ b/crates/sedgehill-cell/src/progress.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::crash_history::{CrashHistory, WorkerCrash};
 use crate::ids::{FencingToken, OrganisationName, RunNumber, WorkerLife};
 use crate::job::JobSpec;
-use crate::suspicion::{TaskSuspicion, WorkerCrash};
 
 /// How far a job is, as callers see it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,32 +60,32 @@
     /// How far the job is.
     pub state: JobState,
     /// Set before the first order: from then on a task may run somewhere without being known.
-    pub ordered: bool,
+    pub may_have_started: bool,
     /// The tasks of all steps of all repetitions, in order; empty until the first end.
     pub tasks: Vec<TaskProgress>,
     /// Whose the job is, once it is over: what was accepted is dropped then.
     pub organisation: Option<OrganisationName>,
     /// Tasks, by their place among all tasks, under which workers were lost.
-    pub suspects: Vec<(u32, TaskSuspicion)>,
+    pub crash_histories: Vec<(u32, CrashHistory)>,
     /// Those under which workers were lost together with others, with when, in milliseconds since 1970. They and what
     /// follows stand last, where boxes of earlier versions pass over them.
-    pub together: Vec<(u32, Vec<u64>)>,
+    pub correlated_ms: Vec<(u32, Vec<u64>)>,
     /// Where long-running tasks run, or ran last.
-    pub places: Vec<TaskPlace>,
+    pub locations: Vec<TaskLocation>,
     /// Tasks of which starts went unanswered on workers that crashed.
     pub unanswered: Vec<(u32, Vec<WorkerCrash>)>,
 }
 
 /// The only worker that may have a run of a task: a later start elsewhere is recorded before it is sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskPlace {
+pub struct TaskLocation {
     /// The place of the task among all tasks.
     pub task: u32,
     /// The life of the worker.
     pub life: WorkerLife,
     /// The lead that knows so. After another lead, which may be of a release that does not record starts ahead, it proves
     /// nothing.
-    pub by: FencingToken,
+    pub recorded_by: FencingToken,
 }
 
 impl JobProgress {
--- a/crates/sedgehill-cell/src/replica.rs
+++ b/crates/sedgehill-cell/src/replica.rs
@@ -10,12 +10,12 @@
 use sedgehill_core::units::Moment;
 use serde::{Deserialize, Serialize};
 
-use crate::brief::JobBrief;
 use crate::ids::{CellIdError, JobId, OrganisationName, QueueName};
 use crate::job::JobRecord;
 use crate::progress::{JobProgress, JobState};
 use crate::scheduler::WorkerRoster;
-use crate::stored::decode_grown;
+use crate::stored::decode_with_defaults;
+use crate::summary::JobSummary;
 
 /// One statement about a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     Progress(JobProgress),
     /// The lead accepted the job. It may start tasks of it as soon as this is recorded, so a later
     /// lead has to take it as ordered.
-    Led(JobRecord),
+    LeadJob(JobRecord),
 }
 
 quick_error! {
@@ -56,9 +56,9 @@
 
 impl CellRecord {
     /// The first letter of the key of a job's progress.
-    pub const PROGRESS_KEY: char = 'p';
+    pub const PROGRESS_PREFIX: char = 'p';
     /// The first letter of the key of a job that a lead accepted.
-    pub const LED_KEY: char = 'l';
+    pub const LEAD_JOB_PREFIX: char = 'l';
 
     /// The kind and the job that a key stands for.
     pub fn decode_key(key: &str) -> Result<(char, JobId), RecordError> {
@@ -69,7 +69,7 @@
 
     /// Whose job the record accepts; none if it accepts no job.
     pub fn owner(&self) -> Option<Option<OrganisationName>> {
-        let (CellRecord::Job(record) | CellRecord::Led(record)) = self else { return None };
+        let (CellRecord::Job(record) | CellRecord::LeadJob(record)) = self else { return None };
         Some(record.owner.as_ref().map(|owner| owner.organisation.clone()))
     }
 
@@ -78,8 +78,8 @@
         let kind = match self {
             CellRecord::Job(_) => 'j',
             CellRecord::Cancel => 'c',
-            CellRecord::Progress(_) => CellRecord::PROGRESS_KEY,
-            CellRecord::Led(_) => CellRecord::LED_KEY,
+            CellRecord::Progress(_) => CellRecord::PROGRESS_PREFIX,
+            CellRecord::LeadJob(_) => CellRecord::LEAD_JOB_PREFIX,
         };
         format!("{kind}{job}")
     }
@@ -93,9 +93,10 @@
     pub fn decode(key: &str, value: &[u8]) -> Result<(JobId, CellRecord), RecordError> {
         let (kind, id) = CellRecord::decode_key(key)?;
         let record = match kind {
-            CellRecord::PROGRESS_KEY => {
-                decode_grown(value, &[NO_SUSPECTS, NONE_TOGETHER, NO_PLACES, NONE_UNANSWERED])?
-            }
+            CellRecord::PROGRESS_PREFIX => decode_with_defaults(
+                value,
+                &[NO_SUSPECTS, NONE_TOGETHER, NO_PLACES, NONE_UNANSWERED],
+            )?,
             _ => postcard::from_bytes(value)?,
         };
         Ok((id, record))
@@ -113,7 +114,7 @@
 
 /// One job as every box knows it.
 #[derive(Debug, Clone, Default)]
-pub struct KnownJob {
+pub struct ReplicaJob {
     /// What was accepted; none if only later statements have been seen, if only the state is followed,
     /// or once the job is over.
     pub record: Option<Rc<JobRecord>>,
@@ -128,12 +129,12 @@
     /// How far it is.
     pub progress: JobProgress,
     /// Whether a lead accepted it.
-    pub led: bool,
+    pub accepted_by_lead: bool,
     /// Whether a box put it into the store by itself, under another key.
-    pub direct: bool,
+    pub accepted_by_box: bool,
 }
 
-impl KnownJob {
+impl ReplicaJob {
     /// How far the job is, as callers are told.
     pub fn state(&self) -> JobState {
         match self.progress.state {
@@ -144,7 +145,7 @@
     }
 
     /// Whether a caller of this organisation, or of none, may ask for the job or cancel it.
-    pub fn is_open_to(&self, caller: Option<&OrganisationName>) -> bool {
+    pub fn is_accessible_to(&self, caller: Option<&OrganisationName>) -> bool {
         self.organisation.is_none() || self.organisation.as_ref() == caller
     }
 
@@ -153,12 +154,15 @@
     }
 
     /// What a new lead has to go by.
-    pub fn kept(&self) -> JobProgress {
-        JobProgress { ordered: self.led || self.progress.ordered, ..self.progress.clone() }
+    pub fn progress_for_lead(&self) -> JobProgress {
+        JobProgress {
+            may_have_started: self.accepted_by_lead || self.progress.may_have_started,
+            ..self.progress.clone()
+        }
     }
 
     /// The queue in which the job waits; none if it has begun.
-    pub fn waits_in(&self) -> Option<&QueueName> {
+    pub fn waiting_queue(&self) -> Option<&QueueName> {
         self.queue.as_ref().filter(|_| self.state() == JobState::Pending)
     }
 }
@@ -176,38 +180,38 @@
 
 /// When a roster was taken in, and from where.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RosterSign {
+pub struct RosterSource {
     /// When.
-    pub read: Moment,
+    pub read_at: Moment,
     /// How far the records were known before: the roster stands at this offset or later. None if it came
     /// with the newest records.
-    pub from: Option<u64>,
+    pub offset: Option<u64>,
 }
 
 /// The jobs of a cell.
 #[derive(Debug, Default)]
 pub struct CellReplica {
-    jobs: HashMap<JobId, KnownJob>,
+    jobs: HashMap<JobId, ReplicaJob>,
     /// Jobs that are over, with when this box heard so, the first first.
     ended: VecDeque<(Moment, JobId)>,
     roster: WorkerRoster,
-    roster_sign: Option<RosterSign>,
+    roster_source: Option<RosterSource>,
     waiting: HashMap<QueueName, usize>,
 }
 
 impl CellReplica {
     /// A job, if it is known and accepted.
-    pub fn job(&self, id: JobId) -> Option<&KnownJob> {
+    pub fn job(&self, id: JobId) -> Option<&ReplicaJob> {
         self.jobs.get(&id).filter(|job| job.is_accepted())
     }
 
     /// Whether an earlier lead may have begun a job, be its acceptance known here or not.
-    pub fn is_ordered(&self, id: JobId) -> bool {
-        self.jobs.get(&id).is_some_and(|job| job.led || job.progress.ordered)
+    pub fn may_have_started(&self, id: JobId) -> bool {
+        self.jobs.get(&id).is_some_and(|job| job.accepted_by_lead || job.progress.may_have_started)
     }
 
     /// All accepted jobs that are not over.
-    pub fn jobs(&self) -> impl Iterator<Item = (JobId, &KnownJob)> {
+    pub fn jobs(&self) -> impl Iterator<Item = (JobId, &ReplicaJob)> {
         self.jobs.iter().map(|(id, job)| (*id, job)).filter(|(_, job)| job.record.is_some())
     }
 
@@ -217,7 +221,7 @@
     }
 
     /// Jobs of a queue none of whose tasks has begun.
-    pub fn waiting(&self, queue: &QueueName) -> usize {
+    pub fn waiting_count(&self, queue: &QueueName) -> usize {
         self.waiting.get(queue).copied().unwrap_or(0)
     }
 
@@ -237,28 +241,28 @@
     }
 
     /// When the roster was taken in, and from where; none if none ever was.
-    pub fn roster_sign(&self) -> Option<RosterSign> {
-        self.roster_sign
+    pub fn roster_source(&self) -> Option<RosterSource> {
+        self.roster_source
     }
 
     /// Takes in a roster.
-    pub fn apply_roster(&mut self, roster: WorkerRoster, sign: RosterSign) {
+    pub fn apply_roster(&mut self, roster: WorkerRoster, sign: RosterSource) {
         self.roster = roster;
-        self.roster_sign = Some(sign);
+        self.roster_source = Some(sign);
     }
 
     /// Takes in a record, heard at `now`.
     pub fn apply(&mut self, id: JobId, record: CellRecord, now: Moment) -> ReplicaChange {
-        let was_waiting = self.waits_in(id);
+        let was_waiting = self.waiting_queue(id);
         let job = self.jobs.entry(id).or_default();
         let was_over = job.progress.state.is_final();
-        job.led |= matches!(record, CellRecord::Led(_));
-        job.direct |= matches!(record, CellRecord::Job(_));
+        job.accepted_by_lead |= matches!(record, CellRecord::LeadJob(_));
+        job.accepted_by_box |= matches!(record, CellRecord::Job(_));
         let change = match record {
-            CellRecord::Job(_) | CellRecord::Led(_) if job.record.is_some() || was_over => {
+            CellRecord::Job(_) | CellRecord::LeadJob(_) if job.record.is_some() || was_over => {
                 ReplicaChange::Other
             }
-            CellRecord::Job(record) | CellRecord::Led(record) => {
+            CellRecord::Job(record) | CellRecord::LeadJob(record) => {
                 job.queue = Some(record.queue.clone());
                 job.organisation = record.owner.as_ref().map(|owner| owner.organisation.clone());
                 job.record = Some(Rc::new(record));
@@ -286,13 +290,13 @@
     }
 
     /// Takes in the state of a job, heard at `now`. The replica lacks what a lead needs from then on.
-    pub fn apply_brief(&mut self, brief: JobBrief, now: Moment) {
+    pub fn apply_summary(&mut self, brief: JobSummary, now: Moment) {
         let Some(state) = brief.state else { return self.forget(brief.job) };
-        let was_waiting = self.waits_in(brief.job);
+        let was_waiting = self.waiting_queue(brief.job);
         let job = self.jobs.entry(brief.job).or_default();
         let was_over = job.progress.state.is_final();
         job.told = true;
-        job.queue = job.queue.take().or(brief.waits_in);
+        job.queue = job.queue.take().or(brief.waiting_queue);
         job.organisation = job.organisation.take().or(brief.organisation);
         match state {
             // The job may still end otherwise, and then that is what callers are told.
@@ -305,7 +309,7 @@
 
     /// Brings the counts in line with a job that may have changed.
     fn settle(&mut self, id: JobId, was_waiting: Option<QueueName>, was_over: bool, now: Moment) {
-        let waits = self.waits_in(id);
+        let waits = self.waiting_queue(id);
         if was_waiting != waits {
             if let Some(queue) = was_waiting {
                 self.waiting.entry(queue).and_modify(|count| *count -= 1);
@@ -325,26 +329,26 @@
         }
     }
 
-    fn waits_in(&self, id: JobId) -> Option<QueueName> {
-        self.jobs.get(&id).and_then(|job| job.waits_in().cloned())
+    fn waiting_queue(&self, id: JobId) -> Option<QueueName> {
+        self.jobs.get(&id).and_then(|job| job.waiting_queue().cloned())
     }
 
     /// Jobs that were over before `limit`, at most `most` of them. Those that a box put into the store
     /// by itself are left out: the copy of the job would outlast its end, and begin it again.
     pub fn ended_before(&self, limit: Moment, most: usize) -> Vec<JobId> {
         let ended = self.ended.iter().take_while(|(at, _)| *at < limit);
-        let forgettable = |id: &JobId| self.jobs.get(id).is_some_and(|job| !job.direct);
+        let forgettable = |id: &JobId| self.jobs.get(id).is_some_and(|job| !job.accepted_by_box);
         ended.map(|(_, id)| *id).filter(forgettable).take(most).collect()
     }
 
     /// Jobs that a lead accepted.
-    pub fn led_ids(&self) -> Vec<JobId> {
-        self.jobs.iter().filter(|(_, job)| job.led).map(|(id, _)| *id).collect()
+    pub fn lead_accepted_ids(&self) -> Vec<JobId> {
+        self.jobs.iter().filter(|(_, job)| job.accepted_by_lead).map(|(id, _)| *id).collect()
     }
 
     /// Forgets those of the jobs `known` that are not among `kept`, of which the store still holds a record of
     /// the lead. They ended while this box did not hear of it, and must not begin again.
-    pub fn forget_dropped(&mut self, known: &[JobId], kept: &HashSet<JobId>) {
+    pub fn forget_missing(&mut self, known: &[JobId], kept: &HashSet<JobId>) {
         for id in known.iter().filter(|id| !kept.contains(id)) {
             self.forget(*id);
         }
@@ -358,7 +362,7 @@
         } else {
             self.ended.retain(|(_, other)| *other != id);
         }
-        if let Some(queue) = job.waits_in() {
+        if let Some(queue) = job.waiting_queue() {
             self.waiting.entry(queue.clone()).and_modify(|count| *count -= 1);
         }
     }
--- a/crates/sedgehill-cell/src/scheduler/desk.rs
+++ b/crates/sedgehill-cell/src/scheduler/desk.rs
@@ -14,7 +14,7 @@
 
 use super::message::HelperId;
 use crate::ids::StepId;
-use crate::patience::RepeatBudget;
+use crate::timeout::ResendBudget;
 
 /// Questions that take at least this long go only to some boxes.
 const LONG_QUESTION: TimeSpan = TimeSpan(200);
@@ -100,13 +100,13 @@
     helpers: BTreeMap<HelperId, AskingBox>,
     keeps_short: bool,
     /// How many questions may be asked a second time while the first is overdue.
-    repeats: RepeatBudget,
+    repeats: ResendBudget,
 }
 
 impl AdviceDesk {
     /// A desk without boxes. `keeps_short` says whether some of them are kept free of long questions.
     pub fn new(keeps_short: bool) -> AdviceDesk {
-        AdviceDesk { helpers: BTreeMap::new(), keeps_short, repeats: RepeatBudget::default() }
+        AdviceDesk { helpers: BTreeMap::new(), keeps_short, repeats: ResendBudget::default() }
     }
 
     /// A box can ask from now on.
@@ -185,7 +185,7 @@
         let whole = one.queued() + cost.0;
         let overdue_at = now.after(TimeSpan(whole * OVERDUE_PERCENT / 100 + OVERDUE_SLACK.0));
         one.open.push(OpenQuestion { step, cost, sent: now, overdue_at, overdue: false });
-        self.repeats.note_first();
+        self.repeats.note_first_call();
     }
 
     /// Notes that a question was answered, or failed. Returns when it was asked; none if it was given up.
@@ -214,7 +214,7 @@
         let mut overdue = Vec::new();
         for (helper, one) in &mut self.helpers {
             for question in one.open.iter_mut().filter(|question| !question.overdue) {
-                if now >= question.overdue_at && self.repeats.take() {
+                if now >= question.overdue_at && self.repeats.try_take() {
                     question.overdue = true;
                     overdue.push((*helper, question.step));
                 }
--- a/crates/sedgehill-cell/src/scheduler/held.rs
+++ b/crates/sedgehill-cell/src/scheduler/held.rs
@@ -9,7 +9,7 @@
 use sedgehill_core::units::Moment;
 
 use super::*;
-use crate::suspicion::OpenRun;
+use crate::crash_history::UnresolvedRun;
 
 /// A start that waits until it is recorded.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 impl Scheduler {
     /// Whether a start of a task is recorded before it is sent.
     pub(super) fn is_recorded_ahead(&self, job: &JobWork, place: usize) -> bool {
-        self.is_unsure(job) || !job.tasks[place].suspicion.is_clear()
+        self.is_unsure(job) || !job.tasks[place].suspicion.is_empty()
     }
 
     /// Whether a task of the job may have been lost with a worker while no lead saw it.
@@ -39,7 +39,7 @@
         if record == StartRecord::Suspect {
             let entry = &self.workers[worker.0].entry;
             let (life, address) = (entry.life.clone(), entry.address);
-            let open = OpenRun { run, life, address, alone, seen: false };
+            let open = UnresolvedRun { run, life, address, alone, seen: false };
             self.open_run(&task, open, now);
             self.note_suspect_start(&task, run);
         }
--- a/crates/sedgehill-cell/src/scheduler/isolation.rs
+++ b/crates/sedgehill-cell/src/scheduler/isolation.rs
@@ -11,8 +11,8 @@
 use super::placement::Assignment;
 use super::room::{Candidate, OpenWorkers};
 use super::*;
+use crate::crash_history::{CrashHistory, StartRestriction};
 use crate::job::StepSpec;
-use crate::suspicion::{SuspectStage, TaskSuspicion};
 
 /// A run that has gone on for so long is not what crashes its worker. Tasks of the users that crash workers do so
 /// within a second of their start, and their longest usual tasks take some six.
@@ -53,13 +53,13 @@
 }
 
 /// How a task of a step may be started.
-pub(super) fn stage_of(job: &JobWork, step: usize, index: u16) -> SuspectStage {
-    job.step_tasks(step)[usize::from(index)].suspicion.stage()
+pub(super) fn stage_of(job: &JobWork, step: usize, index: u16) -> StartRestriction {
+    job.step_tasks(step)[usize::from(index)].suspicion.start_restriction()
 }
 
 /// The tasks that want a worker of their own, and the others.
 pub(super) fn split_alone(job: &JobWork, step: usize, tasks: &[u16]) -> (Vec<u16>, Vec<u16>) {
-    tasks.iter().partition(|index| stage_of(job, step, **index) == SuspectStage::Alone)
+    tasks.iter().partition(|index| stage_of(job, step, **index) == StartRestriction::Exclusive)
 }
 
 impl Scheduler {
@@ -162,10 +162,10 @@
         &self,
         key: WorkerKey,
         id: JobId,
-        suspicion: &TaskSuspicion,
+        suspicion: &CrashHistory,
         now: Moment,
     ) -> bool {
-        if suspicion.is_clear() {
+        if suspicion.is_empty() {
             return true;
         }
         let others = self.workers[key.0]
@@ -176,6 +176,6 @@
             let job = self.jobs.get(&task.step.job)?;
             Some(&job.tasks[job.task_index(task)?].suspicion)
         });
-        !suspects.any(|other| suspicion.shares_loss(other))
+        !suspects.any(|other| suspicion.shares_lost_worker(other))
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/message.rs
+++ b/crates/sedgehill-cell/src/scheduler/message.rs
@@ -14,7 +14,7 @@
 };
 use crate::job::JobRecord;
 use crate::progress::JobProgress;
-use crate::stored::decode_grown;
+use crate::stored::decode_with_defaults;
 
 /// The scheduler's handle of one life of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -301,7 +301,7 @@
     pub fn decode(value: &[u8]) -> Result<WorkerRoster, postcard::Error> {
         /// Two lists of none: rosters of earlier versions end before one of them, or both.
         const NONE_SHRUNK_NONE_TOLD: [u8; 2] = [0, 0];
-        decode_grown::<StoredRoster>(value, &NONE_SHRUNK_NONE_TOLD).map(WorkerRoster::from)
+        decode_with_defaults::<StoredRoster>(value, &NONE_SHRUNK_NONE_TOLD).map(WorkerRoster::from)
     }
 }
 
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -271,7 +271,7 @@
         }
         let accepted = Moment(now.0.saturating_sub(age.as_millis()));
         let mut job = JobWork::new(id, record, accepted, kept, self.token);
-        if self.take_over.caught_up && kept.ordered {
+        if self.take_over.caught_up && kept.may_have_started {
             // No earlier lead can have marked it any more. It was marked by this lead, which is about to be told
             // so, or by a later one.
             job.later_mark = true;
--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -68,7 +68,7 @@
 
 impl OrganisationAccount {
     fn room(&self) -> ResourceSet {
-        self.limit.room_beside(&self.running.plus(&self.unseen).plus(&self.kept))
+        self.limit.remaining(&self.running.plus(&self.unseen).plus(&self.kept))
     }
 }
 
@@ -164,13 +164,13 @@
     /// Whether more runs for an organisation, or may, than its limit allows by now.
     pub fn is_over_limit(&self, key: Option<OrganisationKey>) -> bool {
         let account = key.map(|key| &self.accounts[key.0]);
-        account.is_some_and(|account| !account.limit.admits(&account.running.plus(&account.unseen)))
+        account.is_some_and(|account| !account.limit.allows(&account.running.plus(&account.unseen)))
     }
 
     /// Leaves room under a limit to a step that waits, if it could ever run there.
     fn keep(&mut self, key: OrganisationKey, need: &ResourceSet) {
         let account = &mut self.accounts[key.0];
-        if account.limit.admits(need) {
+        if account.limit.allows(need) {
             account.kept = account.kept.plus(need);
         }
     }
--- a/crates/sedgehill-cell/src/scheduler/placement.rs
+++ b/crates/sedgehill-cell/src/scheduler/placement.rs
@@ -6,8 +6,8 @@
 use super::room::{Candidate, OpenWorkers};
 use super::worker::{WorkerRun, WorkerTrust};
 use super::*;
+use crate::crash_history::StartRestriction;
 use crate::job::StepSpec;
-use crate::suspicion::SuspectStage;
 use sedgehill_core::units::{Moment, ResourceSet};
 
 /// Where the tasks of a step go.
@@ -114,7 +114,9 @@
         let record = job.record.clone();
         let spec = record.step_spec(candidate.step);
         let displaces = record.policy.priority < open.least_urgent;
-        let isolates = |task: &work::TaskWork| task.suspicion.stage() == SuspectStage::Alone;
+        let isolates = |task: &work::TaskWork| {
+            task.suspicion.start_restriction() == StartRestriction::Exclusive
+        };
         let claims = self.suspects_seen && job.step_tasks(candidate.step).iter().any(isolates);
         if !open.most.fits(&spec.need) && !displaces && !claims && !candidate.restarts {
             return Some(StallReason::NoRoom);
@@ -294,7 +296,7 @@
                 true => gang_checkpoint.clone(),
                 false => work.kept.checkpoint.clone(),
             };
-            let alone = stage_of(job, candidate.step, index) == SuspectStage::Alone;
+            let alone = stage_of(job, candidate.step, index) == StartRestriction::Exclusive;
             let start = StartPlan { worker: key, task, run, checkpoint, alone, record };
             self.order_start(start, spec.need, now);
         }
--- a/crates/sedgehill-cell/src/scheduler/record.rs
+++ b/crates/sedgehill-cell/src/scheduler/record.rs
@@ -65,7 +65,7 @@
         }
         for (id, progress) in &batch.jobs {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            if job.ordered == OrderedMark::Asked && progress.ordered {
+            if job.ordered == OrderedMark::Asked && progress.may_have_started {
                 job.ordered = OrderedMark::Recorded;
             }
             let over = progress.state.is_final() && job.placed().is_empty();
--- a/crates/sedgehill-cell/src/scheduler/roster.rs
+++ b/crates/sedgehill-cell/src/scheduler/roster.rs
@@ -135,7 +135,7 @@
             return Some(self.add_worker(entry, self.token, change, now));
         };
         let worker = &mut self.workers[key.0];
-        if worker.entry.life.may_be(&entry.life) {
+        if worker.entry.life.may_equal(&entry.life) {
             return Some(key);
         }
         let elsewhere = worker.entry.address != entry.address;
--- a/crates/sedgehill-cell/src/scheduler/suspects.rs
+++ b/crates/sedgehill-cell/src/scheduler/suspects.rs
@@ -11,7 +11,7 @@
 use sedgehill_core::units::{Moment, TimeSpan};
 
 use super::*;
-use crate::suspicion::{OpenRun, WorkerCrash};
+use crate::crash_history::{UnresolvedRun, WorkerCrash};
 
 /// How long a loss may stay open. A worker that crashed is back after some seconds; one that is not heard of by then
 /// was taken away, and a task should not wait for it any longer.
@@ -163,7 +163,7 @@
             }
             LossCause::LeaseEnded(_) => {
                 let LostRun { run, alone, seen, .. } = *lost;
-                let open = OpenRun { run, life: life.clone(), address, alone, seen };
+                let open = UnresolvedRun { run, life: life.clone(), address, alone, seen };
                 self.open_run(&lost.task, open, now);
                 self.events.push(CellEvent::LossOpen {
                     task: lost.task,
@@ -176,13 +176,13 @@
     }
 
     /// Notes a run of which it is open whether a crash will take it, or has.
-    pub(super) fn open_run(&mut self, task: &CellTask, open: OpenRun, now: Moment) {
+    pub(super) fn open_run(&mut self, task: &CellTask, open: UnresolvedRun, now: Moment) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| !job.is_over()) else {
             return;
         };
         let Some(index) = job.task_index(task) else { return };
         let (run, life, address) = (open.run, open.life.clone(), open.address);
-        if job.tasks[index].suspicion.open(open) {
+        if job.tasks[index].suspicion.add_unresolved(open) {
             let inherited = false;
             self.open_runs.add(life, OpenMark { task: *task, run, address, since: now, inherited });
             self.suspects_seen = true;
@@ -194,7 +194,7 @@
     pub(super) fn close_run(&mut self, task: &CellTask, run: RunNumber) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
-        if let Some(open) = job.tasks[index].suspicion.close(run) {
+        if let Some(open) = job.tasks[index].suspicion.resolve(run) {
             self.open_runs.remove(&open.life, task, run);
             self.dirty.insert(task.step.job);
         }
@@ -230,7 +230,7 @@
             return;
         };
         let Some(index) = job.task_index(task) else { return };
-        job.tasks[index].suspicion.doubt();
+        job.tasks[index].suspicion.note_unconfirmed();
         self.judge(task, now);
     }
 
@@ -239,17 +239,17 @@
         let Some(job) = self.jobs.get(&id) else { return };
         self.suspects_seen |= job.has_suspects();
         let open_of = |(id, task): (CellTask, &work::TaskWork)| {
-            let open = task.suspicion.open.clone();
+            let open = task.suspicion.unresolved.clone();
             open.into_iter().map(move |open| (id, open))
         };
-        let open: Vec<(CellTask, OpenRun)> = job.all_tasks().flat_map(open_of).collect();
+        let open: Vec<(CellTask, UnresolvedRun)> = job.all_tasks().flat_map(open_of).collect();
         for (task, open) in open {
-            let OpenRun { run, life, address, .. } = open;
+            let UnresolvedRun { run, life, address, .. } = open;
             let inherited = true;
             self.open_runs
                 .add(life.clone(), OpenMark { task, run, address, since: now, inherited });
             let followed = |worker: &WorkerState| {
-                let other = !worker.entry.life.may_be(&life) && worker.entry.address == address;
+                let other = !worker.entry.life.may_equal(&life) && worker.entry.address == address;
                 other && worker.fenced && !worker.dead
             };
             if self.workers.iter().any(followed) {
@@ -284,7 +284,7 @@
             match leaving {
                 true => self.doubt_run(&task, run, now),
                 false => {
-                    let OpenRun { alone, seen, .. } = open;
+                    let UnresolvedRun { alone, seen, .. } = open;
                     let evidence = RunEvidence::of(seen, inherited);
                     let beside = 0;
                     let crash = CrashUnder { task, run, life, alone, evidence, beside, sign };
@@ -294,17 +294,17 @@
         }
     }
 
-    fn find_open(&self, task: &CellTask, run: RunNumber) -> Option<OpenRun> {
+    fn find_open(&self, task: &CellTask, run: RunNumber) -> Option<UnresolvedRun> {
         let job = self.jobs.get(&task.step.job)?;
         let suspicion = &job.tasks[job.task_index(task)?].suspicion;
-        suspicion.open.iter().find(|open| open.run == run).cloned()
+        suspicion.unresolved.iter().find(|open| open.run == run).cloned()
     }
 
     /// A worker was heard for the first time: whatever was at its address before has ended.
     pub(super) fn settle_followed(&mut self, key: WorkerKey, now: Moment) {
         let WorkerEntry { life, address, .. } = self.workers[key.0].entry.clone();
         let others: Vec<WorkerLife> =
-            self.open_runs.lives.keys().filter(|other| !other.may_be(&life)).cloned().collect();
+            self.open_runs.lives.keys().filter(|other| !other.may_equal(&life)).cloned().collect();
         for other in others {
             self.settle_crashed(&other, address, CrashSign::Successor, now);
         }
@@ -365,7 +365,7 @@
         let work = &mut job.tasks[index];
         let seen = evidence == RunEvidence::Seen;
         let counted = WorkerCrash { life: life.clone(), alone, seen, at_unix_ms };
-        if work.kept.done || !work.suspicion.count(counted) {
+        if work.kept.done || !work.suspicion.note_crash(counted) {
             return;
         }
         let crashes = &work.suspicion.crashes;
@@ -438,7 +438,7 @@
         let Some(index) = job.task_index(task) else { return };
         let work = &mut job.tasks[index];
         if !work.kept.done {
-            work.suspicion.note_together(at_unix_ms);
+            work.suspicion.note_correlated(at_unix_ms);
             self.dirty.insert(task.step.job);
             self.judge(task, now);
         }
@@ -449,7 +449,7 @@
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
         let work = &mut job.tasks[index];
-        work.counted_start = work.suspicion.note_start().then_some(run);
+        work.counted_start = work.suspicion.count_start().then_some(run);
     }
 
     /// No worker carried out a start: what users allow after crashes is not used up by it. Orders that went unanswered and
@@ -460,7 +460,7 @@
         let Some(index) = job.task_index(task) else { return };
         let work = &mut job.tasks[index];
         if work.counted_start.take_if(|counted| *counted == run).is_some() {
-            work.suspicion.take_back_start();
+            work.suspicion.uncount_start();
             self.dirty.insert(task.step.job);
         }
     }
@@ -478,13 +478,13 @@
 
     fn is_guilty(&self, job: &JobWork, step: usize, task: &work::TaskWork, now: Moment) -> bool {
         let suspicion = &task.suspicion;
-        if suspicion.is_clear() {
+        if suspicion.is_empty() {
             return false;
         }
         let living = self.workers.iter().filter(|worker| !worker.dead && worker.listed).count();
         let run = job.step_spec(step).estimate;
         let alone = self.background.wanted_alone(living.max(1), run, now);
-        suspicion.is_guilty(alone)
+        suspicion.is_crash_cause(alone)
     }
 
     /// Gives a task up if it is taken as the cause of crashes.
--- a/crates/sedgehill-cell/src/scheduler/work.rs
+++ b/crates/sedgehill-cell/src/scheduler/work.rs
@@ -8,10 +8,10 @@
 use super::message::WorkerKey;
 use super::organisations::OrganisationKey;
 use super::stall::StepStall;
+use crate::crash_history::{CrashHistory, StartRestriction};
 use crate::ids::{CellTask, FencingToken, JobId, OrganisationName, RunNumber, StepId, WorkerLife};
 use crate::job::{JobRecord, RepeatSpec, StepSpec};
-use crate::progress::{JobProgress, JobState, TaskPlace, TaskProgress};
-use crate::suspicion::{SuspectStage, TaskSuspicion};
+use crate::progress::{JobProgress, JobState, TaskLocation, TaskProgress};
 
 /// Runs of a task that one lead may order without recording any of them. Each lead counts from its
 /// token times this number, so that no two use the same number for different runs. A start that is refused uses a
@@ -37,7 +37,7 @@
     /// Where its last run failed.
     pub failed_at: Option<WorkerKey>,
     /// What is known of the workers that were lost under it.
-    pub suspicion: TaskSuspicion,
+    pub suspicion: CrashHistory,
     /// The run under way, if its start counts among those that are allowed after crashes.
     pub counted_start: Option<RunNumber>,
     /// A start of it was recorded by an earlier lead.
@@ -55,7 +55,7 @@
     /// Whether it may be started now, given room.
     pub fn is_ready(&self, now: Moment) -> bool {
         let waits = matches!(self.phase, TaskPhase::Waiting(from) if now >= from);
-        waits && !self.kept.done && self.suspicion.stage() != SuspectStage::Held
+        waits && !self.kept.done && self.suspicion.start_restriction() != StartRestriction::Deferred
     }
 }
 
@@ -135,24 +135,24 @@
                 started_earlier: kept.run.0 > 0,
                 kept,
                 failed_at: None,
-                suspicion: TaskSuspicion::default(),
+                suspicion: CrashHistory::default(),
                 counted_start: None,
                 place: None,
             })
             .collect();
-        for place in &kept.places {
+        for place in &kept.locations {
             if let Some(task) = tasks.get_mut(place.task as usize) {
-                task.place = Some((place.life.clone(), place.by));
+                task.place = Some((place.life.clone(), place.recorded_by));
             }
         }
-        for (place, suspicion) in &kept.suspects {
+        for (place, suspicion) in &kept.crash_histories {
             if let Some(task) = tasks.get_mut(*place as usize) {
                 task.suspicion = suspicion.clone();
             }
         }
-        for (place, together) in &kept.together {
+        for (place, together) in &kept.correlated_ms {
             if let Some(task) = tasks.get_mut(*place as usize) {
-                task.suspicion.together = together.clone();
+                task.suspicion.correlated_ms = together.clone();
             }
         }
         for (place, unanswered) in &kept.unanswered {
@@ -160,7 +160,7 @@
                 task.suspicion.unanswered = unanswered.clone();
             }
         }
-        if kept.ordered {
+        if kept.may_have_started {
             let first = u32::try_from(token.0 * RUNS_PER_LEAD).unwrap_or(u32::MAX - 1);
             for task in &mut tasks {
                 task.kept.run.0 = task.kept.run.0.max(first);
@@ -183,7 +183,7 @@
                 first += count;
             }
         }
-        let ordered = match kept.ordered {
+        let ordered = match kept.may_have_started {
             true => OrderedMark::Recorded,
             false => OrderedMark::Missing,
         };
@@ -196,8 +196,8 @@
             state: kept.state,
             cancelled: false,
             ordered,
-            foreign_orders: kept.ordered,
-            begun_earlier: kept.ordered,
+            foreign_orders: kept.may_have_started,
+            begun_earlier: kept.may_have_started,
             later_mark: false,
             tasks,
             steps,
@@ -297,36 +297,37 @@
         };
         JobProgress {
             state: self.state,
-            ordered: self.ordered != OrderedMark::Missing,
+            may_have_started: self.ordered != OrderedMark::Missing,
             tasks: kept,
             organisation: self.owner_once_over(),
-            suspects: self.suspects(),
-            together: self.kept_suspicion(|suspicion| &suspicion.together),
-            places: self.places(),
+            crash_histories: self.suspects(),
+            correlated_ms: self.kept_suspicion(|suspicion| &suspicion.correlated_ms),
+            locations: self.places(),
             unanswered: self.kept_suspicion(|suspicion| &suspicion.unanswered),
         }
     }
 
     /// Where its tasks run, or ran last, as far as that is kept; nothing once the job is over.
-    fn places(&self) -> Vec<TaskPlace> {
+    fn places(&self) -> Vec<TaskLocation> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
         let place = |(number, task): (usize, &TaskWork)| {
             let (life, by) = task.place.clone()?;
-            Some(TaskPlace { task: number as u32, life, by })
+            Some(TaskLocation { task: number as u32, life, recorded_by: by })
         };
         tasks.filter_map(place).collect()
     }
 
     /// Whether workers were lost under one of its tasks, or may have been.
     pub fn has_suspects(&self) -> bool {
-        self.tasks.iter().any(|task| !task.suspicion.is_clear())
+        self.tasks.iter().any(|task| !task.suspicion.is_empty())
     }
 
     /// Whether a task waits that wants a worker of its own, now or once more is known.
     pub fn wants_alone(&self) -> bool {
         self.tasks.iter().any(|task| {
-            let stage = task.suspicion.stage();
-            let isolated = matches!(stage, SuspectStage::Alone | SuspectStage::Held);
+            let stage = task.suspicion.start_restriction();
+            let isolated =
+                matches!(stage, StartRestriction::Exclusive | StartRestriction::Deferred);
             isolated && task.waits()
         })
     }
@@ -334,7 +335,7 @@
     /// A list of what is known of each task under which workers were lost; nothing once the job is over.
     fn kept_suspicion<T: Clone>(
         &self,
-        list: impl Fn(&TaskSuspicion) -> &Vec<T>,
+        list: impl Fn(&CrashHistory) -> &Vec<T>,
     ) -> Vec<(u32, Vec<T>)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
         let kept = tasks.filter(|(_, task)| !list(&task.suspicion).is_empty());
@@ -342,9 +343,9 @@
     }
 
     /// What is kept of the tasks under which workers were lost; nothing once the job is over.
-    fn suspects(&self) -> Vec<(u32, TaskSuspicion)> {
+    fn suspects(&self) -> Vec<(u32, CrashHistory)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
-        let suspects = tasks.filter(|(_, task)| !task.suspicion.is_clear());
+        let suspects = tasks.filter(|(_, task)| !task.suspicion.is_empty());
         suspects.map(|(place, task)| (place as u32, task.suspicion.clone())).collect()
     }
 
--- a/crates/sedgehill-cell/src/silence.rs
+++ b/crates/sedgehill-cell/src/silence.rs
@@ -27,20 +27,20 @@
 
 /// An answer, and on what connection it came.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerSign {
+pub struct PeerAnswer {
     /// The peer.
     pub peer: SocketAddr,
     /// When the call was sent.
     pub sent: Moment,
     /// When the connection was made.
-    pub made: Moment,
+    pub connected: Moment,
     /// When the connection last brought an answer before this one; when it was made if none.
-    pub proven: Moment,
+    pub last_answer: Moment,
 }
 
 /// Which connections have to be replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SilenceVerdict {
+pub enum SilentConnections {
     /// None.
     None,
     /// Those to one peer that have brought no answer since the given moment.
@@ -59,7 +59,7 @@
 
 /// What the calls of one box tell of its connections.
 #[derive(Debug, Default)]
-pub struct SilenceWatch {
+pub struct SilenceDetector {
     /// Peers of calls that go unanswered on old connections: when the call was sent, and doubted.
     doubted: HashMap<SocketAddr, (Moment, Moment)>,
     proofs: VecDeque<SilenceProof>,
@@ -69,39 +69,39 @@
     all_replaced: Option<Moment>,
 }
 
-impl SilenceWatch {
+impl SilenceDetector {
     /// Notes that a call sent at `sent` on an old connection goes unanswered.
-    pub fn note_doubt(&mut self, peer: SocketAddr, sent: Moment, now: Moment) {
+    pub fn note_unanswered(&mut self, peer: SocketAddr, sent: Moment, now: Moment) {
         self.doubted.entry(peer).or_insert((sent, now));
     }
 
     /// Notes an answer, and tells which connections have to be replaced.
-    pub fn note_answer(&mut self, sign: AnswerSign, now: Moment) -> SilenceVerdict {
+    pub fn note_answer(&mut self, sign: PeerAnswer, now: Moment) -> SilentConnections {
         self.forget_old(now);
-        self.answers.push_back((sign.sent, sign.proven));
+        self.answers.push_back((sign.sent, sign.last_answer));
         let Some((since, doubted_at)) = self.doubted.get(&sign.peer).copied() else {
-            return SilenceVerdict::None;
+            return SilentConnections::None;
         };
-        if sign.made < doubted_at {
+        if sign.connected < doubted_at {
             if sign.sent <= since {
                 // The doubted call itself, or one before it: the peer is slow.
                 self.doubted.remove(&sign.peer);
             }
-            return SilenceVerdict::None;
+            return SilentConnections::None;
         }
         self.doubted.remove(&sign.peer);
         self.proofs.push_back(SilenceProof { peer: sign.peer, since, at: now });
         if let Some(since) = self.all_silent(now) {
             self.all_replaced = Some(now);
             self.proofs.clear();
-            return SilenceVerdict::All(since);
+            return SilentConnections::All(since);
         }
         let again = self.replaced.get(&sign.peer).is_some_and(|at| now < at.after(PEER_AGAIN));
         if again {
-            return SilenceVerdict::None;
+            return SilentConnections::None;
         }
         self.replaced.insert(sign.peer, now);
-        SilenceVerdict::Peer(since)
+        SilentConnections::Peer(since)
     }
 
     /// Since when all connections must be taken as silent, if they must.
--- a/crates/sedgehill-cell/src/standby.rs
+++ b/crates/sedgehill-cell/src/standby.rs
@@ -1,7 +1,7 @@
 //! Which boxes follow everything, so that each of them could lead.
 //!
 //! What the lead records is passed on in full to these alone; all others are told states of jobs
-//! ([`crate::brief`]). Each box fed in full costs the lead's link as much as the store does. With 96 of
+//! ([`crate::summary`]). Each box fed in full costs the lead's link as much as the store does. With 96 of
 //! them on a cell of 540 workers some 180 Mbit/s went into feeding, of 200 that the link carried.
 
 use std::collections::BTreeMap;
@@ -56,12 +56,12 @@
 
 impl LinkRate {
     /// A rate of so many bytes a second.
-    pub const fn from_bytes(bytes: u64) -> LinkRate {
+    pub const fn from_bytes_per_second(bytes: u64) -> LinkRate {
         LinkRate(bytes)
     }
 
     /// Bytes a second.
-    pub fn bytes(self) -> u64 {
+    pub fn bytes_per_second(self) -> u64 {
         self.0
     }
 }
@@ -150,21 +150,21 @@
     }
 
     /// Notes bytes that were passed on in full, counted once for all boxes.
-    pub fn note_fed(&mut self, bytes: usize, now: Moment) {
+    pub fn note_records(&mut self, bytes: usize, now: Moment) {
         if let Some(rate) = measure(&mut self.measured, bytes, now) {
             self.rate = rate;
         }
     }
 
     /// Notes bytes of states that were told, or would have been, counted once for all boxes.
-    pub fn note_told(&mut self, bytes: usize, now: Moment) {
+    pub fn note_summaries(&mut self, bytes: usize, now: Moment) {
         if let Some(rate) = measure(&mut self.told, bytes, now) {
             self.told_rate = rate;
         }
     }
 
     /// Whether states are told to the boxes that do not stand by.
-    pub fn tells(&self) -> bool {
+    pub fn sends_summaries(&self) -> bool {
         self.tells
     }
 
@@ -175,10 +175,10 @@
 
     /// Decides whether states are told, of `known_jobs` jobs. Returns whether that changed. A cell of 300 boxes and 1,000 jobs a second
     /// would fill four fifths of a link of 200 Mbit/s with them.
-    pub fn choose_telling(&mut self, known_jobs: usize, now: Moment) -> bool {
+    pub fn decide_summaries(&mut self, known_jobs: usize, now: Moment) -> bool {
         let others = self.entries.values().filter(|entry| !entry.stands_by).count() as u64;
         let cost = self.told_rate * others;
-        let part = |permille: u64| self.link.bytes() * permille / 1000;
+        let part = |permille: u64| self.link.bytes_per_second() * permille / 1000;
         let whole = known_jobs as u64 * BRIEF_BYTES * others;
         let affordable = whole <= part(TELL_ALL_PERMILLE);
         let calm = now.since(self.tells_since) >= CALM;
@@ -201,7 +201,7 @@
 
     /// How many boxes the link can feed.
     fn allowed(&self) -> usize {
-        let budget = self.link.bytes() * FEED_PERMILLE / 1000;
+        let budget = self.link.bytes_per_second() * FEED_PERMILLE / 1000;
         let affordable = budget.checked_div(self.rate).unwrap_or(u64::MAX);
         usize::try_from(affordable).unwrap_or(usize::MAX).clamp(STANDBYS_LEAST, STANDBYS_MOST)
     }
--- a/crates/sedgehill-cell/src/stored.rs
+++ b/crates/sedgehill-cell/src/stored.rs
@@ -4,7 +4,7 @@
 
 /// Reads a value that boxes of earlier versions write without its last field, or its last fields; `missing` is the
 /// stored form of what stands for them, a byte each. A value that is whole is read as it is.
-pub fn decode_grown<T: DeserializeOwned>(
+pub fn decode_with_defaults<T: DeserializeOwned>(
     value: &[u8],
     missing: &[u8],
 ) -> Result<T, postcard::Error> {
--- a/crates/sedgehill-cell/tests/testsuite/advice.rs
+++ b/crates/sedgehill-cell/tests/testsuite/advice.rs
@@ -12,7 +12,7 @@
 fn advised(steps: Vec<StepSpec>) -> JobRecord {
     let mut record = job(steps);
     record.policy.advice =
-        Some(AdvicePolicy { decide_us: 5_000, each_us: 100, valid: TimeSpan(2_000) });
+        Some(AdvicePolicy { per_question_us: 5_000, per_worker_us: 100, valid: TimeSpan(2_000) });
     record
 }
 
@@ -58,9 +58,9 @@
 fn a_narrow_step_names_others_only_while_that_costs_little() {
     let costs =
         [(0, 1_000), (500, 700), (5_000, 100), (13_000, 190), (490_000, 7_000), (20_000, 0)];
-    for (decide_us, each_us) in costs {
+    for (per_question_us, per_worker_us) in costs {
         let mut cell = FakeCell::new(200, 16);
-        let policy = AdvicePolicy { decide_us, each_us, valid: TimeSpan(2_000) };
+        let policy = AdvicePolicy { per_question_us, per_worker_us, valid: TimeSpan(2_000) };
         let mut record = job(vec![step(2, 4)]);
         record.policy.advice = Some(policy);
         let named = named(&mut cell, record);
@@ -78,8 +78,11 @@
     cell.submit(&mut lead, 1, job(vec![step(11, 16)]));
     cell.turns(&mut lead, 3);
     let mut record = job(vec![step(1, 16)]);
-    record.policy.advice =
-        Some(AdvicePolicy { decide_us: 490_000, each_us: 7_000, valid: TimeSpan(2_000) });
+    record.policy.advice = Some(AdvicePolicy {
+        per_question_us: 490_000,
+        per_worker_us: 7_000,
+        valid: TimeSpan(2_000),
+    });
     cell.submit(&mut lead, 2, record);
     let mut questions = Vec::new();
     for _ in 0..10 {
@@ -103,8 +106,8 @@
     let record = JobRecord {
         policy: QueuePolicy {
             advice: Some(AdvicePolicy {
-                decide_us: 390_000,
-                each_us: 5_600,
+                per_question_us: 390_000,
+                per_worker_us: 5_600,
                 valid: TimeSpan(2_000),
             }),
             ..policy()
--- a/crates/sedgehill-cell/tests/testsuite/authority.rs
+++ b/crates/sedgehill-cell/tests/testsuite/authority.rs
@@ -19,7 +19,7 @@
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
-    own.note_own(claim.clone(), START, 1, &timing);
+    own.note_own_record(claim.clone(), START, 1, &timing);
     assert_eq!(own.authority(at(timing.term.0 - 1)), Some(claim.token));
     assert_eq!(own.authority(at(timing.term.0)), None);
     assert!(own.is_holder());
@@ -30,7 +30,7 @@
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
-    own.note_own(claim, START, 1, &timing);
+    own.note_own_record(claim, START, 1, &timing);
     let mut other = watch("b", 2);
     other.note_record(own.newest().unwrap().clone(), START);
     let later = other.next_claim("127.0.0.1:2");
@@ -48,7 +48,7 @@
         life: 2,
         peer_address: String::new(),
         strength: BoxStrength(250),
-        sole: true,
+        predecessors_expired: true,
         resigned: false,
     };
     let older = LeadRecord { token: sedgehill_cell::ids::FencingToken(3), ..first.clone() };
@@ -62,13 +62,13 @@
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
-    own.note_own(claim.clone(), START, 1, &timing);
+    own.note_own_record(claim.clone(), START, 1, &timing);
     let mut other = watch("b", 2);
     other.note_record(claim.clone(), START);
     let later = other.next_claim("127.0.0.1:2");
     own.note_record(later.clone(), at(1_500));
     // The answer to a renewal that the store kept before that claim.
-    own.note_own(claim, at(400), 2, &timing);
+    own.note_own_record(claim, at(400), 2, &timing);
     assert_eq!(own.newest(), Some(&later));
     assert_eq!(own.authority(at(1_501)), None);
     assert!(!own.is_holder());
@@ -83,11 +83,11 @@
     let mut follower = watch("b", 2);
     follower.note_record(lead.clone(), START);
     follower.note_reachable(true);
-    assert!(!follower.should_claim(at(timing.suspect.0), 0, &timing));
-    assert!(follower.should_claim(at(timing.silence.0), 0, &timing));
+    assert!(!follower.should_claim(at(timing.unreachable_timeout.0), 0, &timing));
+    assert!(follower.should_claim(at(timing.silence_timeout.0), 0, &timing));
     follower.note_reachable(false);
-    assert!(follower.should_claim(at(timing.suspect.0), 0, &timing));
-    assert!(!follower.should_claim(at(timing.suspect.0 - 1), 0, &timing));
+    assert!(follower.should_claim(at(timing.unreachable_timeout.0), 0, &timing));
+    assert!(!follower.should_claim(at(timing.unreachable_timeout.0 - 1), 0, &timing));
     follower.note_record(LeadRecord { resigned: true, ..lead }, at(1));
     assert!(follower.should_claim(at(1), 0, &timing));
 }
@@ -132,13 +132,13 @@
 fn a_renewal_follows_the_last_own_record_though_reads_are_behind() {
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
-    assert_eq!(own.own_end(), 0);
+    assert_eq!(own.own_record_end(), 0);
     let claim = own.next_claim("127.0.0.1:1");
-    own.note_own(claim.clone(), START, 7, &timing);
-    own.note_own(claim.clone(), at(400), 8, &timing);
+    own.note_own_record(claim.clone(), START, 7, &timing);
+    own.note_own_record(claim.clone(), at(400), 8, &timing);
     // A read that is behind returns the first of them now.
     own.note_record(claim, at(800));
-    assert_eq!(own.own_end(), 8);
+    assert_eq!(own.own_record_end(), 8);
 }
 
 #[test]
@@ -148,16 +148,16 @@
     let lead = watch("b", 2).next_claim("127.0.0.1:2");
     own.note_record(lead.clone(), START);
     assert!(!own.should_claim(at(100), 0, &timing));
-    own.note_gone();
+    own.note_connection_refused();
     assert!(own.should_claim(at(100), 0, &timing));
-    own.note_own(own.next_claim("127.0.0.1:1"), at(100), 2, &timing);
+    own.note_own_record(own.next_claim("127.0.0.1:1"), at(100), 2, &timing);
     // The former lead lives after all, and claims again: the path to it only refuses connections.
     let token = own.newest().unwrap().token.next_lead();
     let again = LeadRecord { token, ..lead };
     own.note_record(again, at(200));
-    own.note_gone();
+    own.note_connection_refused();
     assert!(!own.should_claim(at(300), 0, &timing));
-    assert!(own.should_claim(at(200 + timing.suspect.0), 0, &timing));
+    assert!(own.should_claim(at(200 + timing.unreachable_timeout.0), 0, &timing));
 }
 
 #[test]
@@ -165,7 +165,7 @@
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
-    own.note_own(claim.clone(), START, 1, &timing);
+    own.note_own_record(claim.clone(), START, 1, &timing);
     own.note_fenced_append(claim.token, at(2_000), &timing);
     assert_eq!(own.authority(at(2_000 + timing.term.0 - 1)), Some(claim.token));
     assert_eq!(own.authority(at(2_000 + timing.term.0)), None);
@@ -179,7 +179,7 @@
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
-    own.note_own(claim.clone(), START, 1, &timing);
+    own.note_own_record(claim.clone(), START, 1, &timing);
     let mut other = watch("b", 2);
     other.note_record(claim.clone(), START);
     own.note_record(other.next_claim("127.0.0.1:2"), at(100));
@@ -193,10 +193,10 @@
     let lead = watch("a", 1).next_claim("127.0.0.1:1");
     let mut follower = watch("b", 2);
     follower.note_record(lead, START);
-    follower.note_lead_served(at(5_000));
-    assert!(!follower.should_claim(at(5_000 + timing.suspect.0), 0, &timing));
+    follower.note_lead_healthy(at(5_000));
+    assert!(!follower.should_claim(at(5_000 + timing.unreachable_timeout.0), 0, &timing));
     follower.note_reachable(false);
-    assert!(follower.should_claim(at(5_000 + timing.suspect.0), 0, &timing));
+    assert!(follower.should_claim(at(5_000 + timing.unreachable_timeout.0), 0, &timing));
 }
 
 #[test]
@@ -206,8 +206,8 @@
     let mut follower = watch("b", 2);
     follower.note_record(lead, START);
     follower.note_store_lag(TimeSpan(1_200));
-    assert!(!follower.should_claim(at(timing.suspect.0 + 1_199), 0, &timing));
-    assert!(follower.should_claim(at(timing.suspect.0 + 1_200), 0, &timing));
+    assert!(!follower.should_claim(at(timing.unreachable_timeout.0 + 1_199), 0, &timing));
+    assert!(follower.should_claim(at(timing.unreachable_timeout.0 + 1_200), 0, &timing));
 }
 
 #[test]
@@ -223,13 +223,13 @@
 fn a_box_leaves_the_lead_to_boxes_like_a_much_stronger_one() {
     let mut weak = LeadWatch::new("weak".into(), 1, BoxStrength(120), at(0));
     let mut alike = LeadWatch::new("alike".into(), 2, BoxStrength(400), at(0));
-    assert!(!weak.is_outdone(), "nobody has led yet");
+    assert!(!weak.is_weaker_than_lead(), "nobody has led yet");
     let strong = LeadWatch::new("strong".into(), 3, BoxStrength(500), at(0));
     let record = strong.next_claim("127.0.0.1:3");
     weak.note_record(record.clone(), at(0));
     alike.note_record(record, at(0));
-    assert!(weak.is_outdone());
-    assert!(!alike.is_outdone());
+    assert!(weak.is_weaker_than_lead());
+    assert!(!alike.is_weaker_than_lead());
 }
 
 /// A lead's renewal was kept, and the answer came late: after the lead had read the claim of its successor. It took
@@ -240,18 +240,18 @@
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
-    assert!(own.note_own(claim.clone(), START, 1, &timing));
+    assert!(own.note_own_record(claim.clone(), START, 1, &timing));
     let mut successor = watch("b", 2);
     successor.note_record(claim.clone(), START);
     let later = successor.next_claim("127.0.0.1:2");
     own.note_record(later.clone(), at(1_500));
-    assert!(!own.note_own(claim, at(400), 2, &timing));
+    assert!(!own.note_own_record(claim, at(400), 2, &timing));
     assert_eq!(own.authority(at(1_500)), None);
     assert!(!own.is_holder());
     assert!(own.next_claim("127.0.0.1:1").token > later.token);
-    assert_eq!(own.own_end(), 2);
+    assert_eq!(own.own_record_end(), 2);
     let same_token = LeadRecord { token: later.token, ..own.next_claim("127.0.0.1:1") };
-    assert!(!own.note_own(same_token, at(1_500), 3, &timing));
+    assert!(!own.note_own_record(same_token, at(1_500), 3, &timing));
     assert!(!own.is_holder());
 }
 
@@ -268,12 +268,15 @@
         strength: u32,
         resigned: bool,
     }
-    let record =
-        LeadRecord { resigned: true, sole: true, ..watch("a", 1).next_claim("127.0.0.1:1") };
+    let record = LeadRecord {
+        resigned: true,
+        predecessors_expired: true,
+        ..watch("a", 1).next_claim("127.0.0.1:1")
+    };
     let earlier: EarlierRecord = postcard::from_bytes(&record.encode()).unwrap();
     let told = (earlier.token, earlier.holder.as_str(), earlier.resigned);
     assert_eq!(told, (record.token.0, "a", true));
     let read = LeadRecord::decode(&postcard::to_stdvec(&earlier).unwrap()).unwrap();
-    assert_eq!(read, LeadRecord { sole: false, ..record.clone() });
+    assert_eq!(read, LeadRecord { predecessors_expired: false, ..record.clone() });
     assert!(LeadRecord::decode(&record.encode()[..4]).is_err());
 }
--- a/crates/sedgehill-cell/tests/testsuite/capacity.rs
+++ b/crates/sedgehill-cell/tests/testsuite/capacity.rs
@@ -155,7 +155,7 @@
     cell.make_crash(task(1, 0, 0), habit);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 2)]));
     // The turn that counts the crash decides on the next start, which waits to be recorded.
-    while cell.progress(1).suspects.is_empty() {
+    while cell.progress(1).crash_histories.is_empty() {
         cell.list(&mut lead);
         cell.turn_unrecorded(&mut lead);
         if cell.counted_crash(&mut lead) {
--- a/crates/sedgehill-cell/tests/testsuite/crashing.rs
+++ b/crates/sedgehill-cell/tests/testsuite/crashing.rs
@@ -12,12 +12,12 @@
 //! 56.3907 placed        token=2 worker=i-7ac6217d7a run=7
 //! ```
 
+use sedgehill_cell::crash_history::{CrashHistory, WorkerCrash};
 use sedgehill_cell::ids::JobId;
 use sedgehill_cell::job::StepSpec;
 use sedgehill_cell::progress::{JobProgress, JobState};
 use sedgehill_cell::replica::CellRecord;
 use sedgehill_cell::scheduler::{CellOrder, RunEnd, Scheduler};
-use sedgehill_cell::suspicion::{TaskSuspicion, WorkerCrash};
 use sedgehill_core::units::TimeSpan;
 
 use crate::fake::{CrashHabit, FakeCell, job, step, task};
@@ -58,7 +58,7 @@
 
 /// Crashes counted under the tasks of a job, as kept in the store.
 pub fn counted(cell: &FakeCell, id: u64) -> usize {
-    cell.progress(id).suspects.iter().map(|(_, suspicion)| suspicion.crashes.len()).sum()
+    cell.progress(id).crash_histories.iter().map(|(_, suspicion)| suspicion.crashes.len()).sum()
 }
 
 /// A job of one task that has begun, and where.
@@ -82,7 +82,7 @@
     }
     turns(&mut cell, &mut lead, PAST_LEASES);
     assert_eq!(cell.progress(1).state, JobState::Running);
-    assert!(cell.progress(1).suspects.is_empty(), "{:?}", cell.progress(1).suspects);
+    assert!(cell.progress(1).crash_histories.is_empty(), "{:?}", cell.progress(1).crash_histories);
     assert!(cell.starts_of(task(1, 0, 0)) >= 6);
 }
 
@@ -343,12 +343,12 @@
     // The next life is there after 3 s.
     turns(&mut cell, &mut lead, 153);
     assert_eq!(cell.progress(1).state, JobState::Failed);
-    assert!(cell.progress(1).suspects.is_empty(), "nothing is kept of a job that is over");
+    assert!(cell.progress(1).crash_histories.is_empty(), "nothing is kept of a job that is over");
 }
 
 #[test]
 fn progress_of_earlier_versions_is_read() {
-    let progress = JobProgress { ordered: true, ..JobProgress::default() };
+    let progress = JobProgress { may_have_started: true, ..JobProgress::default() };
     let record = CellRecord::Progress(progress);
     let mut earlier = record.encode();
     // The list of suspects stands last, and is empty.
@@ -422,10 +422,10 @@
         cell.obey(&mut lead, &order);
     }
     turns(&mut cell, &mut lead, PAST_LEASES);
-    assert!(!cell.progress(1).suspects.is_empty(), "it is open whether the worker crashed");
+    assert!(!cell.progress(1).crash_histories.is_empty(), "it is open whether the worker crashed");
     cell.workers.iter_mut().for_each(|worker| worker.cut = false);
     turns(&mut cell, &mut lead, 50);
-    assert!(cell.progress(1).suspects.is_empty(), "{:?}", cell.progress(1).suspects);
+    assert!(cell.progress(1).crash_histories.is_empty(), "{:?}", cell.progress(1).crash_histories);
     assert!(cell.place(task(1, 0, 0)).is_some());
 }
 
@@ -439,17 +439,17 @@
         at_unix_ms: number,
     };
     let after = |seen: [bool; 3]| {
-        let mut suspicion = TaskSuspicion::default();
+        let mut suspicion = CrashHistory::default();
         for (number, seen) in seen.into_iter().enumerate() {
-            suspicion.count(crash(number as u64, seen));
+            suspicion.note_crash(crash(number as u64, seen));
         }
         suspicion
     };
-    assert!(!after([false, false, false]).is_guilty(1));
-    assert!(!after([true, false, true]).is_guilty(1));
-    assert!(after([true, true, true]).is_guilty(1));
+    assert!(!after([false, false, false]).is_crash_cause(1));
+    assert!(!after([true, false, true]).is_crash_cause(1));
+    assert!(after([true, true, true]).is_crash_cause(1));
     // Three of them with nothing of another job beside it are not enough where four are asked for.
-    assert!(!after([true, true, true]).is_guilty(4));
+    assert!(!after([true, true, true]).is_crash_cause(4));
 }
 
 // A worker is out of touch, and its leases have lapsed. Another writer lists it at the address of another worker: the
@@ -461,7 +461,7 @@
     let place = begun(&mut cell, &mut lead, 1);
     cell.workers[place].cut = true;
     turns(&mut cell, &mut lead, PAST_LEASES);
-    assert!(!cell.progress(1).suspects.is_empty(), "it is open whether the worker crashed");
+    assert!(!cell.progress(1).crash_histories.is_empty(), "it is open whether the worker crashed");
     cell.misplace(place, (place + 1) % 3);
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
@@ -525,11 +525,11 @@
 fn a_task_that_crashes_each_worker_is_given_up_however_many_answers_are_lost() {
     const LOSSES: u32 = 5;
     for course in 0..1_u32 << LOSSES {
-        let mut suspicion = TaskSuspicion::default();
+        let mut suspicion = CrashHistory::default();
         let mut losses = 0;
-        while !suspicion.is_guilty(1) {
+        while !suspicion.is_crash_cause(1) {
             assert!(losses < LOSSES, "course {course:05b} goes on after {losses} crashes");
-            suspicion.note_start();
+            suspicion.count_start();
             let answered = course & (1 << losses) != 0;
             let crash = WorkerCrash {
                 life: format!("w{losses}").as_str().into(),
@@ -538,7 +538,7 @@
                 at_unix_ms: u64::from(losses),
             };
             match answered {
-                true => suspicion.count(crash),
+                true => suspicion.note_crash(crash),
                 false => suspicion.note_unanswered(crash),
             };
             losses += 1;
--- a/crates/sedgehill-cell/tests/testsuite/displacement.rs
+++ b/crates/sedgehill-cell/tests/testsuite/displacement.rs
@@ -84,8 +84,11 @@
 fn a_step_asks_about_workers_that_are_full_of_work_that_it_may_displace() {
     let (mut cell, mut lead) = full_cell(4, patient(16, 4));
     let mut record = urgent(1, 16);
-    record.policy.advice =
-        Some(AdvicePolicy { decide_us: 490_000, each_us: 7_000, valid: TimeSpan(2_000) });
+    record.policy.advice = Some(AdvicePolicy {
+        per_question_us: 490_000,
+        per_worker_us: 7_000,
+        valid: TimeSpan(2_000),
+    });
     cell.submit(&mut lead, 2, record);
     let mut asked = 0;
     for _ in 0..10 {
--- a/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
@@ -206,7 +206,7 @@
         assert!(
             further < STARTS_TOO_MANY,
             "{task} was started {further} times after {CRASHES_FREE} workers had crashed under it: {starts:?}, kept: {:?}",
-            self.progress(task.step.job.0).suspects
+            self.progress(task.step.job.0).crash_histories
         );
     }
 
--- a/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
@@ -267,7 +267,7 @@
     /// Accepts a job through the lead.
     pub fn submit_led(&mut self, scheduler: &mut Scheduler, id: u64, record: JobRecord) {
         let record = Rc::new(record);
-        let kept = JobProgress { ordered: true, ..JobProgress::default() };
+        let kept = JobProgress { may_have_started: true, ..JobProgress::default() };
         self.store.entry(JobId(id)).or_insert((record.clone(), kept));
         scheduler.add_led_job(JobId(id), record, self.now);
     }
--- a/crates/sedgehill-cell/tests/testsuite/led.rs
+++ b/crates/sedgehill-cell/tests/testsuite/led.rs
@@ -56,7 +56,7 @@
     let mut cell = FakeCell::new(1, 16);
     cell.workers[0].cut = true;
     let mut lead = cell.lead(true);
-    let kept = JobProgress { ordered: true, ..JobProgress::default() };
+    let kept = JobProgress { may_have_started: true, ..JobProgress::default() };
     let record = Rc::new(job(vec![step(1, 1)]));
     lead.add_job(JobId(1), record, &kept, TimeSpan(0), cell.now);
     cell.workers[0].cut = false;
--- a/crates/sedgehill-cell/tests/testsuite/lives.rs
+++ b/crates/sedgehill-cell/tests/testsuite/lives.rs
@@ -88,7 +88,8 @@
 // each time it is asked about anew, and no start brings a ticket of the earlier life.
 #[test]
 fn tickets_of_an_earlier_life_are_not_used() {
-    let policy = AdvicePolicy { decide_us: 5_600, each_us: 80, valid: TimeSpan(60_000) };
+    let policy =
+        AdvicePolicy { per_question_us: 5_600, per_worker_us: 80, valid: TimeSpan(60_000) };
     let mut cell = FakeCell::with_lasting_ids(1, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 30);
--- a/crates/sedgehill-cell/tests/testsuite/organisations.rs
+++ b/crates/sedgehill-cell/tests/testsuite/organisations.rs
@@ -1,6 +1,5 @@
 //! Who may call, and what an organisation may have running.
 
-use sedgehill_cell::brief::JobBrief;
 use sedgehill_cell::ids::{JobId, OrganisationName};
 use sedgehill_cell::organisation::{
     DIGEST_BYTES, KeyDigest, KeyOwner, KeyRefusal, KeyRing, ResourceLimit,
@@ -8,6 +7,7 @@
 use sedgehill_cell::progress::{JobProgress, JobState};
 use sedgehill_cell::replica::{CellRecord, CellReplica};
 use sedgehill_cell::scheduler::{CellEvent, RunEnd};
+use sedgehill_cell::summary::JobSummary;
 use sedgehill_core::units::{CoreCount, Moment};
 
 use crate::fake::{FakeCell, cores, job, owned, step, task};
@@ -25,7 +25,7 @@
 }
 
 fn owner(text: &str, place: usize) -> KeyOwner {
-    KeyOwner { organisation: name(text), place }
+    KeyOwner { organisation: name(text), index: place }
 }
 
 fn running(cell: &FakeCell) -> u64 {
@@ -57,9 +57,9 @@
 #[test]
 fn a_job_is_its_organisations_alone_also_once_it_is_over_and_told_in_short() {
     let mut replica = CellReplica::default();
-    replica.apply(ID, CellRecord::Led(owned(ORG, 4, job(vec![step(1, 1)]))), NOW);
+    replica.apply(ID, CellRecord::LeadJob(owned(ORG, 4, job(vec![step(1, 1)]))), NOW);
     let mut told = CellReplica::default();
-    told.apply_brief(JobBrief::of(&replica, ID), NOW);
+    told.apply_summary(JobSummary::of(&replica, ID), NOW);
     let over = JobProgress {
         state: JobState::Completed,
         organisation: Some(name(ORG)),
@@ -70,9 +70,9 @@
     late.apply(ID, CellRecord::Progress(over), NOW);
     for replica in [&replica, &told, &late] {
         let known = replica.job(ID).unwrap();
-        assert!(known.is_open_to(Some(&name(ORG))));
-        assert!(!known.is_open_to(Some(&name("other"))));
-        assert!(!known.is_open_to(None));
+        assert!(known.is_accessible_to(Some(&name(ORG))));
+        assert!(!known.is_accessible_to(Some(&name("other"))));
+        assert!(!known.is_accessible_to(None));
     }
 }
 
@@ -221,9 +221,9 @@
 #[test]
 fn a_limit_says_what_it_admits() {
     let limit = ResourceLimit { cores: Some(CoreCount(4_000)), ..ResourceLimit::default() };
-    assert!(limit.admits(&cores(4)));
-    assert!(!limit.admits(&cores(5)));
-    assert!(ResourceLimit::default().admits(&cores(1_000_000)));
+    assert!(limit.allows(&cores(4)));
+    assert!(!limit.allows(&cores(5)));
+    assert!(ResourceLimit::default().allows(&cores(1_000_000)));
     assert_eq!(limit.to_string(), "4 cores, any memory, any accelerators");
 }
 
--- a/crates/sedgehill-cell/tests/testsuite/outages.rs
+++ b/crates/sedgehill-cell/tests/testsuite/outages.rs
@@ -163,11 +163,11 @@
         cell.crash(number, BACK);
     }
     turns(&mut cell, &mut lead, 100);
-    assert_eq!(cell.progress(1).together.len(), 1);
+    assert_eq!(cell.progress(1).correlated_ms.len(), 1);
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
     turns(&mut cell, &mut next, 100);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Failed);
     turns(&mut cell, &mut next, 10);
-    assert_eq!(cell.progress(1).together.len(), 1);
+    assert_eq!(cell.progress(1).correlated_ms.len(), 1);
 }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/answers.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/answers.rs
@@ -2,7 +2,7 @@
 
 use sedgehill_cell::authority::{AuthorityTiming, LeadRecord};
 use sedgehill_cell::ids::FencingToken;
-use sedgehill_cell::replica::{CellRecord, ReplicaChange, RosterSign};
+use sedgehill_cell::replica::{CellRecord, ReplicaChange, RosterSource};
 use sedgehill_cell::scheduler::{WorkerAnswer, WorkerRoster};
 use sedgehill_core::units::Moment;
 
@@ -31,7 +31,7 @@
             Purpose::Claim(record, predecessor) => {
                 self.busy = false;
                 if self.take_own(&record, &store, sent) {
-                    let renew_at = now.after(AuthorityTiming::default().renew);
+                    let renew_at = now.after(AuthorityTiming::default().renew_interval);
                     self.session = Some(Session::new(record.token, predecessor, renew_at, now));
                 }
             }
@@ -62,7 +62,7 @@
         let timing = AuthorityTiming::default();
         match reply {
             Some(StoreReply::Kept { end }) => {
-                self.watch.note_own(record.clone(), sent, *end, &timing)
+                self.watch.note_own_record(record.clone(), sent, *end, &timing)
             }
             Some(_) => {
                 // Who leads is in doubt, and read at once.
@@ -84,7 +84,7 @@
             return;
         }
         let pause = match self.take_own(record, &reply, sent) {
-            true => AuthorityTiming::default().renew,
+            true => AuthorityTiming::default().renew_interval,
             false => RENEW_RETRY,
         };
         let Some(session) = self.session_of(record.token) else { return };
@@ -187,7 +187,7 @@
                     self.watch.note_record(record, now);
                 }
                 WorkerRoster::KEY => {
-                    let sign = RosterSign { read: now, from: None };
+                    let sign = RosterSource { read_at: now, offset: None };
                     let roster = WorkerRoster::decode(&row.value).unwrap();
                     self.replica.apply_roster(roster, sign);
                 }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
@@ -190,7 +190,7 @@
     }
 
     pub(super) fn lead_append(&self, record: &LeadRecord) -> Call {
-        let end = self.views[LEADS].offset.unwrap_or(0).max(self.watch.own_end());
+        let end = self.views[LEADS].offset.unwrap_or(0).max(self.watch.own_record_end());
         let rows = vec![Row { key: LEAD_KEY.to_owned(), value: record.encode() }];
         Call::Store(StoreCall::Append { topic: LEADS, rows, condition: Condition::At(end) })
     }
@@ -229,7 +229,7 @@
             return;
         }
         session.renewing = true;
-        let record = LeadRecord { sole: session.scheduler.is_sole(now), ..record };
+        let record = LeadRecord { predecessors_expired: session.scheduler.is_sole(now), ..record };
         let call = self.lead_append(&record);
         out.push((Purpose::Renew(record), call));
     }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/mod.rs
@@ -326,7 +326,7 @@
 
     /// A box finds that nothing listens at the lead's address.
     pub fn take_as_gone(&mut self, host: usize) {
-        self.hosts[host].watch.note_gone();
+        self.hosts[host].watch.note_connection_refused();
     }
 
     /// A box has a link to the lead, or none.
--- a/crates/sedgehill-cell/tests/testsuite/overlap/session.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/session.rs
@@ -121,7 +121,7 @@
     fn add_job(&mut self, replica: &CellReplica, id: JobId, now: Moment) {
         let Some(job) = replica.job(id) else { return };
         let Some(record) = job.record.clone() else { return };
-        self.scheduler.add_job(id, record, &job.kept(), TimeSpan(0), now);
+        self.scheduler.add_job(id, record, &job.progress_for_lead(), TimeSpan(0), now);
     }
 
     fn watch(&mut self, keys: Vec<WorkerKey>, now: Moment) {
@@ -174,7 +174,7 @@
             let key = || WorkerRoster::KEY.to_owned();
             rows.extend(roster.map(|roster| Row { key: key(), value: roster.encode() }));
         }
-        rows.extend(led.iter().map(|(id, record)| row(*id, CellRecord::Led(record.clone()))));
+        rows.extend(led.iter().map(|(id, record)| row(*id, CellRecord::LeadJob(record.clone()))));
         (progress.is_some() || !rows.is_empty()).then_some(Batch { progress, led, rows })
     }
 
--- a/crates/sedgehill-cell/tests/testsuite/overlapping.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlapping.rs
@@ -23,7 +23,7 @@
 /// A claim that stands in the store as the last record before `end`.
 fn claim(watch: &mut LeadWatch, now: Moment, end: u64) -> LeadRecord {
     let record = watch.next_claim("127.0.0.1:7000");
-    watch.note_own(record.clone(), now, end, &AuthorityTiming::default());
+    watch.note_own_record(record.clone(), now, end, &AuthorityTiming::default());
     record
 }
 
@@ -141,7 +141,7 @@
     }
     let known = replica.job(JobId(1)).unwrap();
     let record = known.record.clone().unwrap();
-    earlier.add_job(JobId(1), record, &known.kept(), TimeSpan(0), cell.now);
+    earlier.add_job(JobId(1), record, &known.progress_for_lead(), TimeSpan(0), cell.now);
     cell.token = FencingToken(1);
     (cell.workers[0].cut, cell.workers[1].cut) = (false, true);
     for _ in 0..20 {
@@ -157,14 +157,14 @@
 // has not heard of its successor.
 #[test]
 fn a_lead_does_not_start_a_job_that_its_successor_accepted() {
-    an_earlier_lead_reads(&[CellRecord::Led(job(vec![step(1, 1)]))]);
+    an_earlier_lead_reads(&[CellRecord::LeadJob(job(vec![step(1, 1)]))]);
 }
 
 // The same with a job that some box put into the store by itself: the successor has marked it, and the
 // earlier lead reads the mark before it reads the job.
 #[test]
 fn a_lead_does_not_start_a_job_that_its_successor_marked() {
-    let marked = JobProgress { ordered: true, ..JobProgress::default() };
+    let marked = JobProgress { may_have_started: true, ..JobProgress::default() };
     let accepted = CellRecord::Job(job(vec![step(1, 1)]));
     an_earlier_lead_reads(&[CellRecord::Progress(marked), accepted]);
 }
@@ -210,7 +210,7 @@
     let later = other.next_claim("127.0.0.1:7001");
     let (sent, heard) = (start.after(TimeSpan(400)), start.after(TimeSpan(900)));
     own.note_record(later.clone(), heard);
-    own.note_own(record, sent, 2, &timing);
+    own.note_own_record(record, sent, 2, &timing);
     assert_eq!(own.newest(), Some(&later));
     assert!(!own.is_holder());
     assert_eq!(own.authority(heard), None);
--- a/crates/sedgehill-cell/tests/testsuite/predecessor.rs
+++ b/crates/sedgehill-cell/tests/testsuite/predecessor.rs
@@ -66,7 +66,7 @@
     no_task_begins_beside_an_earlier_lead(&unanswered);
     let mut unfenced = watch("b", 2);
     unfenced.note_record(watch("a", 1).next_claim("127.0.0.1:1"), START);
-    unfenced.note_own(claim, START, 2, &AuthorityTiming::default());
+    unfenced.note_own_record(claim, START, 2, &AuthorityTiming::default());
     unfenced.step_down();
     no_task_begins_beside_an_earlier_lead(&unfenced);
 }
@@ -97,7 +97,7 @@
     let mut first = watch("a", 1);
     assert!(!first.has_predecessor());
     let claim = first.next_claim("127.0.0.1:1");
-    first.note_own(claim.clone(), START.after(TimeSpan(1)), 1, &AuthorityTiming::default());
+    first.note_own_record(claim.clone(), START.after(TimeSpan(1)), 1, &AuthorityTiming::default());
     assert!(!first.has_predecessor(), "its own earlier lead gives no orders");
     let mut follower = watch("b", 2);
     follower.note_record(claim.clone(), START);
--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -16,7 +16,7 @@
 /// Boxes that ask beside the lead's own.
 const HELPERS: u64 = 3;
 const DEAR: AdvicePolicy =
-    AdvicePolicy { decide_us: 480_000, each_us: 6_800, valid: TimeSpan(2_000) };
+    AdvicePolicy { per_question_us: 480_000, per_worker_us: 6_800, valid: TimeSpan(2_000) };
 /// Half of the workers are good for a step.
 const GOOD_ONE_IN: u64 = 2;
 /// How long a run takes.
--- a/crates/sedgehill-cell/tests/testsuite/replica.rs
+++ b/crates/sedgehill-cell/tests/testsuite/replica.rs
@@ -2,7 +2,7 @@
 
 use sedgehill_cell::ids::JobId;
 use sedgehill_cell::progress::{JobProgress, JobState};
-use sedgehill_cell::replica::{CellRecord, CellReplica, ReplicaChange, RosterSign};
+use sedgehill_cell::replica::{CellRecord, CellReplica, ReplicaChange, RosterSource};
 use sedgehill_cell::scheduler::WorkerRoster;
 use sedgehill_core::units::{Moment, TimeSpan};
 
@@ -15,7 +15,7 @@
 fn records_are_read_back_as_written() {
     let records = [
         CellRecord::Job(job(vec![step(2, 1)])),
-        CellRecord::Led(job(vec![step(2, 1)])),
+        CellRecord::LeadJob(job(vec![step(2, 1)])),
         CellRecord::Cancel,
         CellRecord::Progress(JobProgress { state: JobState::Running, ..JobProgress::default() }),
     ];
@@ -43,10 +43,10 @@
     let record = job(vec![step(1, 1)]);
     let queue = record.queue.clone();
     replica.apply(ID, CellRecord::Job(record), NOW);
-    assert_eq!(replica.waiting(&queue), 1);
+    assert_eq!(replica.waiting_count(&queue), 1);
     let progress = JobProgress { state: JobState::Running, ..JobProgress::default() };
     replica.apply(ID, CellRecord::Progress(progress), NOW);
-    assert_eq!(replica.waiting(&queue), 0);
+    assert_eq!(replica.waiting_count(&queue), 0);
 }
 
 #[test]
@@ -62,18 +62,18 @@
 #[test]
 fn a_job_that_a_lead_accepted_counts_as_ordered_whichever_copy_is_heard_first() {
     let record = job(vec![step(1, 1)]);
-    let copies = [CellRecord::Job(record.clone()), CellRecord::Led(record.clone())];
+    let copies = [CellRecord::Job(record.clone()), CellRecord::LeadJob(record.clone())];
     assert_ne!(copies[0].key(ID), copies[1].key(ID));
     for order in [[0, 1], [1, 0]] {
         let mut replica = CellReplica::default();
         for copy in order {
             replica.apply(ID, copies[copy].clone(), NOW);
         }
-        assert!(replica.job(ID).unwrap().kept().ordered);
+        assert!(replica.job(ID).unwrap().progress_for_lead().may_have_started);
     }
     let mut replica = CellReplica::default();
     replica.apply(ID, copies[0].clone(), NOW);
-    assert!(!replica.job(ID).unwrap().kept().ordered);
+    assert!(!replica.job(ID).unwrap().progress_for_lead().may_have_started);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let over =
         CellRecord::Progress(JobProgress { state: JobState::Completed, ..JobProgress::default() });
     let mut replica = CellReplica::default();
-    replica.apply(ID, CellRecord::Led(job(vec![step(1, 1)])), NOW);
+    replica.apply(ID, CellRecord::LeadJob(job(vec![step(1, 1)])), NOW);
     replica.apply(ID, over.clone(), NOW);
     assert!(replica.job(ID).unwrap().record.is_none());
     assert_eq!(replica.jobs().count(), 0);
@@ -121,21 +121,21 @@
 #[test]
 fn a_job_whose_progress_alone_is_known_is_told_as_begun() {
     let mut replica = CellReplica::default();
-    assert!(!replica.is_ordered(ID));
-    let progress = JobProgress { ordered: true, ..JobProgress::default() };
+    assert!(!replica.may_have_started(ID));
+    let progress = JobProgress { may_have_started: true, ..JobProgress::default() };
     replica.apply(ID, CellRecord::Progress(progress), NOW);
     assert!(replica.job(ID).is_none());
-    assert!(replica.is_ordered(ID));
+    assert!(replica.may_have_started(ID));
 }
 
 #[test]
 fn a_roster_tells_when_it_was_read_and_from_where() {
     let mut replica = CellReplica::default();
-    assert_eq!(replica.roster_sign(), None);
+    assert_eq!(replica.roster_source(), None);
     for from in [None, Some(12)] {
-        let sign = RosterSign { read: NOW, from };
+        let sign = RosterSource { read_at: NOW, offset: from };
         replica.apply_roster(WorkerRoster::default(), sign);
-        assert_eq!(replica.roster_sign(), Some(sign));
+        assert_eq!(replica.roster_source(), Some(sign));
     }
 }
 
@@ -148,13 +148,13 @@
     let dropped = JobId(1);
     let (running, direct, new) = (JobId(2), JobId(3), JobId(4));
     for id in [dropped, running] {
-        replica.apply(id, CellRecord::Led(job(vec![step(1, 1)])), NOW);
+        replica.apply(id, CellRecord::LeadJob(job(vec![step(1, 1)])), NOW);
     }
     replica.apply(direct, CellRecord::Job(job(vec![step(1, 1)])), NOW);
-    let before = replica.led_ids();
+    let before = replica.lead_accepted_ids();
     // Taken in while the newest records were being read, which do not hold it yet.
-    replica.apply(new, CellRecord::Led(job(vec![step(1, 1)])), NOW);
-    replica.forget_dropped(&before, &[running].into());
+    replica.apply(new, CellRecord::LeadJob(job(vec![step(1, 1)])), NOW);
+    replica.forget_missing(&before, &[running].into());
     let left: std::collections::BTreeSet<JobId> = replica.jobs().map(|(id, _)| id).collect();
     assert_eq!(left, [running, direct, new].into());
 }
--- a/crates/sedgehill-cell/tests/testsuite/restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/restarts.rs
@@ -27,9 +27,9 @@
 const OTHERS_WIDTH: u16 = 12;
 
 const DEAR: AdvicePolicy =
-    AdvicePolicy { decide_us: 560_000, each_us: 8_000, valid: TimeSpan(2_000) };
+    AdvicePolicy { per_question_us: 560_000, per_worker_us: 8_000, valid: TimeSpan(2_000) };
 const CHEAP: AdvicePolicy =
-    AdvicePolicy { decide_us: 13_000, each_us: 180, valid: TimeSpan(2_000) };
+    AdvicePolicy { per_question_us: 13_000, per_worker_us: 180, valid: TimeSpan(2_000) };
 
 /// What fills the cell beside the long-running job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sedgehill-cell/tests/testsuite/sight.rs
+++ b/crates/sedgehill-cell/tests/testsuite/sight.rs
@@ -312,7 +312,7 @@
     let begin = Moment(50_000);
     let mut own = LeadWatch::new(BoxName::from("a"), 1, BoxStrength(250), begin);
     assert_eq!(own.authority_until(), None);
-    own.note_own(own.next_claim("127.0.0.1:1"), begin, 1, &timing);
+    own.note_own_record(own.next_claim("127.0.0.1:1"), begin, 1, &timing);
     let until = begin.after(timing.term);
     // Also once it is over, to tell since when.
     assert_eq!(own.authority_until(), Some(until));
@@ -321,10 +321,10 @@
     other.note_record(own.newest().unwrap().clone(), read);
     other.note_reachable(true);
     let now = read.after(TimeSpan(20));
-    let sign = other.sign(now);
-    assert_eq!((sign.heard, sign.reachable, sign.gone), (read, true, false));
-    other.note_gone();
-    assert!(other.sign(now).gone);
+    let sign = other.liveness(now);
+    assert_eq!((sign.last_heard, sign.reachable, sign.gone), (read, true, false));
+    other.note_connection_refused();
+    assert!(other.liveness(now).gone);
     own.note_record(other.next_claim("127.0.0.1:2"), now);
     assert_eq!(own.authority_until(), None);
 }
--- a/crates/sedgehill-cell/tests/testsuite/standby.rs
+++ b/crates/sedgehill-cell/tests/testsuite/standby.rs
@@ -44,19 +44,19 @@
     set.choose(Moment(0));
     assert_eq!(standing(&set, 10).len(), 8);
     // 20 KB a second to each, where a fifth of the link is 50 KB.
-    set.note_fed(40_000, Moment(2_000));
+    set.note_records(40_000, Moment(2_000));
     set.choose(Moment(2_001));
     assert_eq!(standing(&set, 10), [1, 2]);
     // More of them begin again only after a calm time.
-    set.note_fed(0, Moment(4_000));
+    set.note_records(0, Moment(4_000));
     assert_eq!(set.choose(Moment(4_001)), []);
-    set.note_fed(0, Moment(7_100));
+    set.note_records(0, Moment(7_100));
     assert_eq!(set.choose(Moment(7_101)).len(), 6);
 }
 
 #[test]
 fn a_rate_is_told_in_megabits() {
-    assert_eq!("20".parse::<LinkRate>().unwrap().bytes(), 2_500_000);
+    assert_eq!("20".parse::<LinkRate>().unwrap().bytes_per_second(), 2_500_000);
     assert_eq!("0.5".parse::<LinkRate>().unwrap().to_string(), "0.5 Mbit/s");
     for wrong in ["", "0", "-3", "fast", "inf"] {
         assert!(wrong.parse::<LinkRate>().is_err(), "{wrong}");
@@ -85,10 +85,10 @@
 fn told_after(set: &mut StandbySet, from: u64, seconds: u64, bytes: usize) -> bool {
     for turn in 0..seconds * 25 {
         let now = Moment(from + turn * 40);
-        set.note_told(bytes / 25, now);
-        set.choose_telling(2_000, now);
+        set.note_summaries(bytes / 25, now);
+        set.decide_summaries(2_000, now);
     }
-    set.tells()
+    set.sends_summaries()
 }
 
 #[test]
@@ -114,27 +114,27 @@
 #[test]
 fn a_lead_of_many_boxes_that_know_nothing_does_not_begin_by_telling_each_all_jobs() {
     let mut set = busy_set(300, true);
-    set.choose_telling(36_000, Moment(20));
-    assert!(!set.tells(), "it would take eight seconds of the link");
+    set.decide_summaries(36_000, Moment(20));
+    assert!(!set.sends_summaries(), "it would take eight seconds of the link");
     assert!(!told_again(&mut set, 36_000), "nor later");
     assert!(told_again(&mut set, 2_000), "once there are few jobs it does");
     let mut few = busy_set(45, true);
-    few.choose_telling(7_000, Moment(20));
-    assert!(few.tells());
+    few.decide_summaries(7_000, Moment(20));
+    assert!(few.sends_summaries());
     // Boxes that were told all along need no beginning.
     let mut long = busy_set(300, true);
-    long.choose_telling(2_000, Moment(20));
-    long.choose_telling(36_000, Moment(60_000));
-    assert!(long.tells());
+    long.decide_summaries(2_000, Moment(20));
+    long.decide_summaries(36_000, Moment(60_000));
+    assert!(long.sends_summaries());
 }
 
 /// Whether a set whose boxes ask is told states after a calm time, with so many jobs known.
 fn told_again(set: &mut StandbySet, known_jobs: usize) -> bool {
     let begin = 100_000 + known_jobs as u64;
     for turn in 0..200 {
-        set.choose_telling(known_jobs, Moment(begin + turn * 40));
+        set.decide_summaries(known_jobs, Moment(begin + turn * 40));
     }
-    set.tells()
+    set.sends_summaries()
 }
 
 #[test]
@@ -143,7 +143,7 @@
     for helper in 1..=10 {
         set.join(HelperId(helper), WEAK);
     }
-    set.note_fed(100_000, Moment(5_000));
+    set.note_records(100_000, Moment(5_000));
     set.choose(Moment(5_000));
     assert_eq!(standing(&set, 10).len(), 2);
     assert!(told_after(&mut set, 0, 5, 10_000));
--- a/crates/sedgehill-cell/tests/testsuite/unasked.rs
+++ b/crates/sedgehill-cell/tests/testsuite/unasked.rs
@@ -18,9 +18,10 @@
 
 /// A question as dear as the dearest of the users' small sites.
 const DEAR: AdvicePolicy =
-    AdvicePolicy { decide_us: 480_000, each_us: 6_800, valid: TimeSpan(2_000) };
+    AdvicePolicy { per_question_us: 480_000, per_worker_us: 6_800, valid: TimeSpan(2_000) };
 /// One that is asked about in some milliseconds.
-const CHEAP: AdvicePolicy = AdvicePolicy { decide_us: 5_600, each_us: 80, valid: TimeSpan(2_000) };
+const CHEAP: AdvicePolicy =
+    AdvicePolicy { per_question_us: 5_600, per_worker_us: 80, valid: TimeSpan(2_000) };
 const WORKERS: u16 = 48;
 const CORES: u64 = 16;
 /// Boxes that ask beside the lead's own: six in all, as on a small site.
--- a/crates/sedgehill-standin/src/measure/organisations.rs
+++ b/crates/sedgehill-standin/src/measure/organisations.rs
@@ -70,7 +70,7 @@
     let mut ring = KeyRing::default();
     for number in 0..organisations {
         for key in 0..KEYS {
-            let owner = KeyOwner { organisation: name(number), place: number };
+            let owner = KeyOwner { organisation: name(number), index: number };
             ring.add(digest_key(&key_text(number, key)), owner);
         }
     }
--- a/crates/sedgehilld/src/cell/apply.rs
+++ b/crates/sedgehilld/src/cell/apply.rs
@@ -7,7 +7,7 @@
 use sedgehill_adapter::config::{decode_config, is_config};
 use sedgehill_adapter::store::{KeyedRecord, StoreTopic};
 use sedgehill_cell::authority::LeadRecord;
-use sedgehill_cell::replica::{CellRecord, ReplicaChange, RosterSign};
+use sedgehill_cell::replica::{CellRecord, ReplicaChange, RosterSource};
 use sedgehill_cell::scheduler::WorkerRoster;
 use slog::{info, warn};
 
@@ -70,7 +70,8 @@
     if record.key == WorkerRoster::KEY {
         match WorkerRoster::decode(&record.value) {
             Ok(roster) => {
-                let sign = RosterSign { read: clock::now(), from: host.progress_view.offset.get() };
+                let sign =
+                    RosterSource { read_at: clock::now(), offset: host.progress_view.offset.get() };
                 host.replica.borrow_mut().apply_roster(roster, sign);
             }
             Err(error) => warn!(host.log, "roster not readable"; "error" => %error),
@@ -98,7 +99,7 @@
 /// once the job is over.
 fn forget(host: &CellBox, key: &str) {
     match CellRecord::decode_key(key) {
-        Ok((CellRecord::PROGRESS_KEY, id)) => host.replica.borrow_mut().forget(id),
+        Ok((CellRecord::PROGRESS_PREFIX, id)) => host.replica.borrow_mut().forget(id),
         Ok(_) => {}
         Err(error) => warn!(host.log, "dropped key not readable"; "key" => key, "error" => %error),
     }
--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -117,7 +117,7 @@
                 "organisation" => organisation.map(ToString::to_string),
                 "config" => config.version, "answer" => ?answer,
                 "store_silent" => host.store_contact.is_silent(),
-                "store_usual_ms" => host.store_patience.borrow().usual().as_millis() as u64,
+                "store_usual_ms" => host.store_patience.borrow().average().as_millis() as u64,
                 "patience_ms" => patience.as_millis() as u64);
             ("submit", answer)
         }
@@ -228,7 +228,7 @@
 
 impl JobSubmission<'_> {
     fn owner(&self) -> Option<JobOwner> {
-        let KeyOwner { organisation, place } = self.caller.clone()?;
+        let KeyOwner { organisation, index: place } = self.caller.clone()?;
         let maximum = self.config.organisations.get(place).map(|policy| policy.maximum);
         Some(JobOwner { organisation, maximum: maximum.unwrap_or_default() })
     }
@@ -255,7 +255,7 @@
     };
     if let Some(known) = host.replica.borrow().job(id) {
         let caller = submission.caller.as_ref().map(|caller| &caller.organisation);
-        return match known.is_open_to(caller) {
+        return match known.is_accessible_to(caller) {
             true => CallerAnswer::Accepted,
             false => CallerAnswer::Taken,
         };
@@ -264,7 +264,7 @@
         "tasks" => spec.steps.iter().map(|step| u32::from(step.count)).sum::<u32>(),
         "gangs" => spec.steps.iter().filter(|step| step.gang).count(),
         "chain_ms" => spec.longest_chain().0);
-    if !host.can_accept() || patience < host.store_patience.borrow().usual() {
+    if !host.can_accept() || patience < host.store_patience.borrow().average() {
         // Nothing can be put into the store in time, and nothing was sent there.
         return CallerAnswer::NotDone(RETRY_AFTER);
     }
--- a/crates/sedgehilld/src/cell/follow.rs
+++ b/crates/sedgehilld/src/cell/follow.rs
@@ -190,7 +190,7 @@
 ) -> Result<usize, CallError> {
     let asked = clock::now();
     let known = match topic {
-        StoreTopic::Progress => host.replica.borrow().led_ids(),
+        StoreTopic::Progress => host.replica.borrow().lead_accepted_ids(),
         _ => Vec::new(),
     };
     let newest = match relaying_session(host, topic) {
@@ -208,7 +208,7 @@
     for record in &newest.records {
         apply(host, topic, record);
     }
-    host.replica.borrow_mut().forget_dropped(&known, &kept_jobs(&newest.records));
+    host.replica.borrow_mut().forget_missing(&known, &kept_jobs(&newest.records));
     view.offset.set(Some(newest.end));
     view.whole.set(true);
     view.note_complete(asked);
@@ -310,5 +310,5 @@
 
 /// When the connection of a read is doubted.
 fn read_doubt(host: &CellBox) -> Duration {
-    host.store_patience.borrow().limit()
+    host.store_patience.borrow().timeout()
 }
--- a/crates/sedgehilld/src/cell/frames.rs
+++ b/crates/sedgehilld/src/cell/frames.rs
@@ -5,11 +5,11 @@
 
 use sedgehill_adapter::store::{KeyedRecord, StoreTopic};
 use sedgehill_cell::authority::BoxStrength;
-use sedgehill_cell::brief::{BriefLedger, JobBrief};
 use sedgehill_cell::ids::{BoxName, JobId, OrganisationName, QueueName, StepId, WorkerId};
 use sedgehill_cell::progress::JobState;
 use sedgehill_cell::replica::{CellRecord, CellReplica};
 use sedgehill_cell::scheduler::AdviceQuestion;
+use sedgehill_cell::summary::{JobSummary, SummaryFilter};
 use sedgehill_core::units::TimeSpan;
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -83,14 +83,14 @@
     /// The offset after the last.
     pub end: u64,
     /// The jobs that the records speak of, as they are known now.
-    pub jobs: Vec<JobBrief>,
+    pub jobs: Vec<JobSummary>,
 }
 
 impl FedBriefs {
     /// The states of all jobs, with the ends of the topics that they come from. Some 12 bytes a job: a frame
     /// holds 80,000.
     pub fn of_all(replica: &CellReplica, jobs_end: u64, progress_end: u64) -> [FedBriefs; 2] {
-        let jobs = replica.ids().map(|job| JobBrief::of(replica, job)).collect();
+        let jobs = replica.ids().map(|job| JobSummary::of(replica, job)).collect();
         [
             FedBriefs { topic: StoreTopic::Progress, from: 0, end: progress_end, jobs },
             FedBriefs { topic: StoreTopic::Jobs, from: 0, end: jobs_end, jobs: Vec::new() },
@@ -101,7 +101,7 @@
     pub fn sum_up(
         parts: &[FedRecords],
         replica: &CellReplica,
-        ledger: &mut BriefLedger,
+        ledger: &mut SummaryFilter,
     ) -> Vec<FedBriefs> {
         let mut stretches: Vec<(FedBriefs, BTreeSet<JobId>)> = Vec::new();
         for part in parts {
@@ -122,7 +122,7 @@
                 }
             }
         }
-        let mut news = |job| ledger.news(JobBrief::of(replica, job));
+        let mut news = |job| ledger.changes(JobSummary::of(replica, job));
         let tell = |(stretch, jobs): (FedBriefs, BTreeSet<JobId>)| FedBriefs {
             jobs: jobs.into_iter().filter_map(&mut news).collect(),
             ..stretch
--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -57,7 +57,7 @@
 
 /// Limits of a copy that is sent from this box now.
 fn copy_limits(host: &CellBox) -> CallLimits {
-    let doubt = host.store_patience.borrow().limit();
+    let doubt = host.store_patience.borrow().timeout();
     CallLimits::new(doubt, ANSWER_LIMIT.max(doubt))
 }
 
@@ -95,13 +95,13 @@
 where
     F: Future<Output = Result<AppendOutcome, CallError>>,
 {
-    let limit = host.store_patience.borrow().limit();
+    let limit = host.store_patience.borrow().timeout();
     let limits = copy_limits(host);
     let mut first = std::pin::pin!(append_within(host, call, limits));
     if let Ok(result) = tokio::time::timeout_at(limits.doubt_at(), first.as_mut()).await {
         return (AnsweredCopy::First, result);
     }
-    let usual = host.store_patience.borrow().usual();
+    let usual = host.store_patience.borrow().average();
     let soon = (usual * SECOND_TIMES).clamp(SECOND_LEAST, limit);
     let mut second = std::pin::pin!(until_answered(second, soon, limit));
     tokio::select! {
@@ -148,7 +148,7 @@
     refuse: impl FnOnce(),
 ) -> T {
     let mut appending = std::pin::pin!(appending);
-    let limit = STUCK_LEAST.max(host.store_patience.borrow().limit() * STUCK_TIMES);
+    let limit = STUCK_LEAST.max(host.store_patience.borrow().timeout() * STUCK_TIMES);
     match tokio::time::timeout(limit, appending.as_mut()).await {
         Ok(done) => done,
         Err(_) => {
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -7,11 +7,11 @@
 
 use sedgehill_adapter::store::{AppendCondition, AppendOutcome, KeyedRecord, StoreTopic};
 use sedgehill_cell::authority::{BoxStrength, LeadRecord};
-use sedgehill_cell::brief::BriefLedger;
 use sedgehill_cell::ids::{BoxName, FencingToken, JobId, OrganisationName};
-use sedgehill_cell::patience::{CallPatience, ORDER_PATIENCE, RepeatBudget};
 use sedgehill_cell::scheduler::{HelperId, OWN_BOX, Scheduler};
 use sedgehill_cell::standby::StandbySet;
+use sedgehill_cell::summary::SummaryFilter;
+use sedgehill_cell::timeout::{AdaptiveTimeout, ORDER_TIMEOUT, ResendBudget};
 use sedgehill_core::units::{Moment, TimeSpan};
 use slog::{info, warn};
 use tokio::sync::Notify;
@@ -68,13 +68,13 @@
     /// Calls to the store by way of them.
     pub relay: RelayDesk,
     /// How long a start or a stop may take.
-    pub order_patience: RefCell<CallPatience>,
+    pub order_patience: RefCell<AdaptiveTimeout>,
     /// How many starts may be sent again.
-    pub repeats: RefCell<RepeatBudget>,
+    pub repeats: RefCell<ResendBudget>,
     /// Records that are to be passed on to them.
     pub fed: RefCell<Vec<FedRecords>>,
     /// What they were told of jobs.
-    pub told: RefCell<BriefLedger>,
+    pub told: RefCell<SummaryFilter>,
     /// What callers said, on its way into the store.
     pub submissions: RefCell<Vec<LedSubmission>>,
     /// The jobs in the append under way, with their owners.
@@ -147,7 +147,7 @@
         let age = TimeSpan(clock::unix_ms().saturating_sub(record.accepted_unix_ms));
         let now = clock::now();
         let mut scheduler = self.scheduler.borrow_mut();
-        scheduler.add_job(id, record, &job.kept(), age, now);
+        scheduler.add_job(id, record, &job.progress_for_lead(), age, now);
         if job.cancelled {
             scheduler.cancel_job(id, now);
         }
@@ -208,7 +208,7 @@
 /// renewal.
 pub fn lead_end(host: &CellBox) -> Option<u64> {
     let read = host.lead_view.offset.get()?;
-    Some(read.max(host.watch.borrow().own_end()))
+    Some(read.max(host.watch.borrow().own_record_end()))
 }
 
 /// Appends a lead record if the topic still ends at `end`. Returns whether it stands as the newest.
@@ -230,7 +230,7 @@
         Ok(AppendOutcome::Kept { end }) => {
             let timing = &host.settings.authority;
             let token = record.token;
-            let stands = host.watch.borrow_mut().note_own(record, sent, end, timing);
+            let stands = host.watch.borrow_mut().note_own_record(record, sent, end, timing);
             if !stands {
                 info!(host.log, "lead record overtaken"; "token" => %token,
                     "age_ms" => clock::now().since(sent).0);
@@ -271,7 +271,7 @@
         helpers: RefCell::default(),
         names: RefCell::default(),
         relay: RelayDesk::default(),
-        order_patience: RefCell::new(CallPatience::new(ORDER_PATIENCE)),
+        order_patience: RefCell::new(AdaptiveTimeout::new(ORDER_TIMEOUT)),
         repeats: RefCell::default(),
         fed: RefCell::default(),
         told: RefCell::default(),
--- a/crates/sedgehilld/src/cell/link.rs
+++ b/crates/sedgehilld/src/cell/link.rs
@@ -52,7 +52,9 @@
                     warn!(host.log, "link to the lead lost"; "error" => %error);
                 }
             }
-            Some(Ok(Err(error))) if is_refusal(&error) => host.watch.borrow_mut().note_gone(),
+            Some(Ok(Err(error))) if is_refusal(&error) => {
+                host.watch.borrow_mut().note_connection_refused()
+            }
             // Silence says nothing of the lead's process.
             Some(Ok(Err(_)) | Err(_)) | None => {}
         }
@@ -226,7 +228,7 @@
                 host.note_lead_heard();
                 let mut watch = host.watch.borrow_mut();
                 match store_answers {
-                    true => watch.note_lead_served(clock::now()),
+                    true => watch.note_lead_healthy(clock::now()),
                     false => watch.note_reachable(false),
                 }
                 watch.note_strength(strongest);
@@ -331,7 +333,7 @@
         return;
     }
     for brief in fed.jobs {
-        host.replica.borrow_mut().apply_brief(brief, clock::now());
+        host.replica.borrow_mut().apply_summary(brief, clock::now());
     }
     if view.whole.replace(false) {
         info!(host.log, "told states alone"; "topic" => ?fed.topic, "end" => end);
--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -43,12 +43,12 @@
 
 async fn start(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: StartOrder) {
     let target = target_of(session, order.worker);
-    session.repeats.borrow_mut().note_first();
+    session.repeats.borrow_mut().note_first_call();
     let answer = match try_start(host, session, &target, &order).await {
         // The same run again: it begins once at the most, and a worker that left one order unanswered
         // mostly answers the next. Only "done" settles it, since the first copy may still be carried out
         // whatever the second meets.
-        WorkerAnswer::Unknown if session.repeats.borrow_mut().take() => {
+        WorkerAnswer::Unknown if session.repeats.borrow_mut().try_take() => {
             match try_start(host, session, &target, &order).await {
                 WorkerAnswer::Done(clock) => WorkerAnswer::Done(clock),
                 WorkerAnswer::NotDone(_) | WorkerAnswer::Unknown => WorkerAnswer::Unknown,
@@ -84,7 +84,7 @@
 where
     F: Future<Output = WorkerAnswer<WorkerTime>> + 'static,
 {
-    let limit = session.order_patience.borrow().limit();
+    let limit = session.order_patience.borrow().timeout();
     let sent = Instant::now();
     let limits = late::limits_for(limit);
     let answering = calling(limits);
--- a/crates/sedgehilld/src/cell/peers.rs
+++ b/crates/sedgehilld/src/cell/peers.rs
@@ -94,7 +94,7 @@
     session.standbys.borrow_mut().join(helper, strength);
     session.choose_standbys();
     session.choose_telling(host);
-    let tells = session.standbys.borrow().tells();
+    let tells = session.standbys.borrow().sends_summaries();
     // A box whose queue is full already is of no use.
     if let Some(queue) = session.helpers.borrow().get(&helper) {
         let _ = queue.try_send(PeerFrame::Tells(tells).encode());
@@ -179,13 +179,13 @@
             }
             PeerFrame::AskWaiting { number, queue: name } => {
                 let known = host.knows_jobs();
-                let count = known.then(|| host.replica.borrow().waiting(&name) as u64);
+                let count = known.then(|| host.replica.borrow().waiting_count(&name) as u64);
                 if queue.try_send(PeerFrame::Waiting { number, count }.encode()).is_err() {
                     return;
                 }
             }
             PeerFrame::AskBriefs => {
-                if session.standbys.borrow().tells() && !tell_all(host, queue) {
+                if session.standbys.borrow().sends_summaries() && !tell_all(host, queue) {
                     return;
                 }
             }
@@ -283,12 +283,12 @@
         let records: Vec<Rc<[u8]>> =
             parts.into_iter().map(|part| PeerFrame::Records(part).encode()).collect();
         let size = |frames: &[Rc<[u8]>]| frames.iter().map(|frame| frame.len()).sum();
-        self.standbys.borrow_mut().note_fed(size(&records), clock::now());
-        self.standbys.borrow_mut().note_told(size(&briefs), clock::now());
+        self.standbys.borrow_mut().note_records(size(&records), clock::now());
+        self.standbys.borrow_mut().note_summaries(size(&briefs), clock::now());
         self.choose_standbys();
         self.choose_telling(host);
         let standbys = self.standbys.borrow();
-        let briefs = if standbys.tells() { briefs } else { Vec::new() };
+        let briefs = if standbys.sends_summaries() { briefs } else { Vec::new() };
         self.helpers.borrow_mut().retain(|helper, queue| {
             let frames = if standbys.contains(*helper) { &records } else { &briefs };
             frames.iter().all(|frame| queue.try_send(frame.clone()).is_ok())
@@ -298,10 +298,10 @@
     /// Tells all boxes if they are told states from now on, or not any more.
     fn choose_telling(&self, host: &CellBox) {
         let known = host.replica.borrow().len();
-        if !self.standbys.borrow_mut().choose_telling(known, clock::now()) {
+        if !self.standbys.borrow_mut().decide_summaries(known, clock::now()) {
             return;
         }
-        let tells = self.standbys.borrow().tells();
+        let tells = self.standbys.borrow().sends_summaries();
         host.lead_tells.set(tells);
         info!(host.log, "states told"; "token" => %self.token, "tells" => tells,
             "boxes" => self.helpers.borrow().len());
--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -126,7 +126,7 @@
             return Some(self.refusal_of(job));
         }
         let statement = match statement {
-            CellRecord::Job(record) => CellRecord::Led(record.clone()),
+            CellRecord::Job(record) => CellRecord::LeadJob(record.clone()),
             other => other.clone(),
         };
         let (reply, answer) = oneshot::channel();
@@ -177,7 +177,7 @@
     let replica = host.replica.borrow();
     let known = replica.job(job)?;
     match statement.owner() {
-        Some(owner) if !known.is_open_to(owner.as_ref()) => Some(AcceptOutcome::Taken),
+        Some(owner) if !known.is_accessible_to(owner.as_ref()) => Some(AcceptOutcome::Taken),
         Some(_) => Some(AcceptOutcome::Kept),
         None => known.cancelled.then_some(AcceptOutcome::Kept),
     }
@@ -226,12 +226,12 @@
     let replica = host.replica.borrow();
     let jobs = progress.iter().flat_map(|batch| &batch.jobs);
     let over = jobs.filter(|(_, kept)| kept.state.is_final()).map(|(id, _)| *id);
-    let led = over.filter(|id| replica.job(*id).is_some_and(|job| job.led));
-    let mut keys: Vec<String> = led.map(|id| key(CellRecord::LED_KEY, id)).collect();
+    let led = over.filter(|id| replica.job(*id).is_some_and(|job| job.accepted_by_lead));
+    let mut keys: Vec<String> = led.map(|id| key(CellRecord::LEAD_JOB_PREFIX, id)).collect();
     let limit = Moment(clock::now().0.saturating_sub(host.settings.keep_ended.0));
     for id in replica.ended_before(limit, DROPS_MOST) {
         keys.push(CellRecord::Cancel.key(id));
-        keys.push(key(CellRecord::PROGRESS_KEY, id));
+        keys.push(key(CellRecord::PROGRESS_PREFIX, id));
     }
     keys
 }
@@ -363,9 +363,9 @@
     kept: KeptBatch,
 ) {
     for said in submissions {
-        let CellRecord::Led(record) = &said.statement else { continue };
+        let CellRecord::LeadJob(record) = &said.statement else { continue };
         let known = host.replica.borrow().job(said.job).is_some();
-        if !known && host.replica.borrow().is_ordered(said.job) {
+        if !known && host.replica.borrow().may_have_started(said.job) {
             warn!(host.log, "job of an earlier lead accepted as new"; "token" => %session.token,
                 "job" => %said.job);
         }
--- a/crates/sedgehilld/src/cell/relay.rs
+++ b/crates/sedgehilld/src/cell/relay.rs
@@ -235,7 +235,7 @@
         helper: HelperId,
         call: AppendCall<'_>,
     ) -> Result<AppendOutcome, CallError> {
-        let limit = host.store_patience.borrow().limit().max(RELAY_LEAST);
+        let limit = host.store_patience.borrow().timeout().max(RELAY_LEAST);
         let AppendCall { topic, records, condition } = call;
         let (records, condition) = (records.to_vec(), condition.clone());
         let call = RelayCall::Append { topic, records, condition };
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -24,7 +24,7 @@
 
 /// Renews the claim until it is lost or the box stops. Returns why it does so no longer.
 pub async fn renew(host: &CellBox, session: &LeadSession) -> LeadEnd {
-    let every = Duration::from_millis(host.settings.authority.renew.as_millis());
+    let every = Duration::from_millis(host.settings.authority.renew_interval.as_millis());
     let mut pause = every;
     loop {
         tokio::select! {
@@ -48,7 +48,7 @@
         };
         // A follower need not wait for leads before this one once their terms are over.
         let sole = session.scheduler.borrow().is_sole(clock::now());
-        let record = LeadRecord { sole, ..record };
+        let record = LeadRecord { predecessors_expired: sole, ..record };
         pause = RENEW_RETRY;
         if record.token == session.token && append_lead(host, Some(session), record, end).await {
             pause = every;
--- a/crates/sedgehilld/src/cell/roster.rs
+++ b/crates/sedgehilld/src/cell/roster.rs
@@ -145,7 +145,7 @@
     order: HoldOrder,
 ) -> bool {
     let sent = clock::now();
-    let usual = session.order_patience.borrow().limit();
+    let usual = session.order_patience.borrow().timeout();
     let limits = late::limits_for(usual);
     let waiting_limits = limits.with_wait(Duration::from_millis(order.wait.as_millis()));
     let calling = {
--- a/crates/sedgehilld/src/cell/settings.rs
+++ b/crates/sedgehilld/src/cell/settings.rs
@@ -79,7 +79,7 @@
 const DEFAULT_STRENGTH: BoxStrength = BoxStrength(250);
 /// What the link of a box carries whose settings tell nothing: 1,000 Mbit/s, as those of the platform's
 /// usual boxes.
-const DEFAULT_LINK: LinkRate = LinkRate::from_bytes(125_000_000);
+const DEFAULT_LINK: LinkRate = LinkRate::from_bytes_per_second(125_000_000);
 /// Descriptors of a process whose settings tell none: those of the platform's usual boxes.
 const DEFAULT_DESCRIPTORS: usize = 4_096;
 
--- a/crates/sedgehilld/src/cell/sight.rs
+++ b/crates/sedgehilld/src/cell/sight.rs
@@ -1,7 +1,7 @@
 //! Lines that tell what a lead goes by, with the age of each input: when it takes over, when it gives
 //! no orders for a time, and when it is over. Nothing here decides.
 
-use sedgehill_cell::authority::{LeadRecord, LeadSign};
+use sedgehill_cell::authority::{LeadLiveness, LeadRecord};
 use sedgehill_cell::ids::FencingToken;
 use sedgehill_core::units::{Moment, TimeSpan};
 use slog::{KV, Record, Serializer, info};
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct FollowedLead {
     record: Option<LeadRecord>,
-    sign: LeadSign,
+    sign: LeadLiveness,
     reason: ClaimReason,
     at: Moment,
     gaps: u64,
@@ -91,7 +91,7 @@
     pub fn of(host: &CellBox) -> FollowedLead {
         let watch = host.watch.borrow();
         let at = clock::now();
-        let (record, sign) = (watch.newest().cloned(), watch.sign(at));
+        let (record, sign) = (watch.newest().cloned(), watch.liveness(at));
         let reason = match &record {
             None => ClaimReason::First,
             Some(_) if watch.is_holder() => ClaimReason::Again,
@@ -127,7 +127,7 @@
             serializer.emit_bool("reachable", self.sign.reachable)?;
             serializer.emit_bool("gone", self.sign.gone)?;
         }
-        serializer.emit_u64("sign_age_ms", self.at.since(self.sign.heard).0)
+        serializer.emit_u64("sign_age_ms", self.at.since(self.sign.last_heard).0)
     }
 }
 
@@ -147,15 +147,15 @@
     let now = clock::now();
     let known = session.scheduler.borrow().take_over_sight();
     let replica = host.replica.borrow();
-    let roster_sign = replica.roster_sign();
+    let roster_source = replica.roster_source();
     info!(host.log, "taking over"; "token" => %session.token, followed,
         "claimed_ms_ago" => now.since(followed.at).0,
         "waits_for_term" => known.waits_for_term,
         "settled_within_ms" => known.settled_by.since(now).0,
         "jobs" => known.jobs, "earlier_jobs" => known.earlier_jobs,
         "roster" => replica.roster().workers.len(), "roster_mark" => %replica.roster().mark(),
-        "roster_from" => roster_sign.and_then(|sign| sign.from),
-        "roster_age_ms" => roster_sign.map(|sign| now.since(sign.read).0),
+        "roster_from" => roster_source.and_then(|sign| sign.offset),
+        "roster_age_ms" => roster_source.map(|sign| now.since(sign.read_at).0),
         "progress_fence" => fence,
         "progress_read" => host.progress_view.offset.get(),
         "progress_age_ms" => age(host.progress_view.age()),
@@ -188,7 +188,7 @@
             serializer.emit_u64("over_ms", now.since(until).0)?;
             serializer.emit_u64("renewed_ms_ago", now.since(renewed).0)?;
         }
-        serializer.emit_u64("sign_age_ms", now.since(watch.sign(now).heard).0)
+        serializer.emit_u64("sign_age_ms", now.since(watch.liveness(now).last_heard).0)
     }
 }
 
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -13,8 +13,8 @@
 use sedgehill_adapter::worker::{MalformedReport, WorkerClient};
 use sedgehill_cell::authority::LeadWatch;
 use sedgehill_cell::ids::{JobId, OrganisationName, QueueName};
-use sedgehill_cell::patience::{CallPatience, STORE_PATIENCE};
 use sedgehill_cell::replica::CellReplica;
+use sedgehill_cell::timeout::{AdaptiveTimeout, STORE_TIMEOUT};
 use sedgehill_core::units::{Moment, TimeSpan};
 use slog::{Logger, warn};
 use tokio::sync::Notify;
@@ -179,7 +179,7 @@
     /// Whether the store answers.
     pub store_contact: StoreContact,
     /// How long answers of the store usually take.
-    pub store_patience: RefCell<CallPatience>,
+    pub store_patience: RefCell<AdaptiveTimeout>,
     /// Who leads.
     pub watch: RefCell<LeadWatch>,
     /// How current the knowledge of who leads is.
@@ -253,7 +253,7 @@
             jobs_view: TopicView::default(),
             progress_view: TopicView::default(),
             store_contact: StoreContact::new(),
-            store_patience: RefCell::new(CallPatience::new(STORE_PATIENCE)),
+            store_patience: RefCell::new(AdaptiveTimeout::new(STORE_TIMEOUT)),
             watch: RefCell::new(watch),
             lead_view: TopicView::default(),
             lead_doubted: Notify::new(),
@@ -274,7 +274,7 @@
     /// that had just begun.
     pub fn store_lag(&self) -> TimeSpan {
         const CALLS: u64 = 3;
-        TimeSpan(CALLS * self.store_patience.borrow().usual().as_millis() as u64)
+        TimeSpan(CALLS * self.store_patience.borrow().average().as_millis() as u64)
     }
 
     /// Whether callers should come here.
@@ -294,7 +294,7 @@
     /// organisation's job is told like one that does not exist.
     pub fn state_of(&self, job: JobId, caller: Option<&OrganisationName>) -> StateAnswer {
         match self.replica.borrow().job(job) {
-            Some(known) if !known.is_open_to(caller) => StateAnswer::NoJob,
+            Some(known) if !known.is_accessible_to(caller) => StateAnswer::NoJob,
             Some(known) => StateAnswer::Known(known.state()),
             None if self.knows_jobs() => StateAnswer::NoJob,
             None => StateAnswer::Untold,
@@ -304,7 +304,7 @@
     /// How many jobs of a queue wait, as this box or the lead knows; none if neither does.
     pub async fn count_waiting(&self, queue: &QueueName) -> Option<u64> {
         if self.knows_jobs() {
-            return Some(self.replica.borrow().waiting(queue) as u64);
+            return Some(self.replica.borrow().waiting_count(queue) as u64);
         }
         let link = self.link.borrow().clone()?;
         link.ask_waiting(queue.clone()).await
@@ -338,7 +338,7 @@
     pub fn defers_reading(&self) -> bool {
         let deferred = clock::now().since(self.begun) < READING_DEFERRED;
         let unread = self.progress_view.offset.get().is_none();
-        deferred && unread && self.watch.borrow().is_outdone()
+        deferred && unread && self.watch.borrow().is_weaker_than_lead()
     }
 
     /// Whether this box leaves it to the lead to know the jobs, and asks it. One that hears from no lead for a time
--- a/crates/sedgehilld/src/telemetry.rs
+++ b/crates/sedgehilld/src/telemetry.rs
@@ -149,7 +149,7 @@
 
 /// Counts an answer to a caller of an organisation.
 pub fn count_organisation_answer(caller: &KeyOwner, answer: &'static str) {
-    let name = match caller.place < LABELLED_ORGANISATIONS {
+    let name = match caller.index < LABELLED_ORGANISATIONS {
         true => &caller.organisation.0,
         false => OTHERS,
     };
