--- a/crates/sedgehill-cell/src/lib.rs
+++ b/crates/sedgehill-cell/src/lib.rs
@@ -1,20 +1,20 @@
-//! The decisions of one cell: which task of which job runs on which worker, and when.
+//! The scheduling decisions of one cell: which task of which job runs on which worker, and when.
 //!
-//! Like `sedgehill-core`, nothing here opens a socket, reads a clock or starts a thread. Time and
-//! messages come in as arguments and orders go out as values, so the daemon and the tests drive the
-//! same code.
+//! Like `sedgehill-core`, this crate opens no sockets, reads no clock and starts no threads. Time and
+//! messages are passed in as arguments and orders are returned as values, so the daemon and the tests
+//! drive the same code.
 //!
-//! - [`job`] describes jobs as callers hand them in, and the policy of the queue they came through.
-//! - [`organisation`] says who may call, and what each organisation may have running.
-//! - [`progress`] is what must survive of a job's course.
-//! - [`replica`] folds the cell's records into the jobs that every box knows.
-//! - [`summary`] is what boxes are told of jobs that do not stand by to lead.
-//! - [`standby`] decides which boxes do.
+//! - [`job`] describes submitted jobs and the policy of the queue that they came through.
+//! - [`organisation`] holds the API keys of callers and the resource limits of each organisation.
+//! - [`progress`] is the part of a job's state that is stored.
+//! - [`replica`] builds the set of known jobs from the records of the cell; every box keeps one.
+//! - [`summary`] is the short form of a job that the lead sends to boxes that do not stand by.
+//! - [`standby`] chooses the boxes that stand by to take over the lead.
 //! - [`authority`] decides which box leads the cell.
-//! - [`timeout`] decides how long to wait for the store.
-//! - [`silence`] tells connections that fell silent from peers that do not answer.
-//! - [`crash_history`] is what is kept of workers that crash under a task.
-//! - [`scheduler`] is the lead's own state: workers, runs, waiting tasks and orders.
+//! - [`timeout`] derives call timeouts from measured answer times.
+//! - [`silence`] distinguishes silent connections from peers that do not answer.
+//! - [`crash_history`] records the worker crashes under each task.
+//! - [`scheduler`] is the state of the lead: workers, runs, waiting tasks and orders.
 
 pub mod authority;
 pub mod crash_history;
