--- a/crates/sedgehill-cell/src/stored.rs
+++ b/crates/sedgehill-cell/src/stored.rs
@@ -1,22 +1,24 @@
-//! Stored forms that have grown at their end.
+//! Decoding of stored values that gained fields at their end in later versions.
 
 use serde::de::DeserializeOwned;
 
-/// Reads a value that boxes of earlier versions write without its last field, or its last fields; `missing` is the
-/// stored form of what stands for them, a byte each. A value that is whole is read as it is.
+/// Decodes a value that earlier versions write without its last fields.
+///
+/// `defaults` holds the encoded form of those last fields, one byte each. As few of them as possible are
+/// appended until the value decodes; a complete value is decoded unchanged.
 pub fn decode_with_defaults<T: DeserializeOwned>(
     value: &[u8],
-    missing: &[u8],
+    defaults: &[u8],
 ) -> Result<T, postcard::Error> {
-    let mut whole = value.to_vec();
-    let mut read = postcard::from_bytes(&whole);
-    for count in 1..=missing.len() {
-        if read.is_ok() {
+    let mut padded = value.to_vec();
+    let mut decoded = postcard::from_bytes(&padded);
+    for count in 1..=defaults.len() {
+        if decoded.is_ok() {
             break;
         }
-        whole.truncate(value.len());
-        whole.extend(&missing[missing.len() - count..]);
-        read = postcard::from_bytes(&whole);
+        padded.truncate(value.len());
+        padded.extend(&defaults[defaults.len() - count..]);
+        decoded = postcard::from_bytes(&padded);
     }
-    read
+    decoded
 }
