--- a/crates/sedgehill-cell/src/summary.rs
+++ b/crates/sedgehill-cell/src/summary.rs
@@ -1,7 +1,7 @@
-//! What a box that does not stand by to lead is told of jobs: their states, without the work.
+//! The short form of a job that the lead sends to boxes that do not stand by: its state, without the work.
 //!
-//! A box answers callers for the state of a job, and counts what waits; neither needs what the tasks
-//! are given, nor how far each of them is. Only boxes that may have to lead follow all of that.
+//! Such a box answers callers who ask for the state of a job, and counts waiting jobs. It needs neither the
+//! payload of the tasks nor their progress; only boxes that may have to lead follow the full records.
 
 use std::collections::HashMap;
 
@@ -11,21 +11,21 @@
 use crate::progress::JobState;
 use crate::replica::CellReplica;
 
-/// What is known of one job, in short.
+/// The state of one job, without its work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSummary {
     /// The job.
     pub job: JobId,
-    /// Its state; none if the job is not accepted, or forgotten.
+    /// The state of the job; none if the job is not accepted, or is forgotten.
     pub state: Option<JobState>,
-    /// The queue of a job none of whose tasks has begun.
+    /// The queue of the job while none of its tasks has started.
     pub waiting_queue: Option<QueueName>,
-    /// Whose the job is.
+    /// The organisation that owns the job; none if it was submitted without a key.
     pub organisation: Option<OrganisationName>,
 }
 
 impl JobSummary {
-    /// What `replica` knows of a job.
+    /// Summarizes a job as `replica` knows it.
     pub fn of(replica: &CellReplica, job: JobId) -> JobSummary {
         let known = replica.job(job);
         JobSummary {
@@ -37,28 +37,29 @@
     }
 }
 
-/// What a lead has told of each job.
+/// Drops summaries that repeat what the lead has already sent.
 #[derive(Debug, Default)]
 pub struct SummaryFilter {
-    /// The state, and whether the job was told as waiting.
-    told: HashMap<JobId, (JobState, bool)>,
+    /// The state last sent for each job, and whether the job was waiting.
+    sent: HashMap<JobId, (JobState, bool)>,
 }
 
 impl SummaryFilter {
-    /// What of a brief is news to boxes that know all that was told before; none if nothing is. A job's record is
-    /// written anew with each end of a task, while its state changes three times.
-    pub fn changes(&mut self, brief: JobSummary) -> Option<JobSummary> {
-        let Some(state) = brief.state else {
-            // A job may have been told by an earlier lead, so that it is forgotten is always news.
-            self.told.remove(&brief.job);
-            return Some(brief);
+    /// Returns the part of a summary that is new to boxes that received all earlier ones; none if nothing is.
+    ///
+    /// The record of a job is rewritten with each end of a task, while the state of the job changes three times.
+    pub fn changes(&mut self, summary: JobSummary) -> Option<JobSummary> {
+        let Some(state) = summary.state else {
+            // An earlier lead may have sent the job, so its removal is always passed on.
+            self.sent.remove(&summary.job);
+            return Some(summary);
         };
-        let now = (state, brief.waiting_queue.is_some());
-        match self.told.insert(brief.job, now) {
-            None => Some(brief),
-            Some(told) if told == now => None,
-            // Whose the job is never changes.
-            Some(_) => Some(JobSummary { organisation: None, ..brief }),
+        let current = (state, summary.waiting_queue.is_some());
+        match self.sent.insert(summary.job, current) {
+            None => Some(summary),
+            Some(previous) if previous == current => None,
+            // The owner of a job never changes.
+            Some(_) => Some(JobSummary { organisation: None, ..summary }),
         }
     }
 }
