--- a/crates/sedgehill-cell/src/progress.rs
+++ b/crates/sedgehill-cell/src/progress.rs
@@ -1,4 +1,4 @@
-//! What must survive of a job's course: tasks that are done, and failed attempts.
+//! The stored progress of a job: tasks that are done, failed runs, and crashes of workers.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,15 @@
 use crate::ids::{FencingToken, OrganisationName, RunNumber, WorkerLife};
 use crate::job::JobSpec;
 
-/// How far a job is, as callers see it.
+/// The state of a job as callers see it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     Pending,
-    /// A task has begun.
+    /// A task has started.
     Running,
-    /// Every task ended done.
+    /// Every task is done.
     Completed,
     /// A task failed too often.
     Failed,
@@ -23,7 +23,7 @@
 }
 
 impl JobState {
-    /// The name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             JobState::Pending => "pending",
@@ -34,65 +34,68 @@
         }
     }
 
-    /// Whether the job is over.
+    /// Returns whether the job is over.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Completed | JobState::Failed | JobState::Cancelled)
     }
 }
 
-/// The course of one task that is worth keeping.
+/// The stored progress of one task.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// It ended done, and must not run again.
+    /// Whether the task is done and must not run again.
     pub done: bool,
-    /// Runs that ended failed. A worker lists an end again until it is acknowledged, also to a new
-    /// lead, and the ends of several workers are heard in any order: each run counts once.
+    /// The runs that ended as failed. They are kept by number so that each run counts once: a worker reports
+    /// an end until it is acknowledged, also to a new lead, and reports of several workers arrive in any order.
     pub failed_runs: Vec<RunNumber>,
-    /// The highest run known to have been ordered.
+    /// The highest run that is known to have been started.
     pub run: RunNumber,
-    /// What a next run goes on from; empty if nothing was saved.
+    /// The saved state from which the next run continues; empty if none was saved.
     pub checkpoint: String,
 }
 
-/// The course of a job. Each stored record replaces the one before.
+/// The stored progress of a job. Each record replaces the one before it.
+///
+/// Fields are encoded by position. Those from `crash_histories` on were added one after the other in later
+/// versions: earlier versions ignore them, and shorter records are decoded with empty lists in their place.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobProgress {
-    /// How far the job is.
+    /// The state of the job.
     pub state: JobState,
-    /// Set before the first order: from then on a task may run somewhere without being known.
+    /// Whether a task may have been started. It is set before the first start is sent, since from then on a
+    /// task may run on a worker without any other record of it.
     pub may_have_started: bool,
-    /// The tasks of all steps of all repetitions, in order; empty until the first end.
+    /// The tasks of all steps of all repetitions, in order; empty until the first end of a task.
     pub tasks: Vec<TaskProgress>,
-    /// Whose the job is, once it is over: what was accepted is dropped then.
+    /// The owner of the job once it is over: the accepted record, which names the owner, is dropped then.
     pub organisation: Option<OrganisationName>,
-    /// Tasks, by their place among all tasks, under which workers were lost.
+    /// The crash histories of tasks under which workers were lost, by the index of the task among all tasks.
     pub crash_histories: Vec<(u32, CrashHistory)>,
-    /// Those under which workers were lost together with others, with when, in milliseconds since 1970. They and what
-    /// follows stand last, where boxes of earlier versions pass over them.
+    /// The values of [`CrashHistory::correlated_ms`], by the index of the task among all tasks.
     pub correlated_ms: Vec<(u32, Vec<u64>)>,
     /// Where long-running tasks run, or ran last.
     pub locations: Vec<TaskLocation>,
-    /// Tasks of which starts went unanswered on workers that crashed.
+    /// The values of [`CrashHistory::unanswered`], by the index of the task among all tasks.
     pub unanswered: Vec<(u32, Vec<WorkerCrash>)>,
 }
 
 /// The only worker that may have a run of a task: a later start elsewhere is recorded before it is sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskLocation {
-    /// The place of the task among all tasks.
+    /// The index of the task among all tasks of the job.
     pub task: u32,
-    /// The life of the worker.
+    /// The worker, in the life in which it got the start.
     pub life: WorkerLife,
-    /// The lead that knows so. After another lead, which may be of a release that does not record starts ahead, it proves
-    /// nothing.
+    /// The lead that recorded the location. After another lead the location proves nothing, since that lead may be of
+    /// a release that does not record starts before it sends them.
     pub recorded_by: FencingToken,
 }
 
 impl JobProgress {
-    /// The tasks of all steps, made if none was kept yet.
+    /// Returns the tasks of all steps, with defaults if none are stored yet.
     pub fn tasks_of(&self, spec: &JobSpec) -> Vec<TaskProgress> {
-        let each: usize = spec.steps.iter().map(|step| usize::from(step.count)).sum();
-        let total = each * spec.repetitions() as usize;
+        let per_repetition: usize = spec.steps.iter().map(|step| usize::from(step.count)).sum();
+        let total = per_repetition * spec.repetitions() as usize;
         match self.tasks.len() == total {
             true => self.tasks.clone(),
             false => vec![TaskProgress::default(); total],
