--- a/crates/sedgehill-cell/src/timeout.rs
+++ b/crates/sedgehill-cell/src/timeout.rs
@@ -1,26 +1,26 @@
-//! How long to wait for an answer before a call is repeated or settled in another way.
+//! Call timeouts that adapt to measured answer times, and a budget for calls that are sent again.
 
 use std::time::Duration;
 
-/// A call is given this many times the usual answer time.
-const USUAL_TIMES: u32 = 5;
+/// The timeout of a call is this many times the average answer time.
+const TIMEOUT_FACTOR: u32 = 5;
 
-/// Between what limits calls of one kind wait, and how they go on after a failure.
+/// Limits of the timeout for one kind of call, and its reaction to failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeoutBounds {
-    /// The least time a call is given.
+    /// The shortest timeout.
     pub min: Duration,
-    /// The most time.
+    /// The longest timeout.
     pub max: Duration,
-    /// Whether each failure in a row doubles the time.
+    /// Whether each consecutive failure doubles the timeout.
     pub doubles_on_failure: bool,
-    /// The usual answer time is averaged over about this many answers.
+    /// The number of answers over which the answer time is averaged.
     pub averaged_answers: u32,
 }
 
-/// Calls to the store: a sound one answers within some 10 ms, and a slow one lets appends wait for up to
-/// two seconds. A failure that is noted doubles the limit; hedged appends note none, and double the time
-/// between their copies instead.
+/// Bounds for calls to the store. A healthy store answers within about 10 ms; a slow one lets appends wait
+/// for up to two seconds. A noted failure doubles the timeout. Hedged appends note no failures, and double
+/// the time between their copies instead.
 pub const STORE_TIMEOUT: TimeoutBounds = TimeoutBounds {
     min: Duration::from_millis(150),
     max: Duration::from_millis(2_500),
@@ -28,10 +28,10 @@
     averaged_answers: 4,
 };
 
-/// Orders to workers, which answer within some 5 ms. An order may be sent again at no harm, and one
-/// worker that leaves orders unanswered says nothing about the others, so failures do not double the
-/// limit. Answers of hundreds of workers that are all late, on the other hand, tell of this box's own link:
-/// the limit follows them, or each of them would be asked again and fill the link further.
+/// Bounds for orders to workers, which answer within about 5 ms. Sending an order twice is harmless, and one
+/// worker that leaves orders unanswered says nothing about the others, so failures do not double the timeout.
+/// When the answers of hundreds of workers are all late, the link of this box is overloaded: the average and
+/// with it the timeout grow, since repeating each order would load the link further.
 pub const ORDER_TIMEOUT: TimeoutBounds = TimeoutBounds {
     min: Duration::from_millis(100),
     max: Duration::from_millis(2_000),
@@ -39,8 +39,8 @@
     averaged_answers: 32,
 };
 
-/// Learns how long answers usually take. A lost answer is noticed soon while the other side is quick,
-/// and one that is slow is not flooded with repeated calls.
+/// A call timeout derived from the average answer time. A lost answer of a fast peer is noticed soon, and a
+/// slow peer is not flooded with repeated calls.
 #[derive(Debug)]
 pub struct AdaptiveTimeout {
     bounds: TimeoutBounds,
@@ -49,73 +49,73 @@
 }
 
 impl AdaptiveTimeout {
-    /// The patience before any answer.
+    /// Creates a timeout that has seen no answer yet.
     pub fn new(bounds: TimeoutBounds) -> AdaptiveTimeout {
         AdaptiveTimeout { bounds, average: Duration::ZERO, failures: 0 }
     }
 
-    /// How long answers usually take; nothing before the first.
+    /// Returns the average answer time; zero before the first answer.
     pub fn average(&self) -> Duration {
         self.average
     }
 
-    /// How long the next call may take.
+    /// Returns the timeout of the next call.
     pub fn timeout(&self) -> Duration {
         let TimeoutBounds { min, max, doubles_on_failure, .. } = self.bounds;
-        let limit = (self.average * USUAL_TIMES).clamp(min, max);
+        let timeout = (self.average * TIMEOUT_FACTOR).clamp(min, max);
         match doubles_on_failure {
-            true => limit.saturating_mul(1 << self.failures.min(5)).min(max),
-            false => limit,
+            true => timeout.saturating_mul(1 << self.failures.min(5)).min(max),
+            false => timeout,
         }
     }
 
-    /// Notes an answer.
+    /// Notes the time that an answer took.
     pub fn note_answer(&mut self, took: Duration) {
         self.average = match self.average {
             Duration::ZERO => took,
-            usual => {
-                (usual * (self.bounds.averaged_answers - 1) + took) / self.bounds.averaged_answers
+            average => {
+                (average * (self.bounds.averaged_answers - 1) + took) / self.bounds.averaged_answers
             }
         };
         self.failures = 0;
     }
 
-    /// Notes that there was none.
+    /// Notes a call that got no answer.
     pub fn note_failure(&mut self) {
         self.failures += 1;
     }
 }
 
-/// Repeats allowed for each hundred first calls. On a lossy path up to a seventh of the calls get lost.
-const REPEATS_PERCENT: u32 = 20;
-/// Repeats allowed at once when there were none for long.
-const REPEATS_MOST: u32 = 50;
+/// Calls that may be sent again per hundred first calls. On a lossy path up to a seventh of the calls is lost.
+const RESEND_PERCENT: u32 = 20;
+/// Calls that may be sent again in a burst when none were for long.
+const MAX_RESEND_BURST: u32 = 50;
 
-/// Bounds repeated calls to a share of first ones: where most calls go unanswered because a link is full,
-/// repeating them all would keep it full.
+/// Limits the calls that are sent again to a share of the first calls. Where most calls go unanswered because
+/// a link is full, sending all of them again would keep it full.
 #[derive(Debug, Clone, Copy)]
 pub struct ResendBudget {
-    /// In hundredths of a call.
-    left: u32,
+    /// The calls that may be sent again now, in hundredths of a call.
+    hundredths: u32,
 }
 
 impl Default for ResendBudget {
     fn default() -> ResendBudget {
-        ResendBudget { left: REPEATS_MOST * 100 }
+        ResendBudget { hundredths: MAX_RESEND_BURST * 100 }
     }
 }
 
 impl ResendBudget {
-    /// Notes a first call.
+    /// Notes a call that is sent for the first time.
     pub fn note_first_call(&mut self) {
-        self.left = (self.left + REPEATS_PERCENT).min(REPEATS_MOST * 100);
+        self.hundredths = (self.hundredths + RESEND_PERCENT).min(MAX_RESEND_BURST * 100);
     }
 
-    /// Takes a repeat out of the budget; false if there is none left.
+    /// Takes one call out of the budget. Returns false if the budget is used up.
     pub fn try_take(&mut self) -> bool {
-        let allowed = self.left >= 100;
+        let allowed = self.hundredths >= 100;
         if allowed {
-            self.left -= 100;
+            self.hundredths -= 100;
         }
         allowed
     }
