--- a/crates/sedgehill-cell/src/silence.rs
+++ b/crates/sedgehill-cell/src/silence.rs
@@ -1,31 +1,32 @@
-//! Tells connections that fell silent from peers that do not answer.
+//! Distinguishes connections that fell silent from peers that do not answer.
 //!
-//! An open connection may lose all that is sent on it, without an error, while new connections to the same
-//! peer work. One call that goes unanswered on an old connection says little: the peer may be slow, or the
-//! answer lost. A *proof* is a later answer on a new connection to the same peer while the old one stays
-//! quiet. Proofs for several peers at once, and few answers on other old connections, mean that all old
-//! connections have to be replaced, and that calls which wait on them are better made again. Waiting for
-//! each of them to run into its own limit cost 0.08 of a day's worth when nine tenths of all connections
-//! fell silent once.
+//! An open connection may lose everything that is sent on it, without an error, while new connections to the
+//! same peer work. One unanswered call on an old connection proves little: the peer may be slow, or the
+//! answer lost. The silence of a connection is *confirmed* when a later call to the same peer is answered on
+//! a new connection while the old one stays quiet. Confirmations for several peers at once, with few answers
+//! on other old connections, mean that all old connections have to be replaced, and that the calls waiting
+//! on them are better made again. When nine tenths of all connections fell silent at once, waiting for each
+//! call to time out cost 0.08 of the value of a day's jobs.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
-/// Proofs and answers count together within this time: a call is doubted after 0.1 s or more.
-const TOGETHER: TimeSpan = TimeSpan(600);
-/// Proofs for so many peers are needed before connections to others are doubted.
-const PEERS_LEAST: usize = 3;
-/// There may be so many answers on old connections for each proof: where a tenth of the answers gets lost,
-/// there are nine.
-const ANSWERS_PER_PROOF: usize = 2;
-/// Connections to one peer are replaced at most this often.
-const PEER_AGAIN: TimeSpan = TimeSpan(500);
-/// All connections are replaced at most this often.
-const ALL_AGAIN: TimeSpan = TimeSpan(2_000);
+/// Confirmations and answers within this time are counted together. A call counts as unanswered after 0.1 s
+/// or more.
+const COUNT_WINDOW: TimeSpan = TimeSpan(600);
+/// Number of peers with a confirmed silence before connections to other peers are replaced as well.
+const MIN_SILENT_PEERS: usize = 3;
+/// Number of answers on old connections per silent peer above which single answers are being lost, and the
+/// other connections are kept. Where a tenth of the answers is lost, nine arrive for each lost one.
+const MAX_ANSWERS_PER_SILENT_PEER: usize = 2;
+/// Minimum time between two replacements of the connections to one peer.
+const PEER_REPLACE_INTERVAL: TimeSpan = TimeSpan(500);
+/// Minimum time between two replacements of all connections.
+const ALL_REPLACE_INTERVAL: TimeSpan = TimeSpan(2_000);
 
-/// An answer, and on what connection it came.
+/// An answer of a peer, and the connection on which it arrived.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerAnswer {
     /// The peer.
@@ -34,104 +35,115 @@
     pub sent: Moment,
     /// When the connection was made.
     pub connected: Moment,
-    /// When the connection last brought an answer before this one; when it was made if none.
+    /// When the connection brought its last answer before this one; when it was made if there was none.
     pub last_answer: Moment,
 }
 
-/// Which connections have to be replaced.
+/// The connections that fell silent and have to be replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SilentConnections {
-    /// None.
+    /// No connection.
     None,
-    /// Those to one peer that have brought no answer since the given moment.
+    /// The connections to this peer that have brought no answer since the given moment.
     Peer(Moment),
-    /// Those to all peers that have brought no answer since the given moment.
+    /// The connections to all peers that have brought no answer since the given moment.
     All(Moment),
 }
 
+/// A confirmed silence of the connections to a peer.
 #[derive(Debug, Clone, Copy)]
-struct SilenceProof {
+struct ConfirmedSilence {
     peer: SocketAddr,
-    /// When the call was sent that stayed without an answer.
+    /// When the unanswered call was sent.
     since: Moment,
+    /// When the silence was confirmed.
     at: Moment,
 }
 
-/// What the calls of one box tell of its connections.
+/// Detects silent connections from the calls of one box.
 #[derive(Debug, Default)]
 pub struct SilenceDetector {
-    /// Peers of calls that go unanswered on old connections: when the call was sent, and doubted.
-    doubted: HashMap<SocketAddr, (Moment, Moment)>,
-    proofs: VecDeque<SilenceProof>,
-    /// Answers on connections that had been proven last at the second moment, sent at the first.
+    /// For each peer with an unanswered call on an old connection: when the call was sent, and when it was
+    /// noted as unanswered.
+    unanswered: HashMap<SocketAddr, (Moment, Moment)>,
+    confirmed: VecDeque<ConfirmedSilence>,
+    /// For each recent answer: when the call was sent, and when the connection had brought its last answer
+    /// before.
     answers: VecDeque<(Moment, Moment)>,
+    /// When the connections to each peer were last replaced.
     replaced: HashMap<SocketAddr, Moment>,
+    /// When all connections were last replaced.
     all_replaced: Option<Moment>,
 }
 
 impl SilenceDetector {
-    /// Notes that a call sent at `sent` on an old connection goes unanswered.
+    /// Notes that a call sent at `sent` on an old connection has not been answered yet.
     pub fn note_unanswered(&mut self, peer: SocketAddr, sent: Moment, now: Moment) {
-        self.doubted.entry(peer).or_insert((sent, now));
+        self.unanswered.entry(peer).or_insert((sent, now));
     }
 
-    /// Notes an answer, and tells which connections have to be replaced.
-    pub fn note_answer(&mut self, sign: PeerAnswer, now: Moment) -> SilentConnections {
+    /// Notes an answer, and returns the connections that have to be replaced.
+    pub fn note_answer(&mut self, answer: PeerAnswer, now: Moment) -> SilentConnections {
         self.forget_old(now);
-        self.answers.push_back((sign.sent, sign.last_answer));
-        let Some((since, doubted_at)) = self.doubted.get(&sign.peer).copied() else {
+        self.answers.push_back((answer.sent, answer.last_answer));
+        let Some((since, noted_at)) = self.unanswered.get(&answer.peer).copied() else {
             return SilentConnections::None;
         };
-        if sign.connected < doubted_at {
-            if sign.sent <= since {
-                // The doubted call itself, or one before it: the peer is slow.
-                self.doubted.remove(&sign.peer);
+        if answer.connected < noted_at {
+            if answer.sent <= since {
+                // The unanswered call itself, or one sent before it, was answered: the peer is slow.
+                self.unanswered.remove(&answer.peer);
             }
             return SilentConnections::None;
         }
-        self.doubted.remove(&sign.peer);
-        self.proofs.push_back(SilenceProof { peer: sign.peer, since, at: now });
-        if let Some(since) = self.all_silent(now) {
+        self.unanswered.remove(&answer.peer);
+        self.confirmed.push_back(ConfirmedSilence { peer: answer.peer, since, at: now });
+        if let Some(since) = self.all_silent_since(now) {
             self.all_replaced = Some(now);
-            self.proofs.clear();
+            self.confirmed.clear();
             return SilentConnections::All(since);
         }
-        let again = self.replaced.get(&sign.peer).is_some_and(|at| now < at.after(PEER_AGAIN));
-        if again {
+        let replaced_lately =
+            self.replaced.get(&answer.peer).is_some_and(|at| now < at.after(PEER_REPLACE_INTERVAL));
+        if replaced_lately {
             return SilentConnections::None;
         }
-        self.replaced.insert(sign.peer, now);
+        self.replaced.insert(answer.peer, now);
         SilentConnections::Peer(since)
     }
 
-    /// Since when all connections must be taken as silent, if they must.
-    fn all_silent(&self, now: Moment) -> Option<Moment> {
-        if self.all_replaced.is_some_and(|at| now < at.after(ALL_AGAIN)) {
+    /// Returns the moment from which on all connections must be taken as silent; none if they are not.
+    fn all_silent_since(&self, now: Moment) -> Option<Moment> {
+        if self.all_replaced.is_some_and(|at| now < at.after(ALL_REPLACE_INTERVAL)) {
             return None;
         }
-        let mut peers: Vec<SocketAddr> = self.proofs.iter().map(|proof| proof.peer).collect();
+        let mut peers: Vec<SocketAddr> =
+            self.confirmed.iter().map(|silence| silence.peer).collect();
         peers.sort_unstable();
         peers.dedup();
-        let since = self.proofs.iter().map(|proof| proof.since).min()?;
-        let old = |(sent, proven): &&(Moment, Moment)| *sent >= since && *proven < since;
-        let answers = self.answers.iter().filter(old).count();
-        let enough = peers.len() >= PEERS_LEAST && answers <= ANSWERS_PER_PROOF * peers.len();
-        enough.then_some(since)
+        let since = self.confirmed.iter().map(|silence| silence.since).min()?;
+        let on_old_connection =
+            |(sent, last_answer): &&(Moment, Moment)| *sent >= since && *last_answer < since;
+        let answers = self.answers.iter().filter(on_old_connection).count();
+        let all_silent =
+            peers.len() >= MIN_SILENT_PEERS && answers <= MAX_ANSWERS_PER_SILENT_PEER * peers.len();
+        all_silent.then_some(since)
     }
 
+    /// Drops answers and confirmations that are too old to count.
     fn forget_old(&mut self, now: Moment) {
-        let is_old = |at: Moment| now >= at.after(TOGETHER);
+        let is_old = |at: Moment| now >= at.after(COUNT_WINDOW);
         while self.answers.front().is_some_and(|(sent, _)| is_old(*sent)) {
             self.answers.pop_front();
         }
-        while self.proofs.front().is_some_and(|proof| is_old(proof.at)) {
-            self.proofs.pop_front();
+        while self.confirmed.front().is_some_and(|silence| is_old(silence.at)) {
+            self.confirmed.pop_front();
         }
-        if self.replaced.len() > REPLACED_MOST {
+        if self.replaced.len() > MAX_REPLACED_PEERS {
             self.replaced.retain(|_, at| !is_old(*at));
         }
     }
 }
 
-/// Peers that are remembered as replaced lately before old ones are forgotten.
-const REPLACED_MOST: usize = 1_024;
+/// Number of peers with a remembered replacement above which old ones are dropped.
+const MAX_REPLACED_PEERS: usize = 1_024;
