--- a/crates/sedgehill-cell/src/job.rs
+++ b/crates/sedgehill-cell/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers hand them in, and the policy of their queue.
+//! Jobs as callers submit them, and the policy of their queue.
 
 use std::sync::Arc;
 
@@ -8,99 +8,100 @@
 use crate::ids::{PoolName, QueueName};
 use crate::organisation::JobOwner;
 
-/// What the advice service costs for one step of a queue.
+/// The cost of asking the advice service which workers may run a step of a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
-    /// Time for one question, whatever it names, in microseconds.
+    /// The time that each question takes, whatever workers it names, in microseconds.
     pub per_question_us: u64,
-    /// Further time for each worker named, in microseconds.
+    /// The further time for each worker that the question names, in microseconds.
     pub per_worker_us: u64,
-    /// How long a ticket is valid.
+    /// How long a ticket of the service is valid.
     pub valid: TimeSpan,
 }
 
 impl AdvicePolicy {
-    /// The time that a question about `workers` workers takes.
+    /// Returns the time that a question about `workers` workers takes.
     pub fn cost(&self, workers: usize) -> TimeSpan {
         TimeSpan((self.per_question_us + self.per_worker_us * workers as u64).div_ceil(1000))
     }
 }
 
-/// What a queue promises and allows. A job keeps the policy that it was accepted under.
+/// The settings of a queue for its jobs. A job keeps the policy under which it was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueuePolicy {
     /// The pool whose workers run the tasks.
     pub pool: PoolName,
-    /// Urgency; 0 goes first.
+    /// The urgency of the jobs; 0 is the most urgent.
     pub priority: u32,
-    /// Runs of a task that may end failed before its job has failed.
+    /// The number of failed runs of one task that fails the job.
     pub max_attempts: u32,
-    /// The objective is this many thousandths of the job's longest chain of work ...
+    /// The factor, in thousandths, by which [`JobRecord::objective`] multiplies the longest chain of a job.
     pub stretch_milli: u64,
-    /// ... and this time added.
+    /// The time that [`JobRecord::objective`] adds to the stretched chain.
     pub target_latency: TimeSpan,
-    /// Set if only some workers may run a step, which an outside service tells.
+    /// The cost of advice; none if every worker of the pool may run the tasks. If set, the advice service
+    /// tells which workers may run a step.
     pub advice: Option<AdvicePolicy>,
 }
 
-/// One step of a job: a number of like tasks.
+/// One step of a job: a number of tasks with the same requirements.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// Tasks of the step.
+    /// The number of tasks.
     pub count: u16,
-    /// What each task needs.
+    /// The resources that each task needs.
     pub need: ResourceSet,
-    /// The caller's rough guess of the time one task takes.
+    /// The caller's rough estimate of the run time of one task.
     pub estimate: TimeSpan,
-    /// Steps that must be done first.
+    /// The steps that must be done before this one starts, by their index in the job.
     pub after: Vec<u16>,
-    /// The tasks work only all at once.
+    /// Whether the tasks are a gang, which works only if all of them run at the same time.
     pub gang: bool,
-    /// The gang is slower when it spans racks.
+    /// Whether the gang runs slower when it spans several racks.
     pub same_rack: bool,
-    /// A label that the worker must carry.
+    /// The label that a worker must have to run the tasks.
     pub label: Option<Arc<str>>,
-    /// The rack that holds the step's data.
+    /// The rack that holds the data of the step.
     pub near_rack: Option<Arc<str>>,
-    /// The most tasks of this step on one worker.
+    /// The largest number of tasks of this step on one worker.
     pub max_per_worker: Option<u16>,
-    /// Two runs of one task may exist at a time.
+    /// Whether two runs of one task may exist at the same time.
     pub copies_allowed: bool,
-    /// The tasks save their state while they run.
+    /// Whether the tasks save their state while they run.
     pub checkpointing: bool,
-    /// The tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
 }
 
-/// When a job's steps run again.
+/// The schedule on which the steps of a job repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RepeatSpec {
     /// When the first repetition is due, in milliseconds since 1970.
     pub start_at_ms: u64,
-    /// Time between two repetitions.
+    /// The time from one repetition to the next.
     pub interval: TimeSpan,
-    /// How often the steps run.
+    /// The number of repetitions.
     pub count: u32,
 }
 
 /// The work of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// What the tasks are given, untouched.
+    /// The input of the tasks, passed on unchanged.
     pub payload: Arc<str>,
     /// The steps, in the order in which the caller numbers them.
     pub steps: Vec<StepSpec>,
-    /// Set if the steps run more than once, or at a later time.
+    /// The schedule; none if the steps run once, as soon as possible.
     pub repeat: Option<RepeatSpec>,
 }
 
 impl JobSpec {
-    /// The repetitions of the steps; 1 without a schedule.
+    /// Returns the number of repetitions of the steps; 1 without a schedule.
     pub fn repetitions(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.count)
     }
 
-    /// The longest chain of estimates through the steps of one repetition.
+    /// Returns the longest chain of dependent steps in one repetition, as the sum of their estimates.
     pub fn longest_chain(&self) -> TimeSpan {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -111,28 +112,29 @@
     }
 }
 
-/// What is stored of an accepted job.
+/// The stored record of an accepted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The queue it came through.
+    /// The queue through which the job was submitted.
     pub queue: QueueName,
-    /// The policy of the queue at acceptance.
+    /// The policy of the queue when the job was accepted.
     pub policy: QueuePolicy,
-    /// Whose it is; none if it was handed in without a key.
+    /// The owner of the job; none if it was submitted without a key.
     pub owner: Option<JobOwner>,
     /// The work.
     pub spec: JobSpec,
-    /// When the accepting box took it, in milliseconds since 1970.
+    /// When a box accepted the job, by the clock of that box, in milliseconds since 1970.
     pub accepted_unix_ms: u64,
 }
 
 impl JobRecord {
-    /// What the caller said of a step, by its place among the steps of all repetitions.
+    /// Returns the specification of a step, by its index among the steps of all repetitions.
     pub fn step_spec(&self, step: usize) -> &StepSpec {
         &self.spec.steps[step % self.spec.steps.len()]
     }
 
-    /// The time from acceptance within which the job earns its whole worth, by its estimates.
+    /// Returns the latency objective: the time from acceptance within which the job earns its full value,
+    /// calculated from its estimates.
     pub fn objective(&self) -> TimeSpan {
         let chain = self.spec.longest_chain().as_millis();
         TimeSpan(chain * self.policy.stretch_milli / 1000 + self.policy.target_latency.as_millis())
