--- a/crates/sedgehill-cell/src/organisation.rs
+++ b/crates/sedgehill-cell/src/organisation.rs
@@ -1,7 +1,7 @@
-//! Organisations: who may call, what each may have running at once, and its share when all is full.
+//! Organisations: the API keys of their callers, their resource limits, and their shares of a full cell.
 //!
-//! Keys are known by their digests alone: nothing that holds a [`KeyDigest`] can log, store or compare the
-//! key itself.
+//! Keys are stored as digests only: code that holds a [`KeyDigest`] cannot log, store or compare the key
+//! itself.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,10 +11,11 @@
 
 use crate::ids::OrganisationName;
 
-/// Bytes of a digest.
+/// Length of a key digest, in bytes.
 pub const DIGEST_BYTES: usize = 32;
 
-/// The digest of a caller's key. Looking up digests tells nothing of how near a wrong key is to a right one.
+/// The digest of a caller's key. The time to look up a digest does not reveal how close a wrong key is to a
+/// valid one.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest(pub [u8; DIGEST_BYTES]);
 
@@ -24,19 +25,19 @@
     }
 }
 
-/// Why a call that needs a key is refused.
+/// The reason for refusing a call that needs a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyRefusal {
-    /// It brings no key.
+    /// The call carries no key.
     Missing,
-    /// What it brings is no key.
+    /// The call carries a text that does not have the form of a key.
     Malformed,
-    /// The key is not in force.
+    /// The key is not valid for any organisation.
     Unknown,
 }
 
 impl KeyRefusal {
-    /// The name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             KeyRefusal::Missing => "key_missing",
@@ -46,29 +47,29 @@
     }
 }
 
-/// Whose a key is.
+/// The organisation that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOwner {
     /// The organisation.
     pub organisation: OrganisationName,
-    /// Its place among the organisations of the configuration.
+    /// The index of the organisation in the configuration.
     pub index: usize,
 }
 
-/// The keys in force.
+/// The valid keys, with their owners.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct KeyRing {
     owners: HashMap<KeyDigest, KeyOwner>,
 }
 
 impl KeyRing {
-    /// Puts a key in force. One that is in force for another organisation stays with that.
+    /// Adds a key. A key that is already present keeps its first owner.
     pub fn add(&mut self, key: KeyDigest, owner: KeyOwner) {
         self.owners.entry(key).or_insert(owner);
     }
 
-    /// Decides on a call by the key that it brings. Returns on whose behalf it is made: nobody's where none
-    /// is needed and none in force was brought.
+    /// Checks the key of a call, and returns the organisation on whose behalf the call is made. A public
+    /// route also admits calls without a valid key, on behalf of no organisation.
     pub fn admit(
         &self,
         public: bool,
@@ -82,29 +83,29 @@
     }
 }
 
-/// The most that an organisation may have running at once, in each dimension; none for no limit.
+/// The most resources that an organisation may use at the same time; none for a dimension without a limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceLimit {
-    /// Processors.
+    /// The limit of processor cores.
     pub cores: Option<CoreCount>,
-    /// Memory.
+    /// The limit of memory.
     pub memory: Option<MemorySize>,
-    /// Accelerators.
+    /// The limit of accelerators.
     pub accelerators: Option<u32>,
 }
 
 impl ResourceLimit {
-    /// What may be started beside `used`.
+    /// Returns the resources that are left of the limit beside those in use.
     pub fn remaining(&self, used: &ResourceSet) -> ResourceSet {
-        let most = ResourceSet {
+        let limit = ResourceSet {
             cores: self.cores.unwrap_or(CoreCount(u64::MAX)),
             memory: self.memory.unwrap_or(MemorySize(u64::MAX)),
             accelerators: self.accelerators.unwrap_or(u32::MAX),
         };
-        most.saturating_minus(used)
+        limit.saturating_minus(used)
     }
 
-    /// Whether so much could ever run at once.
+    /// Returns whether the limit allows this use of resources.
     pub fn allows(&self, need: &ResourceSet) -> bool {
         self.remaining(&ResourceSet::default()).fits(need)
     }
@@ -120,7 +121,7 @@
     }
 }
 
-/// The share of an organisation when everything is full, in thousandths: so many jobs a second are its due.
+/// The share of an organisation when the cell is full, in thousandths of a job per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ShareWeight(pub u64);
 
@@ -130,23 +131,23 @@
     }
 }
 
-/// What the configuration says of an organisation.
+/// The configured policy of an organisation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrganisationPolicy {
     /// The organisation.
     pub name: OrganisationName,
-    /// Its share when everything is full.
+    /// Its share when the cell is full.
     pub weight: ShareWeight,
-    /// The most that it may have running at once.
+    /// The most resources that it may use at the same time.
     pub maximum: ResourceLimit,
 }
 
-/// Whose a job is.
+/// The owner of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobOwner {
     /// The organisation.
     pub organisation: OrganisationName,
-    /// Its limit at acceptance. It bounds the job's tasks if the organisation is dropped later: an accepted
-    /// job outlives its organisation.
+    /// The limit of the organisation when the job was accepted. It applies to the tasks of the job if the
+    /// organisation is later removed from the configuration, since its accepted jobs still run.
     pub maximum: ResourceLimit,
 }
