--- a/crates/sedgehill-cell/src/ids.rs
+++ b/crates/sedgehill-cell/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of jobs, tasks, runs and workers.
+//! Identifiers of jobs, tasks, runs, workers, boxes, queues and organisations.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,21 +7,21 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Hexadecimal digits of a job's id.
+/// Number of hexadecimal digits of a job id.
 const JOB_ID_DIGITS: usize = 16;
 
 quick_error! {
-    /// Why a text is not an identifier.
+    /// The error of parsing an identifier.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum CellIdError {
-        /// The text does not have the form of this identifier.
+        /// The text does not have the form that the identifier requires.
         Malformed(expected: &'static str, found: String) {
             display("expected {expected}, found `{found}`")
         }
     }
 }
 
-/// The id that a caller gave to its job: 16 lower-case hexadecimal digits.
+/// The id that the caller gave to a job, written as 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -36,22 +36,22 @@
 
     fn from_str(text: &str) -> Result<JobId, CellIdError> {
         let malformed = || CellIdError::Malformed("16 hexadecimal digits", text.to_owned());
-        let digits = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-        if text.len() != JOB_ID_DIGITS || !text.chars().all(digits) {
+        let is_digit = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
+        if text.len() != JOB_ID_DIGITS || !text.chars().all(is_digit) {
             return Err(malformed());
         }
         u64::from_str_radix(text, 16).map(JobId).map_err(|_| malformed())
     }
 }
 
-/// One step of one repetition of a job.
+/// The id of one step in one repetition of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// The repetition, counted from 0.
+    /// The number of the repetition, counted from 0.
     pub repetition: u32,
-    /// The step, counted from 0.
+    /// The number of the step in the job, counted from 0.
     pub step: u16,
 }
 
@@ -61,12 +61,12 @@
     }
 }
 
-/// One task of a step.
+/// The id of one task of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellTask {
-    /// The step it belongs to.
+    /// The step that the task belongs to.
     pub step: StepId,
-    /// Its place in the step, counted from 0.
+    /// The index of the task in the step, counted from 0.
     pub index: u16,
 }
 
@@ -94,14 +94,15 @@
     }
 }
 
-/// Counts the starts of a task, from 1. The members of a gang share the number.
+/// The number of a run of a task, counted from 1 and raised with each start. All members of a gang get the same
+/// number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RunNumber(pub u32);
 
 impl RunNumber {
-    /// The number of the run that follows this one.
+    /// Returns the number of the run that follows this one.
     pub fn next(self) -> RunNumber {
         RunNumber(self.0 + 1)
     }
@@ -113,26 +114,27 @@
     }
 }
 
-/// The fencing token of a lead: it rises with each lead, and only one box ever holds it.
+/// The fencing token of a lead. It rises with each claim of the lead, and no two boxes ever hold the same token.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FencingToken(pub u64);
 
-/// Tokens that each claim of the lead takes: for the first life of a worker and for those that follow under its id.
+/// Number of tokens that each claim of the lead reserves: one for the first life of a worker, and one for each
+/// later life under the same id.
 pub const TOKENS_PER_LEAD: u64 = 8;
 
 impl FencingToken {
-    /// The token of the claim that follows on this one.
+    /// Returns the token of the claim that follows the one with this token.
     pub fn next_lead(self) -> FencingToken {
         FencingToken((self.0 / TOKENS_PER_LEAD + 1) * TOKENS_PER_LEAD)
     }
 
-    /// The token for calls to a worker that started again under its id so many times during this lead.
+    /// Returns the token for calls to a worker that has restarted `number` times under its id during this lead.
     pub fn for_life(self, number: u64) -> FencingToken {
         debug_assert!(
             number < TOKENS_PER_LEAD,
-            "later lives of a worker wait until tokens are free again"
+            "a later life of a worker waits until one of its {TOKENS_PER_LEAD} tokens is free"
         );
         FencingToken(self.0 + number)
     }
@@ -144,7 +146,7 @@
     }
 }
 
-/// The id of a worker. One that starts again may have another id, or the same.
+/// The id of a worker. A worker that restarts may keep its id or get another one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(pub Arc<str>);
 
@@ -160,22 +162,23 @@
     }
 }
 
-/// One life of a worker, from its start to its end. What a worker runs, listed or was told belongs to one life: the
-/// next one under the same id knows nothing of it.
+/// One life of a worker: the time from the start of its process to its end. Runs, reported ends and acknowledgements
+/// belong to one life, since the next life under the same id knows nothing of them.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub struct WorkerLife {
     /// The worker.
     pub id: WorkerId,
-    /// When it began; none where workers do not tell it, and in records of releases that did not know it.
+    /// When the life started; none if the worker does not report it, or if it was read from a record of a release
+    /// that did not store it.
     pub start: Option<LifeStart>,
 }
 
-/// Stands between id and start in records. No id of a worker holds it.
+/// Separates the id from the start in the stored form. No worker id contains it.
 const START_SEPARATOR: char = ' ';
 
 impl WorkerLife {
-    /// Whether both may be the same life: the start of one of them is not known.
+    /// Returns whether both may be the same life: the ids are equal, and so are the starts if both are known.
     pub fn may_equal(&self, other: &WorkerLife) -> bool {
         let unknown = self.start.is_none() || other.start.is_none();
         self.id == other.id && (unknown || self.start == other.start)
@@ -203,7 +206,7 @@
     }
 }
 
-/// Reads the stored form. Earlier releases stored the id alone.
+/// Parses the stored form. Earlier releases stored the id alone.
 impl From<String> for WorkerLife {
     fn from(text: String) -> WorkerLife {
         let parts = text.rsplit_once(START_SEPARATOR);
@@ -223,8 +226,8 @@
     }
 }
 
-/// When a life of a worker began, in milliseconds since 1970, as the worker itself says. It tells the lives of one id
-/// apart; clocks jump, so it tells nothing about now.
+/// When a life of a worker started, in milliseconds since 1970 by the clock of the worker. It only distinguishes the
+/// lives under one id. Clocks jump, so it must not be compared with the current time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LifeStart(pub u64);
 
@@ -243,7 +246,7 @@
     }
 }
 
-/// The name of a box of the system.
+/// The name of a box: a machine that runs the daemon.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BoxName(pub Arc<str>);
 
@@ -259,7 +262,7 @@
     }
 }
 
-/// The name of a queue that callers hand jobs in through.
+/// The name of a queue through which callers submit jobs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct QueueName(pub Arc<str>);
 
@@ -275,7 +278,7 @@
     }
 }
 
-/// The name of an organisation, as operators give it.
+/// The name of an organisation, as operators configure it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrganisationName(pub Arc<str>);
 
@@ -291,7 +294,7 @@
     }
 }
 
-/// A service: the pool of workers that run the tasks of a queue.
+/// The name of the worker pool (the service) that runs the tasks of a queue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PoolName(pub Arc<str>);
 
