--- a/crates/sedgehill-cell/src/crash_history.rs
+++ b/crates/sedgehill-cell/src/crash_history.rs
@@ -1,10 +1,10 @@
-//! Which tasks may crash the workers that start them: the account that is kept of each.
+//! The worker crashes under each task, and the decision whether the task causes them.
 //!
-//! A worker that crashes lists no ends, so a task that crashes it would be started again for ever. Every task that
-//! ran on a worker when it crashed is a suspect, since nobody sees which of them did it. A suspect goes on at once,
-//! but not beside others of the same crash; after a second crash it runs on a worker of its own. One that takes down
-//! a worker there too is taken as the cause. So a task that crashes its workers takes down three, and one beside it
-//! is cleared by its run alone.
+//! A worker that crashes reports no ends, so a task that crashes its workers would be started again for ever. Every
+//! task that ran on a worker when it crashed is a suspect, since nothing shows which of them caused the crash. A
+//! suspect is restarted at once, but not beside other suspects of the same crash. After a second crash it runs on a
+//! worker without other jobs. If that worker crashes too, the task is taken as the cause. So a task that crashes its
+//! workers takes down three of them, while a task that only ran beside it is cleared by running alone.
 
 use std::net::SocketAddr;
 
@@ -12,209 +12,213 @@
 
 use crate::ids::{RunNumber, WorkerLife};
 
-/// Workers that crashed under a task, from which on it runs on a worker of its own. With one already, each crash of
-/// a full worker asks for some eight empty ones at once; with two, the second crash tells the cause from what stood
-/// beside it.
+/// Number of workers lost under a task from which on it runs on a worker without other jobs. With one, each crash of
+/// a full worker would ask for about eight empty workers at once. With two, the second crash distinguishes the cause
+/// from the tasks that ran beside it.
 pub const EXCLUSIVE_AFTER_LOSSES: usize = 2;
-/// Workers that crashed under a task that was seen there, from which on it is given up if nothing of another job
-/// stood beside it in one of these crashes. The users allow it from two on. Two can come from two tasks that stood
-/// beside it; the third, with the task alone, cannot.
+/// Number of crashed workers that had reported the run of a task from which on the task is taken as the cause, if no
+/// other job ran on the worker in at least one of these crashes. Users accept that a task is failed after two crashes.
+/// But two crashes can be caused by two other tasks that ran beside it; the third, with the task alone, cannot.
 pub const FAIL_AFTER_CRASHES: usize = 3;
-/// Workers that crashed under a task, from which on the users allow to give it up.
-const GIVEN_UP_FROM: usize = 2;
-/// Starts that the users allow after the third crash.
+/// Number of known crashes under a task from which on users accept that it is failed.
+const MIN_CRASHES_TO_FAIL: usize = 2;
+/// Number of starts that users accept after the third crash.
 pub const MAX_FURTHER_STARTS: u8 = 2;
-/// Workers that crashed under a task, or may have, from which on it is not started before more is known: that is some
-/// seconds, and each start could be one too many.
-const HELD_FROM: usize = FAIL_AFTER_CRASHES;
-/// Crashes that nobody saw and that are counted; more change nothing, since three have to be known.
-const DOUBTS_MOST: u8 = MAX_FURTHER_STARTS;
-/// How long a crash is remembered, in milliseconds. A task that lasts sees a worker crash now and then without any
-/// doing of its own, some times a day; one that crashes workers does so much more often.
+/// Number of workers that crashed or may have crashed under a task from which on it is not started while one of these
+/// cases is unresolved. Resolving them takes some seconds, and each start meanwhile could be one too many.
+const DEFER_AFTER_LOSSES: usize = FAIL_AFTER_CRASHES;
+/// Number of unconfirmed crashes that are counted. More would change nothing, since three crashes have to be known.
+const MAX_UNCONFIRMED: u8 = MAX_FURTHER_STARTS;
+/// How long a crash is remembered, in milliseconds. Under a long-running task a worker crashes some times a day for
+/// other reasons; a task that crashes workers does so much more often.
 pub const CRASH_MEMORY_MS: u64 = 600_000;
 
 /// A worker that crashed under a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCrash {
-    /// The life that ended.
+    /// The life of the worker that ended.
     pub life: WorkerLife,
-    /// Nothing of another job stood beside the task.
+    /// Whether no other job ran on the worker that could have caused the crash.
     pub alone: bool,
-    /// The worker had said that the run was there. Else its start was sent and not answered: the worker may have
-    /// been down by then.
+    /// Whether the worker had reported the run. Otherwise its start was sent and not answered, and the worker may
+    /// have been down by then.
     pub seen: bool,
     /// When the crash became known, in milliseconds since 1970.
     pub at_unix_ms: u64,
 }
 
-/// A run that was started, and of which nobody knows yet how it ended or whether its worker crashed.
+/// A run that was started and of which it is not known yet whether it ended or was lost by a crash of its worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnresolvedRun {
-    /// The run.
+    /// The number of the run.
     pub run: RunNumber,
-    /// Where it was started.
+    /// The worker on which it was started.
     pub life: WorkerLife,
-    /// Where that life took orders: another life that answers there tells that it has ended.
+    /// The address of that worker: if another life answers there, this one has ended.
     pub address: SocketAddr,
-    /// Nothing of another job stood beside it.
+    /// Whether no other job ran on the worker that could have caused a crash.
     pub alone: bool,
-    /// The worker had said that it was there.
+    /// Whether the worker had reported the run.
     pub seen: bool,
 }
 
-/// How a task may be started, by what happened to its workers.
+/// Where a task may be started, given the losses of its earlier workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartRestriction {
-    /// Like any other.
+    /// On any worker.
     Unrestricted,
-    /// Not beside others that were there when one of its workers was lost.
+    /// Not beside a task that ran on the same worker when that was lost.
     Separate,
-    /// With nothing of another job beside it.
+    /// Only on a worker without other jobs that could cause a crash.
     Exclusive,
-    /// Not before more is known of its earlier workers.
+    /// Nowhere, until it is known what became of its earlier workers.
     Deferred,
 }
 
-/// What is known of the workers that were lost under a task.
+/// The losses of workers under one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashHistory {
-    /// Workers that crashed.
+    /// The workers that crashed.
     pub crashes: Vec<WorkerCrash>,
-    /// Runs that may have been lost by a crash.
+    /// The runs that may have been lost by a crash.
     pub unresolved: Vec<UnresolvedRun>,
-    /// Runs that may have been lost by a crash that nobody saw: with their worker while leads changed, or on a worker
-    /// that may as well have left as planned. They prove nothing, but count for what the users allow.
+    /// The number of runs that may have been lost by a crash that nothing observed: the worker was lost while the
+    /// lead changed, or it may have left as planned. They prove nothing, but count for what users accept.
     pub unconfirmed: u8,
-    /// Starts since three workers had crashed under it, or may have.
+    /// The number of starts after three workers had crashed, or may have crashed, under the task.
     pub further_starts: u8,
-    /// When workers crashed under it together with others, in milliseconds since 1970. Such a crash proves nothing of
-    /// the task, but it may have been the cause as well as any: it counts for what the users allow. Kept beside the
-    /// others ([`JobProgress::correlated_ms`](crate::progress::JobProgress::correlated_ms)).
+    /// When workers crashed under the task at the same time as many others, in milliseconds since 1970. Such a crash
+    /// does not prove that the task is the cause. It still counts for what users accept, since it may be. Stored in
+    /// [`JobProgress::correlated_ms`](crate::progress::JobProgress::correlated_ms).
     #[serde(skip)]
     pub correlated_ms: Vec<u64>,
-    /// Workers that crashed and on which a start of the lead that counts here went unanswered: the answer comes before the
-    /// task can do any harm, so most likely they were down by then. Kept beside the others
-    /// ([`JobProgress::unanswered`](crate::progress::JobProgress::unanswered)).
+    /// Crashed workers that had not answered a start of the current lead. A worker answers before the task can do any
+    /// harm, so most likely these were down by then. Stored in
+    /// [`JobProgress::unanswered`](crate::progress::JobProgress::unanswered).
     #[serde(skip)]
     pub unanswered: Vec<WorkerCrash>,
 }
 
 impl CrashHistory {
-    /// Whether nothing is kept.
+    /// Returns whether no loss is recorded.
     pub fn is_empty(&self) -> bool {
         let none =
             self.crashes.is_empty() && self.unresolved.is_empty() && self.correlated_ms.is_empty();
         none && self.unanswered.is_empty() && self.unconfirmed == 0
     }
 
-    /// Workers that crashed under it, or may have.
-    fn possible(&self) -> usize {
-        self.counted() + self.unanswered.len() + usize::from(self.unconfirmed)
+    /// Returns the number of workers that crashed, or may have crashed, under the task.
+    fn possible_crashes(&self) -> usize {
+        self.known_crashes() + self.unanswered.len() + usize::from(self.unconfirmed)
     }
 
-    /// Workers of which it is known that they crashed while it may have been there.
-    fn counted(&self) -> usize {
+    /// Returns the number of workers that are known to have crashed while the task may have run there.
+    fn known_crashes(&self) -> usize {
         self.crashes.len() + self.correlated_ms.len()
     }
 
-    /// How the task may be started while none of its runs is under way.
+    /// Returns where the task may be started while none of its runs is active.
     pub fn start_restriction(&self) -> StartRestriction {
         let lost = self.crashes.len() + self.unanswered.len() + self.unresolved.len();
-        let most = self.possible() + self.unresolved.len();
+        let possible = self.possible_crashes() + self.unresolved.len();
         match lost {
-            _ if most >= HELD_FROM && !self.unresolved.is_empty() => StartRestriction::Deferred,
+            _ if possible >= DEFER_AFTER_LOSSES && !self.unresolved.is_empty() => {
+                StartRestriction::Deferred
+            }
             0 => StartRestriction::Unrestricted,
             lost if lost >= EXCLUSIVE_AFTER_LOSSES => StartRestriction::Exclusive,
             _ => StartRestriction::Separate,
         }
     }
 
-    /// Whether the task is taken as the cause of the crashes. `alone` of them have to be with nothing of another job
-    /// beside it.
-    pub fn is_crash_cause(&self, alone: usize) -> bool {
+    /// Returns whether the task is taken as the cause of the crashes, or has used up the starts that users accept.
+    /// `min_alone` is the number of crashes without another job on the worker that prove the task to be the cause.
+    pub fn is_crash_cause(&self, min_alone: usize) -> bool {
         let seen = || self.crashes.iter().filter(|crash| crash.seen);
         let proven = seen().count() >= FAIL_AFTER_CRASHES
-            && seen().filter(|crash| crash.alone).count() >= alone;
-        let most = FAIL_AFTER_CRASHES + usize::from(MAX_FURTHER_STARTS);
-        // Any of these may have been another's doing, but the users allow no further start.
-        let used_up = self.further_starts >= MAX_FURTHER_STARTS || self.possible() >= most;
-        // Starts that went unanswered give it up only if each start that the users allow was lost.
-        let all_lost = self.counted() + self.unanswered.len() >= most;
-        proven || (self.counted() >= GIVEN_UP_FROM && used_up) || all_lost
+            && seen().filter(|crash| crash.alone).count() >= min_alone;
+        let max_losses = FAIL_AFTER_CRASHES + usize::from(MAX_FURTHER_STARTS);
+        // Other tasks may have caused any of these crashes, but users accept no further start.
+        let used_up =
+            self.further_starts >= MAX_FURTHER_STARTS || self.possible_crashes() >= max_losses;
+        // Unanswered starts fail the task only if every start that users accept was lost.
+        let all_lost = self.known_crashes() + self.unanswered.len() >= max_losses;
+        proven || (self.known_crashes() >= MIN_CRASHES_TO_FAIL && used_up) || all_lost
     }
 
-    /// Whether a life was lost under both tasks.
+    /// Returns whether one life of a worker was lost under both tasks.
     pub fn shares_lost_worker(&self, other: &CrashHistory) -> bool {
-        self.lives().any(|life| other.lives().any(|lost| lost == life))
+        self.lost_lives().any(|life| other.lost_lives().any(|lost| lost == life))
     }
 
-    fn lives(&self) -> impl Iterator<Item = &WorkerLife> {
+    /// Returns the lives that crashed or may have crashed under the task.
+    fn lost_lives(&self) -> impl Iterator<Item = &WorkerLife> {
         let crashed = self.crashes.iter().chain(&self.unanswered).map(|crash| &crash.life);
-        crashed.chain(self.unresolved.iter().map(|open| &open.life))
+        crashed.chain(self.unresolved.iter().map(|run| &run.life))
     }
 
-    /// Notes a run that may be lost by a crash. Returns whether it was not noted before.
-    pub fn add_unresolved(&mut self, open: UnresolvedRun) -> bool {
-        match self.unresolved.iter_mut().find(|known| known.run == open.run) {
+    /// Adds or replaces a run that may be lost by a crash. Returns whether it is new.
+    pub fn add_unresolved(&mut self, unresolved: UnresolvedRun) -> bool {
+        match self.unresolved.iter_mut().find(|known| known.run == unresolved.run) {
             Some(known) => {
-                *known = open;
+                *known = unresolved;
                 false
             }
             None => {
-                self.unresolved.push(open);
+                self.unresolved.push(unresolved);
                 true
             }
         }
     }
 
-    /// Forgets an open run: it ended otherwise, or never began. Returns it if it was noted.
+    /// Removes and returns an unresolved run: it is known now what became of it, or it never started.
     pub fn resolve(&mut self, run: RunNumber) -> Option<UnresolvedRun> {
-        let place = self.unresolved.iter().position(|open| open.run == run)?;
-        Some(self.unresolved.remove(place))
+        let index = self.unresolved.iter().position(|unresolved| unresolved.run == run)?;
+        Some(self.unresolved.remove(index))
     }
 
-    /// Notes a start. Returns whether it counts.
+    /// Notes a start. Returns whether it counts as one of the starts after the third crash.
     pub fn count_start(&mut self) -> bool {
-        let counts = self.possible() >= FAIL_AFTER_CRASHES;
+        let counts = self.possible_crashes() >= FAIL_AFTER_CRASHES;
         if counts {
             self.further_starts = self.further_starts.saturating_add(1);
         }
         counts
     }
 
-    /// A start that counted was carried out by no worker.
+    /// Removes a start from the count: no worker carried it out.
     pub fn uncount_start(&mut self) {
         self.further_starts = self.further_starts.saturating_sub(1);
     }
 
-    /// Notes a run that may have been lost by a crash that nobody saw.
+    /// Notes a run that may have been lost by a crash that nothing observed.
     pub fn note_unconfirmed(&mut self) {
-        self.unconfirmed = self.unconfirmed.saturating_add(1).min(DOUBTS_MOST);
+        self.unconfirmed = self.unconfirmed.saturating_add(1).min(MAX_UNCONFIRMED);
     }
 
-    /// Notes a crash that came together with those of others.
+    /// Notes a crash at the same time as those of many other workers.
     pub fn note_correlated(&mut self, at_unix_ms: u64) {
         self.correlated_ms.retain(|at| at_unix_ms.saturating_sub(*at) < CRASH_MEMORY_MS);
         self.correlated_ms.push(at_unix_ms);
     }
 
-    /// Counts a crash. Returns whether it was not counted before.
+    /// Notes a crash of a worker. Returns whether it is new.
     pub fn note_crash(&mut self, crash: WorkerCrash) -> bool {
         add_crash(&mut self.crashes, crash)
     }
 
-    /// Notes a crash of a worker on which a start went unanswered. Returns whether it was not noted before.
+    /// Notes a crash of a worker that had not answered a start. Returns whether it is new.
     pub fn note_unanswered(&mut self, crash: WorkerCrash) -> bool {
         add_crash(&mut self.unanswered, crash)
     }
 }
 
-/// Adds a crash to those that are remembered, unless its life is among them.
+/// Adds a crash unless its life is known already, and drops crashes that are too old. Returns whether it was added.
 fn add_crash(crashes: &mut Vec<WorkerCrash>, crash: WorkerCrash) -> bool {
     crashes.retain(|old| crash.at_unix_ms.saturating_sub(old.at_unix_ms) < CRASH_MEMORY_MS);
-    let new = crashes.iter().all(|known| known.life != crash.life);
-    if new {
+    let is_new = crashes.iter().all(|known| known.life != crash.life);
+    if is_new {
         crashes.push(crash);
     }
-    new
+    is_new
 }
