--- a/crates/sedgehill-cell/src/replica.rs
+++ b/crates/sedgehill-cell/src/replica.rs
@@ -1,7 +1,7 @@
-//! What every box knows of the cell: accepted jobs, cancellations and progress.
+//! The replica of the cell's jobs that every box keeps: accepted jobs, cancellations and progress.
 //!
-//! Each statement stands under a key of its own, so that a copy of an old one that arrives late
-//! never undoes a newer statement of another kind.
+//! Each kind of record about a job has its own key, so that an old record that arrives late never undoes a
+//! newer record of another kind.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -17,85 +17,86 @@
 use crate::stored::decode_with_defaults;
 use crate::summary::JobSummary;
 
-/// One statement about a job.
+/// A stored record about a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CellRecord {
-    /// The job was accepted.
+    /// A box accepted the job without the lead.
     Job(JobRecord),
     /// The caller cancelled the job.
     Cancel,
-    /// The lead notes how far the job is.
+    /// The lead recorded the progress of the job.
     Progress(JobProgress),
-    /// The lead accepted the job. It may start tasks of it as soon as this is recorded, so a later
-    /// lead has to take it as ordered.
+    /// The lead accepted the job. The lead may start its tasks as soon as this is recorded, so a later lead has
+    /// to assume that some were started.
     LeadJob(JobRecord),
 }
 
 quick_error! {
-    /// Why a record of the cell cannot be read.
+    /// The error of decoding a cell record.
     #[derive(Debug)]
     pub enum RecordError {
-        /// The key names no job.
+        /// The key does not consist of a one-byte prefix and a job id.
         Key(key: String) {
-            display("`{key}` is no key of a cell record")
+            display("`{key}` is not the key of a cell record")
         }
-        /// The id in the key is wrong.
+        /// The key does not end with a valid job id.
         Id(cause: CellIdError) {
             from()
-            display("the key holds a wrong id")
+            display("invalid job id in the key of a cell record")
             source(cause)
         }
-        /// The value does not decode.
+        /// The value cannot be decoded.
         Value(cause: postcard::Error) {
             from()
-            display("the value does not decode")
+            display("cannot decode the value of a cell record")
             source(cause)
         }
     }
 }
 
 impl CellRecord {
-    /// The first letter of the key of a job's progress.
+    /// The first character of the key of a progress record.
     pub const PROGRESS_PREFIX: char = 'p';
-    /// The first letter of the key of a job that a lead accepted.
+    /// The first character of the key of a job that the lead accepted.
     pub const LEAD_JOB_PREFIX: char = 'l';
 
-    /// The kind and the job that a key stands for.
+    /// Splits a key into the character for the kind of the record and the job id.
     pub fn decode_key(key: &str) -> Result<(char, JobId), RecordError> {
-        let kind = key.chars().next().ok_or_else(|| RecordError::Key(key.to_owned()))?;
+        let prefix = key.chars().next().ok_or_else(|| RecordError::Key(key.to_owned()))?;
         let id = key.get(1..).ok_or_else(|| RecordError::Key(key.to_owned()))?;
-        Ok((kind, id.parse()?))
+        Ok((prefix, id.parse()?))
     }
 
-    /// Whose job the record accepts; none if it accepts no job.
+    /// Returns the owner of the job that the record accepts; none if the record accepts no job. The inner value is
+    /// none for a job that was submitted without a key.
     pub fn owner(&self) -> Option<Option<OrganisationName>> {
         let (CellRecord::Job(record) | CellRecord::LeadJob(record)) = self else { return None };
         Some(record.owner.as_ref().map(|owner| owner.organisation.clone()))
     }
 
-    /// The key under which the record is kept.
+    /// Returns the key under which the record is stored.
     pub fn key(&self, job: JobId) -> String {
-        let kind = match self {
+        let prefix = match self {
             CellRecord::Job(_) => 'j',
             CellRecord::Cancel => 'c',
             CellRecord::Progress(_) => CellRecord::PROGRESS_PREFIX,
             CellRecord::LeadJob(_) => CellRecord::LEAD_JOB_PREFIX,
         };
-        format!("{kind}{job}")
+        format!("{prefix}{job}")
     }
 
-    /// The stored form of the record.
+    /// Returns the stored form of the record.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("records of the cell have no types that cannot be encoded")
+        postcard::to_stdvec(self).expect("every cell record can be encoded")
     }
 
-    /// Reads a record back.
+    /// Decodes a record from its key and its stored form.
     pub fn decode(key: &str, value: &[u8]) -> Result<(JobId, CellRecord), RecordError> {
-        let (kind, id) = CellRecord::decode_key(key)?;
-        let record = match kind {
+        let (prefix, id) = CellRecord::decode_key(key)?;
+        let record = match prefix {
             CellRecord::PROGRESS_PREFIX => decode_with_defaults(
                 value,
-                &[NO_SUSPECTS, NONE_TOGETHER, NO_PLACES, NONE_UNANSWERED],
+                &[NO_HISTORIES, NO_CORRELATED, NO_LOCATIONS, NO_UNANSWERED],
             )?,
             _ => postcard::from_bytes(value)?,
         };
@@ -103,39 +104,39 @@
     }
 }
 
-/// The stored form of a list of none: progress of an earlier version ends before the suspects.
-const NO_SUSPECTS: u8 = 0;
-/// The same of those under which workers were lost together.
-const NONE_TOGETHER: u8 = 0;
-/// The same of the places of long-running tasks.
-const NO_PLACES: u8 = 0;
-/// The same of starts that went unanswered.
-const NONE_UNANSWERED: u8 = 0;
+/// The encoded empty list for [`JobProgress::crash_histories`], before which progress of the earliest version ends.
+const NO_HISTORIES: u8 = 0;
+/// The encoded empty list for [`JobProgress::correlated_ms`].
+const NO_CORRELATED: u8 = 0;
+/// The encoded empty list for [`JobProgress::locations`].
+const NO_LOCATIONS: u8 = 0;
+/// The encoded empty list for [`JobProgress::unanswered`].
+const NO_UNANSWERED: u8 = 0;
 
-/// One job as every box knows it.
+/// One job of the replica.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaJob {
-    /// What was accepted; none if only later statements have been seen, if only the state is followed,
-    /// or once the job is over.
+    /// The accepted job; none if only later records have been read, if this box receives only summaries, or once
+    /// the job is over.
     pub record: Option<Rc<JobRecord>>,
-    /// The queue of an accepted job that is not over; none if that was not told.
+    /// The queue of an accepted job that is not over; none if no record or summary has named it.
     queue: Option<QueueName>,
-    /// Whose it is; none for anybody's.
+    /// The owner of the job; none if it was submitted without a key.
     pub organisation: Option<OrganisationName>,
-    /// Whether it is known to be accepted from its state alone.
-    told: bool,
-    /// Whether the caller cancelled it.
+    /// Whether a summary of the job was received, which shows that the job was accepted.
+    summarized: bool,
+    /// Whether the caller cancelled the job.
     pub cancelled: bool,
-    /// How far it is.
+    /// The progress of the job.
     pub progress: JobProgress,
-    /// Whether a lead accepted it.
+    /// Whether a lead accepted the job.
     pub accepted_by_lead: bool,
-    /// Whether a box put it into the store by itself, under another key.
+    /// Whether a box accepted the job without the lead, and stored it as [`CellRecord::Job`].
     pub accepted_by_box: bool,
 }
 
 impl ReplicaJob {
-    /// How far the job is, as callers are told.
+    /// Returns the state of the job as callers see it.
     pub fn state(&self) -> JobState {
         match self.progress.state {
             state if state.is_final() => state,
@@ -144,16 +145,17 @@
         }
     }
 
-    /// Whether a caller of this organisation, or of none, may ask for the job or cancel it.
+    /// Returns whether a caller may query or cancel the job. `caller` is its organisation; none if it sent no key.
     pub fn is_accessible_to(&self, caller: Option<&OrganisationName>) -> bool {
         self.organisation.is_none() || self.organisation.as_ref() == caller
     }
 
+    /// Returns whether the job is known to be accepted.
     fn is_accepted(&self) -> bool {
-        self.record.is_some() || self.told || self.progress.state.is_final()
+        self.record.is_some() || self.summarized || self.progress.state.is_final()
     }
 
-    /// What a new lead has to go by.
+    /// Returns the progress from which a new lead continues.
     pub fn progress_for_lead(&self) -> JobProgress {
         JobProgress {
             may_have_started: self.accepted_by_lead || self.progress.may_have_started,
@@ -161,97 +163,98 @@
         }
     }
 
-    /// The queue in which the job waits; none if it has begun.
+    /// Returns the queue in which the job waits; none once a task has started or the job is over.
     pub fn waiting_queue(&self) -> Option<&QueueName> {
         self.queue.as_ref().filter(|_| self.state() == JobState::Pending)
     }
 }
 
-/// What changed by a record.
+/// The effect of a record on the replica.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicaChange {
-    /// A job not known before.
+    /// The job was accepted, and was not known before.
     Accepted(JobId),
-    /// A job not cancelled before.
+    /// The job was cancelled, and was not before.
     Cancelled(JobId),
-    /// Nothing that matters to a lead.
+    /// Nothing changed that the lead must act on.
     Other,
 }
 
-/// When a roster was taken in, and from where.
+/// When a roster was read, and from which part of the topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RosterSource {
-    /// When.
+    /// When the roster was read.
     pub read_at: Moment,
-    /// How far the records were known before: the roster stands at this offset or later. None if it came
-    /// with the newest records.
+    /// The offset up to which records were known before: the roster is stored at this offset or later. None if it
+    /// was read with the newest record of each key.
     pub offset: Option<u64>,
 }
 
-/// The jobs of a cell.
+/// The jobs of a cell, and the newest roster of its workers.
 #[derive(Debug, Default)]
 pub struct CellReplica {
     jobs: HashMap<JobId, ReplicaJob>,
-    /// Jobs that are over, with when this box heard so, the first first.
+    /// Jobs that are over, in the order in which this box learned of it, with the time.
     ended: VecDeque<(Moment, JobId)>,
     roster: WorkerRoster,
     roster_source: Option<RosterSource>,
+    /// The number of waiting jobs in each queue.
     waiting: HashMap<QueueName, usize>,
 }
 
 impl CellReplica {
-    /// A job, if it is known and accepted.
+    /// Returns a job if it is known to be accepted.
     pub fn job(&self, id: JobId) -> Option<&ReplicaJob> {
         self.jobs.get(&id).filter(|job| job.is_accepted())
     }
 
-    /// Whether an earlier lead may have begun a job, be its acceptance known here or not.
+    /// Returns whether an earlier lead may have started tasks of a job, even if its acceptance is not known here.
     pub fn may_have_started(&self, id: JobId) -> bool {
         self.jobs.get(&id).is_some_and(|job| job.accepted_by_lead || job.progress.may_have_started)
     }
 
-    /// All accepted jobs that are not over.
+    /// Returns all jobs whose accepted record is known and that are not over.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &ReplicaJob)> {
         self.jobs.iter().map(|(id, job)| (*id, job)).filter(|(_, job)| job.record.is_some())
     }
 
-    /// Everything that is known by an id.
+    /// Returns the ids of all jobs for which any record or summary is known.
     pub fn ids(&self) -> impl Iterator<Item = JobId> {
         self.jobs.keys().copied()
     }
 
-    /// Jobs of a queue none of whose tasks has begun.
+    /// Returns the number of jobs of a queue of which no task has started.
     pub fn waiting_count(&self, queue: &QueueName) -> usize {
         self.waiting.get(queue).copied().unwrap_or(0)
     }
 
-    /// Jobs that are known.
+    /// Returns the number of jobs for which any record or summary is known.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job is known.
+    /// Returns whether no record or summary of any job is known.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// The workers on which an earlier lead may have started something.
+    /// Returns the roster: the workers on which an earlier lead may have started tasks.
     pub fn roster(&self) -> &WorkerRoster {
         &self.roster
     }
 
-    /// When the roster was taken in, and from where; none if none ever was.
+    /// Returns when and from where the roster was read; none if none was read.
     pub fn roster_source(&self) -> Option<RosterSource> {
         self.roster_source
     }
 
-    /// Takes in a roster.
-    pub fn apply_roster(&mut self, roster: WorkerRoster, sign: RosterSource) {
+    /// Replaces the roster.
+    pub fn apply_roster(&mut self, roster: WorkerRoster, source: RosterSource) {
         self.roster = roster;
-        self.roster_source = Some(sign);
+        self.roster_source = Some(source);
     }
 
-    /// Takes in a record, heard at `now`.
+    /// Applies a record that was received at `now`.
     pub fn apply(&mut self, id: JobId, record: CellRecord, now: Moment) -> ReplicaChange {
         let was_waiting = self.waiting_queue(id);
         let job = self.jobs.entry(id).or_default();
@@ -273,7 +276,7 @@
                 job.cancelled = true;
                 ReplicaChange::Cancelled(id)
             }
-            // A read that is behind may bring back what was known before the end.
+            // A delayed read may return a record from before the end of the job.
             CellRecord::Progress(progress) if was_over && !progress.state.is_final() => {
                 ReplicaChange::Other
             }
@@ -285,42 +288,48 @@
                 ReplicaChange::Other
             }
         };
-        self.settle(id, was_waiting, was_over, now);
+        self.update_indexes(id, was_waiting, was_over, now);
         change
     }
 
-    /// Takes in the state of a job, heard at `now`. The replica lacks what a lead needs from then on.
-    pub fn apply_summary(&mut self, brief: JobSummary, now: Moment) {
-        let Some(state) = brief.state else { return self.forget(brief.job) };
-        let was_waiting = self.waiting_queue(brief.job);
-        let job = self.jobs.entry(brief.job).or_default();
+    /// Applies a summary that was received at `now`. From then on the replica lacks the records that a lead needs.
+    pub fn apply_summary(&mut self, summary: JobSummary, now: Moment) {
+        let Some(state) = summary.state else { return self.forget(summary.job) };
+        let was_waiting = self.waiting_queue(summary.job);
+        let job = self.jobs.entry(summary.job).or_default();
         let was_over = job.progress.state.is_final();
-        job.told = true;
-        job.queue = job.queue.take().or(brief.waiting_queue);
-        job.organisation = job.organisation.take().or(brief.organisation);
+        job.summarized = true;
+        job.queue = job.queue.take().or(summary.waiting_queue);
+        job.organisation = job.organisation.take().or(summary.organisation);
         match state {
-            // The job may still end otherwise, and then that is what callers are told.
+            // A cancelled job may still complete or fail, and then callers see that state.
             JobState::Cancelled => job.cancelled = true,
             _ if was_over => {}
             state => job.progress.state = state,
         }
-        self.settle(brief.job, was_waiting, was_over, now);
+        self.update_indexes(summary.job, was_waiting, was_over, now);
     }
 
-    /// Brings the counts in line with a job that may have changed.
-    fn settle(&mut self, id: JobId, was_waiting: Option<QueueName>, was_over: bool, now: Moment) {
-        let waits = self.waiting_queue(id);
-        if was_waiting != waits {
+    /// Updates the waiting counts and the list of ended jobs after a change of a job.
+    fn update_indexes(
+        &mut self,
+        id: JobId,
+        was_waiting: Option<QueueName>,
+        was_over: bool,
+        now: Moment,
+    ) {
+        let is_waiting = self.waiting_queue(id);
+        if was_waiting != is_waiting {
             if let Some(queue) = was_waiting {
                 self.waiting.entry(queue).and_modify(|count| *count -= 1);
             }
-            if let Some(queue) = waits {
+            if let Some(queue) = is_waiting {
                 *self.waiting.entry(queue).or_default() += 1;
             }
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.progress.state.is_final() {
-            // Only its state is asked for from now on.
+            // From now on only the state of the job is needed.
             job.record = None;
             job.queue = None;
             if !was_over {
@@ -329,32 +338,33 @@
         }
     }
 
+    /// Returns the queue in which a job waits; none if it does not wait.
     fn waiting_queue(&self, id: JobId) -> Option<QueueName> {
         self.jobs.get(&id).and_then(|job| job.waiting_queue().cloned())
     }
 
-    /// Jobs that were over before `limit`, at most `most` of them. Those that a box put into the store
-    /// by itself are left out: the copy of the job would outlast its end, and begin it again.
-    pub fn ended_before(&self, limit: Moment, most: usize) -> Vec<JobId> {
+    /// Returns up to `max` jobs that were over before `limit`. Jobs that a box accepted without the lead are left
+    /// out: the lead does not drop their accepted record, which would start the job again once its end is forgotten.
+    pub fn ended_before(&self, limit: Moment, max: usize) -> Vec<JobId> {
         let ended = self.ended.iter().take_while(|(at, _)| *at < limit);
-        let forgettable = |id: &JobId| self.jobs.get(id).is_some_and(|job| !job.accepted_by_box);
-        ended.map(|(_, id)| *id).filter(forgettable).take(most).collect()
+        let is_forgettable = |id: &JobId| self.jobs.get(id).is_some_and(|job| !job.accepted_by_box);
+        ended.map(|(_, id)| *id).filter(is_forgettable).take(max).collect()
     }
 
-    /// Jobs that a lead accepted.
+    /// Returns the ids of the jobs that a lead accepted.
     pub fn lead_accepted_ids(&self) -> Vec<JobId> {
         self.jobs.iter().filter(|(_, job)| job.accepted_by_lead).map(|(id, _)| *id).collect()
     }
 
-    /// Forgets those of the jobs `known` that are not among `kept`, of which the store still holds a record of
-    /// the lead. They ended while this box did not hear of it, and must not begin again.
+    /// Forgets the jobs in `known` that are not in `kept`, the jobs for which the store still holds a record of the
+    /// lead. The others ended while this box received no records, and must not be started again.
     pub fn forget_missing(&mut self, known: &[JobId], kept: &HashSet<JobId>) {
         for id in known.iter().filter(|id| !kept.contains(id)) {
             self.forget(*id);
         }
     }
 
-    /// Forgets a job.
+    /// Removes all that is known of a job.
     pub fn forget(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else { return };
         if self.ended.front().is_some_and(|(_, first)| *first == id) {
