--- a/crates/sedgehill-cell/src/authority.rs
+++ b/crates/sedgehill-cell/src/authority.rs
@@ -158,9 +158,13 @@
     newest: Option<LeadRecord>,
     /// When the newest lead was last heard from.
     last_heard: Moment,
+    /// Whether the newest lead can be reached over the link between boxes, and the store answers it.
     reachable: bool,
+    /// By how much the store currently delays renewals on their way to this box.
     store_lag: TimeSpan,
+    /// Until when this box may give orders; none if it has stepped down or has read a later claim.
     authority_until: Option<Moment>,
+    /// The offset at which the lead topic ended after the last record of this box.
     own_record_end: u64,
     /// The life of the holder that refused a connection.
     refused_life: Option<u64>,
--- a/crates/sedgehill-cell/src/stored.rs
+++ b/crates/sedgehill-cell/src/stored.rs
@@ -4,8 +4,8 @@
 
 /// Decodes a value that earlier versions write without its last fields.
 ///
-/// `defaults` holds the encoded form of those last fields, one byte each. As few of them as possible are
-/// appended until the value decodes; a complete value is decoded unchanged.
+/// `defaults` holds the encoded form of these fields, one byte each. Only the last of them may be missing, so the
+/// last one, two and so on of the bytes are appended until the value decodes. A complete value is decoded unchanged.
 pub fn decode_with_defaults<T: DeserializeOwned>(
     value: &[u8],
     defaults: &[u8],
