--- a/crates/sedgehill-cell/src/silence.rs
+++ b/crates/sedgehill-cell/src/silence.rs
@@ -33,10 +33,10 @@
     pub peer: SocketAddr,
     /// When the call was sent.
     pub sent: Moment,
-    /// When the connection was made.
-    pub connected: Moment,
-    /// When the connection brought its last answer before this one; when it was made if there was none.
-    pub last_answer: Moment,
+    /// When the connection was opened.
+    pub opened_at: Moment,
+    /// When the connection brought its last answer before this one; when it was opened if there was none.
+    pub last_answer_at: Moment,
 }
 
 /// The connections that fell silent and have to be replaced.
@@ -85,11 +85,11 @@
     /// Notes an answer, and returns the connections that have to be replaced.
     pub fn note_answer(&mut self, answer: PeerAnswer, now: Moment) -> SilentConnections {
         self.forget_old(now);
-        self.answers.push_back((answer.sent, answer.last_answer));
+        self.answers.push_back((answer.sent, answer.last_answer_at));
         let Some((since, noted_at)) = self.unanswered.get(&answer.peer).copied() else {
             return SilentConnections::None;
         };
-        if answer.connected < noted_at {
+        if answer.opened_at < noted_at {
             if answer.sent <= since {
                 // The unanswered call itself, or one sent before it, was answered: the peer is slow.
                 self.unanswered.remove(&answer.peer);
@@ -123,7 +123,7 @@
         peers.dedup();
         let since = self.confirmed.iter().map(|silence| silence.since).min()?;
         let on_old_connection =
-            |(sent, last_answer): &&(Moment, Moment)| *sent >= since && *last_answer < since;
+            |(sent, last_answer_at): &&(Moment, Moment)| *sent >= since && *last_answer_at < since;
         let answers = self.answers.iter().filter(on_old_connection).count();
         let all_silent =
             peers.len() >= MIN_SILENT_PEERS && answers <= MAX_ANSWERS_PER_SILENT_PEER * peers.len();
--- a/crates/sedgehill-cell/tests/testsuite/silence.rs
+++ b/crates/sedgehill-cell/tests/testsuite/silence.rs
@@ -14,15 +14,15 @@
     PeerAnswer {
         peer: peer(number),
         sent: Moment(sent),
-        connected: Moment(0),
-        last_answer: Moment(900),
+        opened_at: Moment(0),
+        last_answer_at: Moment(900),
     }
 }
 
 /// An answer on a connection made for the call.
 fn on_new(number: u16, sent: u64) -> PeerAnswer {
     let sent = Moment(sent);
-    PeerAnswer { peer: peer(number), sent, connected: sent, last_answer: sent }
+    PeerAnswer { peer: peer(number), sent, opened_at: sent, last_answer_at: sent }
 }
 
 #[test]
