--- a/crates/sedgehill-cell/src/authority.rs
+++ b/crates/sedgehill-cell/src/authority.rs
@@ -317,9 +317,9 @@
     /// boxes would take the lead from each other again and again, so a box claims the lead for this reason at most
     /// once per [`REFUSAL_CLAIM_INTERVAL`].
     fn is_presumed_gone(&self, now: Moment) -> bool {
-        let counts =
+        let refusal_counts =
             self.claimed_after_refusal.is_none_or(|at| now >= at.after(REFUSAL_CLAIM_INTERVAL));
-        counts
+        refusal_counts
             && self.refused_life.is_some()
             && self.refused_life == self.newest.as_ref().map(|record| record.life)
     }
--- a/crates/sedgehill-cell/src/organisation.rs
+++ b/crates/sedgehill-cell/src/organisation.rs
@@ -95,7 +95,7 @@
 }
 
 impl ResourceLimit {
-    /// Returns the resources that are left of the limit beside those in use.
+    /// Returns the limit minus the resources in use; zero in a dimension where the limit is exceeded.
     pub fn remaining(&self, used: &ResourceSet) -> ResourceSet {
         let limit = ResourceSet {
             cores: self.cores.unwrap_or(CoreCount(u64::MAX)),
--- a/crates/sedgehill-cell/src/standby.rs
+++ b/crates/sedgehill-cell/src/standby.rs
@@ -36,7 +36,7 @@
 /// Size of one job in a snapshot of all summaries, in bytes.
 const SUMMARY_BYTES: u64 = 20;
 /// How long conditions must hold before more boxes stand by or summaries are resumed. A box that begins to stand by
-/// reads all jobs from the store, which should not be for a short time only.
+/// reads all jobs from the store, so boxes should not switch back and forth.
 const CALM_TIME: TimeSpan = TimeSpan(5_000);
 
 /// The rate of a box's network link, in bytes per second; parsed and printed in megabits per second.
--- a/crates/sedgehill-cell/src/timeout.rs
+++ b/crates/sedgehill-cell/src/timeout.rs
@@ -88,7 +88,7 @@
 
 /// Calls that may be sent again per hundred first calls. On a lossy path up to a seventh of the calls is lost.
 const RESEND_PERCENT: u32 = 20;
-/// Calls that may be sent again in a burst when none were for long.
+/// Calls that may be sent again in a burst after a time without any.
 const MAX_RESEND_BURST: u32 = 50;
 
 /// Limits the calls that are sent again to a share of the first calls. Where most calls go unanswered because
