--- a/crates/sedgehilld/src/connection.rs
+++ b/crates/sedgehilld/src/connection.rs
@@ -184,10 +184,10 @@
     /// Returns how long the connection has been idle, or `None` while a call is in progress or its response is not
     /// written.
     fn idle_time(&self, now: Moment) -> Option<TimeSpan> {
-        let busy = self.call_in_progress.load(Ordering::SeqCst)
+        let is_busy = self.call_in_progress.load(Ordering::SeqCst)
             || self.write_blocked.load(Ordering::SeqCst);
         let last_active = Moment(self.last_active.load(Ordering::SeqCst));
-        (!busy).then(|| now.since(last_active))
+        (!is_busy).then(|| now.since(last_active))
     }
 }
 
--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -67,7 +67,7 @@
         let mut state = context.state.borrow_mut();
         state.last_log_reply_at = now;
         if reply.next.0 == 0 {
-            state.fold.begin_empty();
+            state.fold.start_empty();
         }
         for entry in reply.entries {
             fold_entry(&mut state, entry, now);
@@ -126,12 +126,12 @@
                 let epoch = sedgehill_core::ids::Epoch(at.0);
                 info!(state.shared.log.logger, "lead claimed"; "hall" => %hall, "epoch" => epoch.0);
                 if let Some(timer) = state.leads.get_mut(hall) {
-                    timer.confirmed(epoch, sent);
+                    timer.record_confirmation(epoch, sent);
                 }
             }
             RecordBody::RenewLead { hall, epoch } => {
                 if let Some(timer) = state.leads.get_mut(hall) {
-                    timer.confirmed(*epoch, sent);
+                    timer.record_confirmation(*epoch, sent);
                 }
             }
             RecordBody::Publish { spec, .. } => {
@@ -149,7 +149,7 @@
 /// Submits a snapshot once enough entries follow the last one of any box, well before the log drops old entries.
 fn submit_snapshot_if_due(state: &mut ControlState) {
     let interval = state.shared.settings.log.snapshot_every as f64;
-    let Some(last) = state.cluster().and_then(|cluster| cluster.last()) else { return };
+    let Some(last) = state.cluster().and_then(|cluster| cluster.last_offset()) else { return };
     let due = state.last_snapshot as f64
         + interval * (1.0 + rand::rng().random_range(0.0..SNAPSHOT_JITTER));
     if (last.0 as f64) < due || state.writer.has_snapshot() {
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -20,7 +20,7 @@
 use sedgehill_core::ids::{BoxId, HallName, IdempotencyKey, Incarnation, OrgName, RecordId};
 use sedgehill_core::lead::LeadTimer;
 use sedgehill_core::member::MemberTable;
-use sedgehill_core::place::HallPlacer;
+use sedgehill_core::placement::HallPlacer;
 use sedgehill_core::state::{ClusterState, LogFold, VoidReason};
 use sedgehill_core::units::{Moment, TimeSpan};
 use sedgehill_peer::{ClaimStatus, PeerLink, PeerRequest};
@@ -35,7 +35,7 @@
 use placement::OrderChannel;
 
 /// Capacity of the queue of requests to the control thread. Traffic threads treat a full queue as a failure; operators'
-/// requests wait for room.
+/// requests wait for a free place in it.
 pub const CONTROL_QUEUE_LENGTH: usize = 4_096;
 /// Maximum number of start orders to workers in flight at once.
 const MAX_CONCURRENT_ORDERS: usize = 32;
--- a/crates/sedgehilld/src/controllers/refresh.rs
+++ b/crates/sedgehilld/src/controllers/refresh.rs
@@ -119,7 +119,7 @@
     if is_recorded || is_pending {
         return ClaimStatus::Claimed;
     }
-    match state.incarnation <= Incarnation(key.made_at_ms()) {
+    match state.incarnation <= Incarnation(key.created_at_ms()) {
         true => ClaimStatus::Free,
         false => ClaimStatus::Untold,
     }
--- a/crates/sedgehilld/src/controllers/requests.rs
+++ b/crates/sedgehilld/src/controllers/requests.rs
@@ -170,12 +170,11 @@
             )
         })?;
     let now = clock::now();
-    let own = state.placers.iter().map(|(hall, placer)| (hall.clone(), placer.room().1));
-    let peers = state
-        .members
-        .heartbeats(now)
-        .flat_map(|heartbeat| heartbeat.rooms.iter().map(|room| (room.hall.clone(), room.free)));
-    let shape = cluster.check_shape(request).map_err(void_text)?;
+    let own = state.placers.iter().map(|(hall, placer)| (hall.clone(), placer.capacity().1));
+    let peers = state.members.heartbeats(now).flat_map(|heartbeat| {
+        heartbeat.capacities.iter().map(|capacity| (capacity.hall.clone(), capacity.free))
+    });
+    let shape = cluster.task_shape(request).map_err(void_text)?;
     own.chain(peers)
         .filter(|(hall, _)| parameters.allows(hall))
         .map(|(hall, free)| (free.capacity_for(&shape.resources), hall))
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -83,7 +83,7 @@
     }
     wait_while(deadline, || {
         let state = context.state.borrow();
-        state.placers.values().any(|placer| placer.has_starts_under_way())
+        state.placers.values().any(|placer| placer.has_pending_starts())
     })
     .await;
     release_leads(context, deadline);
--- a/crates/sedgehilld/src/filters/dispatch.rs
+++ b/crates/sedgehilld/src/filters/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use sedgehill_core::dispatch::{
-    DispatchChoice, DispatchOffer, DispatchRefusal, DispatchRequest, EndpointEvidence,
+    DispatchChoice, DispatchOffer, DispatchRefusal, DispatchRequest, EndpointOutcome,
 };
 use sedgehill_core::ids::EndpointId;
 use sedgehill_core::units::TimeSpan;
@@ -20,7 +20,7 @@
     queue: Arc<ServiceQueue>,
     choice: DispatchChoice,
     reserved_at: Instant,
-    outcome: EndpointEvidence,
+    outcome: EndpointOutcome,
 }
 
 impl EndpointSlot {
@@ -30,7 +30,7 @@
             queue,
             choice,
             reserved_at: Instant::now(),
-            outcome: EndpointEvidence::Neutral,
+            outcome: EndpointOutcome::Neutral,
         }
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Sets the outcome of the attempt, which counts for or against the endpoint when the slot is released.
-    pub fn set_outcome(&mut self, outcome: EndpointEvidence) {
+    pub fn set_outcome(&mut self, outcome: EndpointOutcome) {
         self.outcome = outcome;
     }
 }
@@ -63,7 +63,7 @@
     fn drop(&mut self) {
         self.receiver.close();
         if let Ok(choice) = self.receiver.try_recv() {
-            self.queue.release(&choice.endpoint, EndpointEvidence::Neutral, TimeSpan(0));
+            self.queue.release(&choice.endpoint, EndpointOutcome::Neutral, TimeSpan(0));
         }
     }
 }
--- a/crates/sedgehilld/src/filters/forward.rs
+++ b/crates/sedgehilld/src/filters/forward.rs
@@ -7,7 +7,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use rand::Rng;
-use sedgehill_core::dispatch::EndpointEvidence;
+use sedgehill_core::dispatch::EndpointOutcome;
 
 use super::FilterChain;
 use super::dispatch::EndpointSlot;
@@ -79,7 +79,7 @@
     let timeout = Duration::from_millis(context.kind.timeout.as_millis());
     let address = slot.choice().address;
     let Ok(mut connection) = chain.pool.checkout(address).await else {
-        slot.set_outcome(EndpointEvidence::Bad);
+        slot.set_outcome(EndpointOutcome::Failure);
         return Err(AttemptFailure::NotStarted);
     };
     let request = build_request(context, address);
@@ -134,10 +134,10 @@
 
 /// Returns what an attempt says about the endpoint. Refusals and fast failures count against it, because a failing
 /// endpoint looks idle and would attract more requests.
-fn endpoint_outcome(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointEvidence {
+fn endpoint_outcome(result: &Result<Response<Bytes>, AttemptFailure>) -> EndpointOutcome {
     match result {
-        Ok(answer) if !answer.status().is_server_error() => EndpointEvidence::Good,
-        _ => EndpointEvidence::Bad,
+        Ok(answer) if !answer.status().is_server_error() => EndpointOutcome::Success,
+        _ => EndpointOutcome::Failure,
     }
 }
 
--- a/crates/sedgehilld/src/filters/mod.rs
+++ b/crates/sedgehilld/src/filters/mod.rs
@@ -112,7 +112,7 @@
     context: &RequestContext,
     record: &mut RequestRecord,
 ) -> RequestOutcome {
-    chain.retry_budget.lock().note_request();
+    chain.retry_budget.lock().record_request();
     let started = Instant::now();
     let mut failed_endpoints = Vec::new();
     loop {
--- a/crates/sedgehilld/src/shared.rs
+++ b/crates/sedgehilld/src/shared.rs
@@ -7,7 +7,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use parking_lot::Mutex;
 use sedgehill_core::dispatch::{
-    DispatchChoice, DispatchQueue, EjectPolicy, EndpointEvidence, EndpointView, QueueLimits,
+    DispatchChoice, DispatchQueue, EjectionPolicy, EndpointOutcome, EndpointView, QueueLimits,
 };
 use sedgehill_core::ids::{EndpointId, Offset, OrgName, RequestId, TemplateName};
 use sedgehill_core::limit::TokenBucket;
@@ -30,8 +30,12 @@
 /// stale.
 pub const PAUSE_THRESHOLD: TimeSpan = TimeSpan(1_000);
 
-const EJECTION_POLICY: EjectPolicy =
-    EjectPolicy { failures: 3, first: TimeSpan(1_000), longest: TimeSpan(30_000), max_percent: 50 };
+const EJECTION_POLICY: EjectionPolicy = EjectionPolicy {
+    failure_threshold: 3,
+    base_duration: TimeSpan(1_000),
+    max_duration: TimeSpan(30_000),
+    max_ejected_percent: 50,
+};
 
 /// The configuration that traffic threads use. An update replaces the whole view.
 #[derive(Debug, Default)]
@@ -99,14 +103,14 @@
     /// Removes waiting requests whose deadline has passed, and dispatches others to free slots.
     pub fn process_waiting(&self) {
         let now = clock::now();
-        let (expired, chosen) = self.with(|queue| (queue.expire(now), queue.hand_out(now)));
+        let (expired, chosen) = self.with(|queue| (queue.expire(now), queue.dispatch_waiting(now)));
         // Dropping the sender tells a request that its deadline has passed.
         drop(expired);
         self.deliver(chosen);
     }
 
     /// Returns a slot that was held for the given time, and dispatches a waiting request to it.
-    pub fn release(&self, endpoint: &EndpointId, outcome: EndpointEvidence, held: TimeSpan) {
+    pub fn release(&self, endpoint: &EndpointId, outcome: EndpointOutcome, held: TimeSpan) {
         let chosen = self.with(|queue| queue.release(endpoint, outcome, held, clock::now()));
         self.deliver(chosen);
     }
@@ -115,7 +119,7 @@
         for (choice, sender) in chosen {
             if let Err(choice) = sender.send(choice) {
                 // The caller closed its connection while the request waited.
-                self.release(&choice.endpoint, EndpointEvidence::Neutral, TimeSpan(0));
+                self.release(&choice.endpoint, EndpointOutcome::Neutral, TimeSpan(0));
             }
         }
     }
--- a/crates/sedgehilld/src/telemetry.rs
+++ b/crates/sedgehilld/src/telemetry.rs
@@ -151,7 +151,7 @@
 
 /// Counts an answer to a caller, by organisation.
 pub fn count_organisation_answer(caller: &KeyOwner, answer: &'static str) {
-    let name = match caller.place < MAX_LABELLED_ORGANISATIONS {
+    let name = match caller.index < MAX_LABELLED_ORGANISATIONS {
         true => &caller.organisation.0,
         false => OTHERS_LABEL,
     };
