--- a/crates/sedgehilld/src/connection.rs
+++ b/crates/sedgehilld/src/connection.rs
@@ -1,11 +1,12 @@
-//! Callers' connections over HTTP/1.1, and how a planned stop ends them without cutting off a call.
+//! Serves callers' HTTP/1.1 connections, and closes them in a planned stop without cutting off a call.
 //!
-//! A server cannot take a kept connection back: the caller may send its next call at the moment at which the server
-//! closes. So a stop goes in phases. While [`StopPhase::Noticing`], each answer says that its connection ends with it.
-//! While [`StopPhase::Ending`], no connection is taken any more, and one on which nothing came for [`IDLE_LIMIT`] ends
-//! with an answer in advance, which says that nothing was done. A call that crosses it is answered by that, wholly and
-//! truly. The socket is closed only when the caller has closed, or has had time to read: closing one with unread bytes
-//! resets the connection and may destroy an answer.
+//! A server cannot close a keep-alive connection safely by itself: the caller may send its next call at that moment.
+//! A planned stop therefore has several phases. From [`StopPhase::Announcing`] on, each response carries
+//! `connection: close`. From [`StopPhase::ClosingIdle`] on, no connection is accepted, and the box sends an unsolicited
+//! response on each connection that was idle for [`IDLE_TIMEOUT`] before closing it. A call that is in transit at that
+//! time receives this response, which is a true answer because the call was not read. The socket is closed only after
+//! the caller has closed its side or had [`CLOSE_TIMEOUT`] to read: closing a socket with unread bytes resets the
+//! connection, and the caller may lose the response.
 
 use std::convert::Infallible;
 use std::io::IoSlice;
@@ -31,169 +32,173 @@
 
 use crate::{clock, telemetry};
 
-/// A caller that pauses for longer between two calls on one connection may meet the answer in advance.
-const IDLE_LIMIT: TimeSpan = TimeSpan(3_500);
-/// How long a caller has to read the last answer and to close.
-const READING_LIMIT: Duration = Duration::from_millis(1_000);
-/// Between two looks at a connection on which a call is under way.
-const TURN: Duration = Duration::from_millis(50);
+/// Time without a call after which a stop closes a connection with the idle response.
+const IDLE_TIMEOUT: TimeSpan = TimeSpan(3_500);
+/// How long a caller has to read the last response and to close its side.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Interval of checking whether the call in progress on a connection has finished.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far a planned stop has come.
+/// The phase of a planned stop. Later phases compare as greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
     /// The box is not stopping.
     Serving,
-    /// Each answer says that its connection ends.
-    Noticing,
-    /// No connection is taken, and idle ones are ended.
-    Ending,
-    /// The process is about to end: what is idle is ended at once.
-    Closing,
+    /// Each response carries `connection: close`.
+    Announcing,
+    /// No connection is accepted, and connections are closed once they were idle for [`IDLE_TIMEOUT`].
+    ClosingIdle,
+    /// The process is about to exit: idle connections are closed at once.
+    ClosingAllIdle,
 }
 
-/// Bounds of a connection.
+/// Limits of a caller's connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// The most header bytes of a call. A buffer begins small and grows up to it.
-    pub header_bytes: usize,
-    /// The most headers of a call; the library's bound if none.
-    pub headers: Option<usize>,
-    /// How long the head of a call may take to arrive; any time if none.
-    pub head_time: Option<Duration>,
+    /// Maximum total size of the headers of a call, in bytes. The buffer of a connection grows up to it as needed.
+    pub max_header_bytes: usize,
+    /// Maximum number of headers of a call; `None` for hyper's default.
+    pub max_headers: Option<usize>,
+    /// How long the head of a call may take to arrive; `None` for no limit.
+    pub header_timeout: Option<Duration>,
 }
 
-/// What all connections of callers share.
-pub struct ConnectionDesk {
+/// Accepts callers' connections, counts the open ones, and closes them in a planned stop.
+pub struct ConnectionManager {
     log: Logger,
     limits: ConnectionLimits,
-    advance: fn() -> Response<Full<Bytes>>,
+    idle_response: fn() -> Response<Full<Bytes>>,
     phase: watch::Sender<StopPhase>,
     open: AtomicUsize,
     ended_idle: AtomicUsize,
 }
 
-impl ConnectionDesk {
-    /// A desk without connections. `advance` makes the answer in advance.
+impl ConnectionManager {
+    /// Creates a manager without connections. `idle_response` builds the response that is sent on an idle connection
+    /// before it is closed.
     pub fn new(
         log: Logger,
         limits: ConnectionLimits,
-        advance: fn() -> Response<Full<Bytes>>,
-    ) -> Arc<ConnectionDesk> {
-        Arc::new(ConnectionDesk {
+        idle_response: fn() -> Response<Full<Bytes>>,
+    ) -> Arc<ConnectionManager> {
+        Arc::new(ConnectionManager {
             log,
             limits,
-            advance,
+            idle_response,
             phase: watch::Sender::new(StopPhase::Serving),
             open: AtomicUsize::new(0),
             ended_idle: AtomicUsize::new(0),
         })
     }
 
-    /// Begins a phase of the stop.
-    pub fn begin(&self, phase: StopPhase) {
+    /// Starts a phase of the planned stop.
+    pub fn enter_phase(&self, phase: StopPhase) {
         self.phase.send_replace(phase);
     }
 
-    /// Open connections, and listeners that take further ones.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open connections, plus one for each listener that still accepts connections.
+    pub fn open_count(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Connections that were ended by an answer in advance.
+    /// Returns the number of connections that were closed with the idle response.
     pub fn ended_idle(&self) -> usize {
         self.ended_idle.load(Ordering::SeqCst)
     }
 
-    fn enter(self: &Arc<Self>) -> OpenGuard {
+    fn track(self: &Arc<Self>) -> OpenGuard {
         self.open.fetch_add(1, Ordering::SeqCst);
-        OpenGuard { desk: self.clone() }
+        OpenGuard { manager: self.clone() }
     }
 
-    /// Takes connections until the stop has come to its end, and hands each to `spawn`.
+    /// Accepts connections and passes each to `spawn`, until [`StopPhase::ClosingIdle`]; then closes the listener.
     pub async fn accept(self: &Arc<Self>, listener: TcpListener, spawn: impl Fn(CallerConnection)) {
-        let _guard = self.enter();
+        let _guard = self.track();
         let mut phase = self.phase.subscribe();
-        let spawn = |stream| spawn(CallerConnection { stream, guard: self.enter() });
+        let spawn = |stream| spawn(CallerConnection { stream, guard: self.track() });
         tokio::select! {
             () = listener::accept_all(&listener, &spawn) => {}
-            () = reached(&mut phase, StopPhase::Ending) => {}
+            () = wait_for_phase(&mut phase, StopPhase::ClosingIdle) => {}
         }
         listener::close(&self.log, listener, spawn).await;
     }
 }
 
-/// Resolves once a phase has begun.
-async fn reached(phase: &mut watch::Receiver<StopPhase>, wanted: StopPhase) {
-    // An error means that the box is gone, which is the end of all phases.
-    let _ = phase.wait_for(|now| *now >= wanted).await;
+/// Returns once the stop has reached a phase.
+async fn wait_for_phase(phase: &mut watch::Receiver<StopPhase>, target: StopPhase) {
+    // An error means that the manager was dropped, which ends the stop.
+    let _ = phase.wait_for(|current| *current >= target).await;
 }
 
-/// Counts a connection as open until it is dropped.
+/// Counts a connection or listener as open until it is dropped.
 struct OpenGuard {
-    desk: Arc<ConnectionDesk>,
+    manager: Arc<ConnectionManager>,
 }
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.desk.open.fetch_sub(1, Ordering::SeqCst);
+        self.manager.open.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// When calls were under way on a connection.
-struct CallClock {
-    opened: Moment,
-    calls: AtomicUsize,
-    under_way: AtomicBool,
-    /// Part of an answer waits for the caller to read.
-    blocked: AtomicBool,
-    last: AtomicU64,
+/// Tracks the calls on a connection, to tell whether and since when it is idle.
+struct CallActivity {
+    opened_at: Moment,
+    call_count: AtomicUsize,
+    call_in_progress: AtomicBool,
+    /// Whether part of a response waits for the caller to read.
+    write_blocked: AtomicBool,
+    /// When the last call or write ended, in milliseconds of [`clock::now`].
+    last_active: AtomicU64,
 }
 
-impl CallClock {
-    fn new() -> CallClock {
+impl CallActivity {
+    fn new() -> CallActivity {
         let now = clock::now();
-        CallClock {
-            opened: now,
-            calls: AtomicUsize::new(0),
-            under_way: AtomicBool::new(false),
-            blocked: AtomicBool::new(false),
-            last: AtomicU64::new(now.0),
+        CallActivity {
+            opened_at: now,
+            call_count: AtomicUsize::new(0),
+            call_in_progress: AtomicBool::new(false),
+            write_blocked: AtomicBool::new(false),
+            last_active: AtomicU64::new(now.0),
         }
     }
 
-    fn begin(&self) {
-        self.calls.fetch_add(1, Ordering::SeqCst);
-        self.under_way.store(true, Ordering::SeqCst);
+    fn begin_call(&self) {
+        self.call_count.fetch_add(1, Ordering::SeqCst);
+        self.call_in_progress.store(true, Ordering::SeqCst);
     }
 
-    fn end(&self) {
-        self.last.store(clock::now().0, Ordering::SeqCst);
-        self.under_way.store(false, Ordering::SeqCst);
+    fn end_call(&self) {
+        self.last_active.store(clock::now().0, Ordering::SeqCst);
+        self.call_in_progress.store(false, Ordering::SeqCst);
     }
 
-    /// Notes how a write went.
-    fn note_write(&self, is_pending: bool) {
-        if self.blocked.swap(is_pending, Ordering::SeqCst) && !is_pending {
-            self.last.store(clock::now().0, Ordering::SeqCst);
+    /// Records whether a write is blocked. The end of a blocked write counts as activity.
+    fn record_write(&self, is_pending: bool) {
+        if self.write_blocked.swap(is_pending, Ordering::SeqCst) && !is_pending {
+            self.last_active.store(clock::now().0, Ordering::SeqCst);
         }
     }
 
-    /// How long nothing was under way; none while a call or its answer is.
-    fn idle(&self, now: Moment) -> Option<TimeSpan> {
-        let busy = self.under_way.load(Ordering::SeqCst) || self.blocked.load(Ordering::SeqCst);
-        let last = Moment(self.last.load(Ordering::SeqCst));
-        (!busy).then(|| now.since(last))
+    /// Returns how long the connection has been idle, or `None` while a call is in progress or its response is not
+    /// written.
+    fn idle_time(&self, now: Moment) -> Option<TimeSpan> {
+        let is_busy = self.call_in_progress.load(Ordering::SeqCst)
+            || self.write_blocked.load(Ordering::SeqCst);
+        let last_active = Moment(self.last_active.load(Ordering::SeqCst));
+        (!is_busy).then(|| now.since(last_active))
     }
 }
 
-/// A stream that notes whether its caller keeps an answer waiting. The library hands a call over as answered when it has
-/// the answer, not when it is written.
-struct WatchedStream {
+/// A TCP stream that records whether a write is blocked because the caller does not read. It is needed because hyper
+/// finishes a call when it has received the response, not when it has written it.
+struct MonitoredStream {
     stream: TcpStream,
-    calls: Arc<CallClock>,
+    activity: Arc<CallActivity>,
 }
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -203,14 +208,14 @@
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.calls.note_write(written.is_pending());
+        self.activity.record_write(written.is_pending());
         written
     }
 
@@ -220,7 +225,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.calls.note_write(written.is_pending());
+        self.activity.record_write(written.is_pending());
         written
     }
 
@@ -243,139 +248,146 @@
     }
 }
 
-/// A connection that was taken and not served yet.
+/// A caller's connection that is accepted and not yet served.
 pub struct CallerConnection {
     stream: TcpStream,
     guard: OpenGuard,
 }
 
 impl CallerConnection {
-    /// Serves calls until the connection ends.
+    /// Serves calls with `handle` until the caller or a planned stop closes the connection.
     pub async fn serve<F>(self, handle: impl Fn(Request<Incoming>) -> F)
     where
         F: Future<Output = Response<Full<Bytes>>>,
     {
         let CallerConnection { stream, guard } = self;
-        let desk = &guard.desk;
-        // A connection that ended already is noticed by the first read.
+        let manager = &guard.manager;
+        // An error means that the connection is closed, which the first read reports.
         let _ = stream.set_nodelay(true);
-        let calls = Arc::new(CallClock::new());
-        let stream = WatchedStream { stream, calls: calls.clone() };
-        let phase = desk.phase.subscribe();
+        let activity = Arc::new(CallActivity::new());
+        let stream = MonitoredStream { stream, activity: activity.clone() };
+        let phase = manager.phase.subscribe();
         let service = service_fn(|request: Request<Incoming>| {
-            calls.begin();
-            let answering = handle(request);
-            let (calls, phase) = (calls.clone(), phase.clone());
+            activity.begin_call();
+            let response = handle(request);
+            let (activity, phase) = (activity.clone(), phase.clone());
             Box::pin(async move {
-                let mut response = answering.await;
+                let mut response = response.await;
                 if *phase.borrow() > StopPhase::Serving {
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                calls.end();
+                activity.end_call();
                 Ok::<_, Infallible>(response)
             })
         });
-        let mut connection = desk.builder().serve_connection(TokioIo::new(stream), service);
+        let mut connection = manager.builder().serve_connection(TokioIo::new(stream), service);
         loop {
             let mut phase = phase.clone();
             tokio::select! {
-                // A call that came while the process stood still is read before its time is taken as over.
+                // After a pause of the process, reads a call that arrived meanwhile before it checks the idle time.
                 biased;
                 result = std::future::poll_fn(|context| connection.poll_without_shutdown(context)) => {
                     let stream = connection.into_parts().io.into_inner();
                     if result.is_ok() {
-                        desk.close(stream.stream).await;
+                        manager.close(stream.stream).await;
                     }
                     return;
                 }
-                () = idle_too_long(&calls, &mut phase) => {}
+                () = wait_until_idle(&activity, &mut phase) => {}
             }
-            if calls.idle(clock::now()).is_some() {
+            if activity.idle_time(clock::now()).is_some() {
                 break;
             }
         }
         let parts = connection.into_parts();
-        desk.end_idle(parts.io.into_inner().stream, parts.read_buf.len(), &calls).await;
+        manager.close_idle(parts.io.into_inner().stream, parts.read_buf.len(), &activity).await;
     }
 }
 
-/// Resolves once a stop is to end a connection on which no call is under way.
-async fn idle_too_long(calls: &CallClock, phase: &mut watch::Receiver<StopPhase>) {
-    reached(phase, StopPhase::Ending).await;
+/// Returns once a planned stop is due to close the connection because it is idle.
+async fn wait_until_idle(activity: &CallActivity, phase: &mut watch::Receiver<StopPhase>) {
+    wait_for_phase(phase, StopPhase::ClosingIdle).await;
     loop {
-        let is_last = *phase.borrow() == StopPhase::Closing;
-        let pause = match calls.idle(clock::now()) {
-            Some(idle) if is_last || idle >= IDLE_LIMIT => return,
-            Some(idle) => Duration::from_millis(IDLE_LIMIT.0 - idle.0),
-            None => TURN,
+        let is_last = *phase.borrow() == StopPhase::ClosingAllIdle;
+        let delay = match activity.idle_time(clock::now()) {
+            Some(idle_time) if is_last || idle_time >= IDLE_TIMEOUT => return,
+            Some(idle_time) => Duration::from_millis(IDLE_TIMEOUT.0 - idle_time.0),
+            None => POLL_INTERVAL,
         };
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            () = reached(phase, StopPhase::Closing), if !is_last => {}
+            () = tokio::time::sleep(delay) => {}
+            () = wait_for_phase(phase, StopPhase::ClosingAllIdle), if !is_last => {}
         }
     }
 }
 
-impl ConnectionDesk {
+impl ConnectionManager {
     fn builder(&self) -> http1::Builder {
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
-            .header_read_timeout(self.limits.head_time)
-            .max_buf_size(self.limits.header_bytes);
-        if let Some(headers) = self.limits.headers {
-            builder.max_headers(headers);
+            .header_read_timeout(self.limits.header_timeout)
+            .max_buf_size(self.limits.max_header_bytes);
+        if let Some(max_headers) = self.limits.max_headers {
+            builder.max_headers(max_headers);
         }
         builder
     }
 
-    /// Closes a connection after its last answer.
+    /// Closes a connection after its last response.
     async fn close(&self, mut stream: TcpStream) {
-        // An error means that the caller is gone.
+        // An error means that the caller has closed the connection.
         let _ = stream.shutdown().await;
         if *self.phase.borrow() > StopPhase::Serving {
-            read_to_end(&mut stream).await;
+            read_until_closed(&mut stream).await;
         }
     }
 
-    /// Ends a connection on which nothing came for long.
-    async fn end_idle(&self, mut stream: TcpStream, unread: usize, calls: &CallClock) {
-        let idle = calls.idle(clock::now()).unwrap_or_default();
-        let advance = encode((self.advance)()).await;
-        let written = tokio::time::timeout(READING_LIMIT, stream.write_all(&advance)).await;
-        // An error means that the caller is gone.
+    /// Sends the idle response on an idle connection and closes it. `buffered_bytes` of a further call may be in the
+    /// read buffer already.
+    async fn close_idle(
+        &self,
+        mut stream: TcpStream,
+        buffered_bytes: usize,
+        activity: &CallActivity,
+    ) {
+        let idle_time = activity.idle_time(clock::now()).unwrap_or_default();
+        let idle_response = encode_response((self.idle_response)()).await;
+        let write_result =
+            tokio::time::timeout(CLOSE_TIMEOUT, stream.write_all(&idle_response)).await;
+        // An error means that the caller has closed the connection.
         let _ = stream.shutdown().await;
-        let crossed = unread + read_to_end(&mut stream).await;
+        let unread_bytes = buffered_bytes + read_until_closed(&mut stream).await;
         self.ended_idle.fetch_add(1, Ordering::SeqCst);
-        let cause = if crossed > 0 { "idle_call_crossed" } else { "idle" };
+        let cause = if unread_bytes > 0 { "idle_call_crossed" } else { "idle" };
         telemetry::count_connection_end(cause);
-        if crossed > 0 {
-            let is_written = matches!(written, Ok(Ok(())));
+        if unread_bytes > 0 {
+            let is_written = matches!(write_result, Ok(Ok(())));
             info!(self.log, "connection ended while a call was on its way";
-                "age_ms" => clock::now().since(calls.opened).0,
-                "calls" => calls.calls.load(Ordering::SeqCst), "idle_ms" => idle.0,
-                "unread_bytes" => crossed, "answered" => is_written);
+                "age_ms" => clock::now().since(activity.opened_at).0,
+                "calls" => activity.call_count.load(Ordering::SeqCst), "idle_ms" => idle_time.0,
+                "unread_bytes" => unread_bytes, "answered" => is_written);
         }
     }
 }
 
-/// Reads until the caller closes, for as long as it has time to; how many bytes came.
-async fn read_to_end(stream: &mut TcpStream) -> usize {
-    let mut count = 0;
+/// Reads and discards bytes until the caller closes its side, for at most [`CLOSE_TIMEOUT`]. Returns their number.
+async fn read_until_closed(stream: &mut TcpStream) -> usize {
+    let mut total_bytes = 0;
     let reading = async {
-        let mut bytes = [0; 1_024];
-        // An error ends the connection as well.
-        while let Ok(read @ 1..) = stream.read(&mut bytes).await {
-            count += read;
+        let mut buffer = [0; 1_024];
+        // An error means that the connection is closed.
+        while let Ok(byte_count @ 1..) = stream.read(&mut buffer).await {
+            total_bytes += byte_count;
         }
     };
-    // A caller that does not close has had time to read.
-    let _ = tokio::time::timeout(READING_LIMIT, reading).await;
-    count
+    // The caller has had time to read the response, whether it closed its side or not.
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, reading).await;
+    total_bytes
 }
 
-/// An answer as bytes, for a connection that the library serves no longer.
-async fn encode(response: Response<Full<Bytes>>) -> Vec<u8> {
+/// Encodes a response as HTTP/1.1, for a connection that hyper no longer serves.
+async fn encode_response(response: Response<Full<Bytes>>) -> Vec<u8> {
     let (parts, body) = response.into_parts();
     let body = body.collect().await.unwrap_or_else(|never| match never {}).to_bytes();
     let reason = parts.status.canonical_reason().unwrap_or_default();
@@ -386,8 +398,8 @@
         bytes.extend_from_slice(value.as_bytes());
         bytes.extend_from_slice(b"\r\n");
     }
-    let end = format!("connection: close\r\ncontent-length: {}\r\n\r\n", body.len());
-    bytes.extend_from_slice(end.as_bytes());
+    let last_headers = format!("connection: close\r\ncontent-length: {}\r\n\r\n", body.len());
+    bytes.extend_from_slice(last_headers.as_bytes());
     bytes.extend_from_slice(&body);
     bytes
 }
