--- a/crates/sedgehill-cell/tests/testsuite/random.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random.rs
@@ -176,6 +176,45 @@
     }
 }
 
+/// Plays a course in a new cell, and checks that every job ends and how.
+fn play(keeps_ids: bool, course: Vec<Step>) -> Result<(), TestCaseError> {
+    let mut cell = match keeps_ids {
+        true => FakeCell::with_lasting_ids(WORKERS, CORES),
+        false => FakeCell::new(WORKERS, CORES),
+    };
+    let mut lead = cell.lead(false);
+    for (name, most) in ORGANISATIONS {
+        cell.limit(&mut lead, name, most);
+    }
+    let mut jobs = 0;
+    for taken in course {
+        take(&mut cell, &mut lead, &mut jobs, taken);
+    }
+    for worker in &mut cell.workers {
+        (worker.cut, worker.mute, worker.unlisted) = (false, false, false);
+        (worker.unreadable, worker.shown) = (false, None);
+        worker.entry.capacity.cores = CoreCount(CORES * 1_000);
+    }
+    // The widest gang needs twelve cores.
+    for (name, _) in ORGANISATIONS {
+        cell.limit(&mut lead, name, 12);
+    }
+    for _ in 0..60 {
+        cell.list(&mut lead);
+        cell.turns(&mut lead, 40);
+        cell.break_gangs();
+        cell.end_older_than(TimeSpan(0));
+    }
+    for id in 0..jobs {
+        let state = cell.progress(id).state;
+        prop_assert!(state.is_final(), "job {} is {:?}", JobId(id), state);
+        prop_assert!(state != JobState::Cancelled || cell.was_cancelled(id));
+        let given_up = state == JobState::Failed && !cell.has_failed(id);
+        prop_assert!(!given_up || cell.may_be_given_up(id), "job {} is given up", JobId(id));
+    }
+    Ok(())
+}
+
 proptest! {
     #![proptest_config(cases(200))]
 
@@ -184,39 +223,34 @@
         keeps_ids in any::<bool>(),
         course in prop::collection::vec(steps(), 1..120),
     ) {
-        let mut cell = match keeps_ids {
-            true => FakeCell::with_lasting_ids(WORKERS, CORES),
-            false => FakeCell::new(WORKERS, CORES),
-        };
-        let mut lead = cell.lead(false);
-        for (name, most) in ORGANISATIONS {
-            cell.limit(&mut lead, name, most);
-        }
-        let mut jobs = 0;
-        for taken in course {
-            take(&mut cell, &mut lead, &mut jobs, taken);
-        }
-        for worker in &mut cell.workers {
-            (worker.cut, worker.mute, worker.unlisted) = (false, false, false);
-            (worker.unreadable, worker.shown) = (false, None);
-            worker.entry.capacity.cores = CoreCount(CORES * 1_000);
-        }
-        // The widest gang needs twelve cores.
-        for (name, _) in ORGANISATIONS {
-            cell.limit(&mut lead, name, 12);
-        }
-        for _ in 0..60 {
-            cell.list(&mut lead);
-            cell.turns(&mut lead, 40);
-            cell.break_gangs();
-            cell.end_older_than(TimeSpan(0));
-        }
-        for id in 0..jobs {
-            let state = cell.progress(id).state;
-            prop_assert!(state.is_final(), "job {} is {:?}", JobId(id), state);
-            prop_assert!(state != JobState::Cancelled || cell.was_cancelled(id));
-            let given_up = state == JobState::Failed && !cell.has_failed(id);
-            prop_assert!(!given_up || cell.may_be_given_up(id), "job {} is given up", JobId(id));
-        }
+        play(keeps_ids, course)?;
     }
 }
+
+// A task may be started at most twice after three workers have crashed under it; here it is started three times.
+// Workers 1 and 3 crash under the task, and their next lives are not heard, since worker 1 is cut and worker 3 is mute.
+// Both runs are dropped when they have been unresolved for 20 s, so the lead knows only of the crash of worker 0 when
+// it starts run 4 and does not count that start. The lead after it counts two more starts.
+#[test]
+fn a_task_is_started_twice_at_most_after_three_crashes_seed_0cec81e8() {
+    let habit = CrashHabit { after: TimeSpan(1_161), back: TimeSpan(7_641), runs: usize::MAX };
+    let course = vec![
+        Step::Spoil(2, true),
+        Step::Crash(0, 20),
+        Step::Submit {
+            count: 1,
+            need: 1,
+            gang: false,
+            chained: false,
+            owner: 0,
+            crashes: Some(habit),
+        },
+        Step::Turns(409),
+        Step::Mute(3, true),
+        Step::LoseAnswers(1),
+        Step::Turns(477),
+        Step::Turns(487),
+        Step::NewLead,
+    ];
+    play(true, course).unwrap();
+}
