--- a/crates/sedgehill-standin/src/caller.rs
+++ b/crates/sedgehill-standin/src/caller.rs
@@ -12,7 +12,7 @@
 use uuid::Uuid;
 
 use crate::endpoint::{TOKEN_HEADER, expected_answer};
-use crate::ledger::{RuleLedger, SafetyRule, ToldOutcome};
+use crate::ledger::{CallerOutcome, RuleLedger, SafetyRule};
 
 /// How long a caller waits for anything at all.
 const CALL_LIMIT: Duration = Duration::from_secs(30);
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 pub struct CallReport {
     /// What the caller was told.
-    pub outcome: ToldOutcome,
+    pub outcome: CallerOutcome,
     /// Why it was not answered.
     pub reason: String,
     /// The HTTP status, if there was one.
@@ -103,7 +103,7 @@
             Err(_) => nothing("no answer in time"),
         };
         report.took = started.elapsed();
-        self.ledger.told(&plan.token, report.outcome, again);
+        self.ledger.record_outcome(&plan.token, report.outcome, again);
         report
     }
 
@@ -134,17 +134,17 @@
         report.retry_after = text("retry-after").and_then(|text| text.parse().ok());
         report.request_id = text("sedgehill-request-id");
         report.outcome = match text("sedgehill-outcome").as_deref() {
-            Some("answered") => ToldOutcome::Answered,
-            Some("not-run") => ToldOutcome::NotRun,
-            Some("unknown") => ToldOutcome::Unknown,
-            _ => ToldOutcome::Nothing,
+            Some("answered") => CallerOutcome::Answered,
+            Some("not-run") => CallerOutcome::NotRun,
+            Some("unknown") => CallerOutcome::Unknown,
+            _ => CallerOutcome::Nothing,
         };
         match body.collect().await {
-            Ok(body) if report.outcome == ToldOutcome::Answered && parts.status.is_success() => {
+            Ok(body) if report.outcome == CallerOutcome::Answered && parts.status.is_success() => {
                 self.check(plan, &body.to_bytes());
             }
             Ok(_) => {}
-            Err(_) if report.outcome == ToldOutcome::Answered => {
+            Err(_) if report.outcome == CallerOutcome::Answered => {
                 self.ledger.break_rule(
                     SafetyRule::WholeAnswer,
                     format!("answer to {} was cut", plan.token),
@@ -167,7 +167,7 @@
 
 fn nothing(reason: &str) -> CallReport {
     CallReport {
-        outcome: ToldOutcome::Nothing,
+        outcome: CallerOutcome::Nothing,
         reason: reason.to_owned(),
         status: None,
         retry_after: None,
--- a/crates/sedgehill-standin/src/cell_platform/advice.rs
+++ b/crates/sedgehill-standin/src/cell_platform/advice.rs
@@ -21,18 +21,18 @@
 
 /// What the service does about a step.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct StepHabit {
+pub struct StepAdvice {
     /// How long a question takes, whatever it names.
-    pub decide: Duration,
+    pub per_question: Duration,
     /// Further time for each worker that is named.
-    pub each: Duration,
+    pub per_worker: Duration,
     /// How many workers are good for the step; none for all.
-    pub good: Option<usize>,
+    pub allowed_count: Option<usize>,
 }
 
 /// What becomes of the questions of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AdviceTrouble {
+pub enum AdviceFault {
     /// They fail at once.
     Fails,
     /// They are not answered.
@@ -40,25 +40,25 @@
     /// They take so many times as long.
     Slow(u32),
     /// They are answered with nobody.
-    Nobody,
+    NoneAllowed,
 }
 
 /// Tells what the service does about a step, by its id.
-pub type HabitRule = dyn Fn(&str) -> StepHabit + Send + Sync;
+pub type AdviceRule = dyn Fn(&str) -> StepAdvice + Send + Sync;
 
 /// One box as the service knows it.
 #[derive(Default)]
 struct AskingBox {
     turn: tokio::sync::Mutex<()>,
     waiting: AtomicUsize,
-    trouble: Mutex<Option<AdviceTrouble>>,
+    trouble: Mutex<Option<AdviceFault>>,
 }
 
 /// The service.
 pub struct StandinAdvice {
     workers: Arc<StandinWorkers>,
     count: usize,
-    rule: Mutex<Arc<HabitRule>>,
+    rule: Mutex<Arc<AdviceRule>>,
     boxes: Mutex<Vec<Arc<AskingBox>>>,
 }
 
@@ -71,17 +71,17 @@
 impl StandinAdvice {
     /// A service for so many workers that answers at once and likes all of them.
     pub fn new(workers: Arc<StandinWorkers>, count: usize) -> StandinAdvice {
-        let rule: Arc<HabitRule> = Arc::new(|_| StepHabit::default());
+        let rule: Arc<AdviceRule> = Arc::new(|_| StepAdvice::default());
         StandinAdvice { workers, count, rule: Mutex::new(rule), boxes: Mutex::default() }
     }
 
     /// Has it go by a rule from now on.
-    pub fn set_rule(&self, rule: impl Fn(&str) -> StepHabit + Send + Sync + 'static) {
+    pub fn set_rule(&self, rule: impl Fn(&str) -> StepAdvice + Send + Sync + 'static) {
         *self.rule.lock() = Arc::new(rule);
     }
 
     /// Makes the questions of a box fare worse, or well again.
-    pub fn set_trouble(&self, number: usize, trouble: Option<AdviceTrouble>) {
+    pub fn set_fault(&self, number: usize, trouble: Option<AdviceFault>) {
         *self.boxes.lock()[number].trouble.lock() = trouble;
     }
 
@@ -93,9 +93,9 @@
     }
 
     /// Whether a worker is good for a step: as many are as the step's habit says, drawn for each step.
-    pub fn is_good(&self, step: &str, worker: usize) -> bool {
+    pub fn is_allowed(&self, step: &str, worker: usize) -> bool {
         let rule = self.rule.lock().clone();
-        let Some(good) = rule(step).good else { return true };
+        let Some(good) = rule(step).allowed_count else { return true };
         let place = |number: usize| {
             let mut hasher = DefaultHasher::new();
             (step, number).hash(&mut hasher);
@@ -151,19 +151,19 @@
 async fn work(advice: &StandinAdvice, asking: &AskingBox, question: &Question) -> JsonResponse {
     let rule = advice.rule.lock().clone();
     let habit = rule(&question.step);
-    let cost = habit.decide + habit.each * question.workers.len() as u32;
+    let cost = habit.per_question + habit.per_worker * question.workers.len() as u32;
     let trouble = *asking.trouble.lock();
     match trouble {
-        Some(AdviceTrouble::Fails) => return status(StatusCode::SERVICE_UNAVAILABLE),
-        Some(AdviceTrouble::Silent) => return std::future::pending().await,
-        Some(AdviceTrouble::Slow(times)) => tokio::time::sleep(cost * times).await,
-        Some(AdviceTrouble::Nobody) | None => tokio::time::sleep(cost).await,
+        Some(AdviceFault::Fails) => return status(StatusCode::SERVICE_UNAVAILABLE),
+        Some(AdviceFault::Silent) => return std::future::pending().await,
+        Some(AdviceFault::Slow(times)) => tokio::time::sleep(cost * times).await,
+        Some(AdviceFault::NoneAllowed) | None => tokio::time::sleep(cost).await,
     }
     let until = advice.workers.now_ms() + VALID_MS;
     let is_good = |life: &&String| {
         let number = life.split('-').nth(1).and_then(|number| number.parse().ok());
-        let likes = number.is_some_and(|number| advice.is_good(&question.step, number));
-        likes && trouble != Some(AdviceTrouble::Nobody)
+        let likes = number.is_some_and(|number| advice.is_allowed(&question.step, number));
+        likes && trouble != Some(AdviceFault::NoneAllowed)
     };
     let good = question.workers.iter().filter(is_good);
     let good: Vec<(&str, String)> =
--- a/crates/sedgehill-standin/src/cell_platform/trouble.rs
+++ b/crates/sedgehill-standin/src/cell_platform/call_fault.rs
@@ -16,7 +16,7 @@
 
 /// What goes wrong with a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallTrouble {
+pub enum CallFault {
     /// It does not arrive.
     Lost,
     /// It is carried out at once, and the answer is lost.
@@ -29,7 +29,7 @@
 
 /// What becomes of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallFate {
+pub enum CallDelivery {
     /// It is carried out and answered.
     Answered,
     /// It is carried out at once and answered after a time.
@@ -43,7 +43,7 @@
 /// Which leads meet trouble. Tokens rise from one lead to the next, so a worker that the lead of a moment
 /// reaches can be cut from all that follow it, and the other way about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TroubledLeads {
+pub enum AffectedLeads {
     /// Each one.
     All,
     /// Those with this token or a lower one.
@@ -52,73 +52,73 @@
     After(u64),
 }
 
-impl TroubledLeads {
+impl AffectedLeads {
     fn contain(self, token: u64) -> bool {
         // Each lead has some tokens, for later lives of workers.
         let token = token - token % TOKENS_PER_LEAD;
         match self {
-            TroubledLeads::All => true,
-            TroubledLeads::UpTo(last) => token <= last,
-            TroubledLeads::After(last) => token > last,
+            AffectedLeads::All => true,
+            AffectedLeads::UpTo(last) => token <= last,
+            AffectedLeads::After(last) => token > last,
         }
     }
 
     /// The same leads as of a moment at which the newest has this token.
-    pub fn as_of(self, newest: u64) -> TroubledLeads {
+    pub fn as_of(self, newest: u64) -> AffectedLeads {
         match self {
-            TroubledLeads::All => TroubledLeads::All,
-            TroubledLeads::UpTo(_) => TroubledLeads::UpTo(newest),
-            TroubledLeads::After(_) => TroubledLeads::After(newest),
+            AffectedLeads::All => AffectedLeads::All,
+            AffectedLeads::UpTo(_) => AffectedLeads::UpTo(newest),
+            AffectedLeads::After(_) => AffectedLeads::After(newest),
         }
     }
 }
 
 /// Trouble on a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PathTrouble {
+pub struct PathFault {
     /// What goes wrong.
-    pub kind: CallTrouble,
+    pub kind: CallFault,
     /// Of a hundred calls so many meet it.
     pub percent: u32,
     /// Whose calls.
-    pub leads: TroubledLeads,
+    pub leads: AffectedLeads,
 }
 
 /// Draws what becomes of calls.
 #[derive(Debug)]
-pub struct FateDrawer {
+pub struct FaultInjector {
     rng: Mutex<StdRng>,
 }
 
-impl Default for FateDrawer {
-    fn default() -> FateDrawer {
-        FateDrawer { rng: Mutex::new(StdRng::seed_from_u64(0)) }
+impl Default for FaultInjector {
+    fn default() -> FaultInjector {
+        FaultInjector { rng: Mutex::new(StdRng::seed_from_u64(0)) }
     }
 }
 
-impl FateDrawer {
+impl FaultInjector {
     /// Draws by another seed from now on.
     pub fn seed(&self, seed: u64) {
         *self.rng.lock() = StdRng::seed_from_u64(seed);
     }
 
     /// What becomes of a call under a token.
-    pub fn draw(&self, trouble: Option<PathTrouble>, token: u64) -> CallFate {
+    pub fn draw(&self, trouble: Option<PathFault>, token: u64) -> CallDelivery {
         let Some(trouble) = trouble.filter(|trouble| trouble.leads.contain(token)) else {
-            return CallFate::Answered;
+            return CallDelivery::Answered;
         };
         let mut rng = self.rng.lock();
         if !rng.random_ratio(trouble.percent, 100) {
-            return CallFate::Answered;
+            return CallDelivery::Answered;
         }
         match trouble.kind {
-            CallTrouble::Lost => CallFate::Lost,
-            CallTrouble::Unanswered => CallFate::Unanswered(Duration::ZERO),
-            CallTrouble::AnsweredLate => {
-                CallFate::AnsweredAfter(Duration::from_millis(rng.random_range(ANSWER_LATE_MS)))
+            CallFault::Lost => CallDelivery::Lost,
+            CallFault::Unanswered => CallDelivery::Unanswered(Duration::ZERO),
+            CallFault::AnsweredLate => {
+                CallDelivery::AnsweredAfter(Duration::from_millis(rng.random_range(ANSWER_LATE_MS)))
             }
-            CallTrouble::Late => {
-                CallFate::Unanswered(Duration::from_millis(rng.random_range(LATE_MS)))
+            CallFault::Late => {
+                CallDelivery::Unanswered(Duration::from_millis(rng.random_range(LATE_MS)))
             }
         }
     }
--- a/crates/sedgehill-standin/src/cell_platform/strays.rs
+++ b/crates/sedgehill-standin/src/cell_platform/foreign_entries.rs
@@ -23,14 +23,14 @@
 impl CellPlatform {
     /// Has the store list entries that can be read and name no worker, and ones that cannot be read. Returns how
     /// many a box may use for nothing because of what they say.
-    pub fn put_strays(&self) -> usize {
+    pub fn put_foreign_entries(&self) -> usize {
         self.put_wrong() + self.put_unreadable()
     }
 
     /// Puts an entry of a worker's life into the list with one field set.
     pub fn put_entry_with(&self, number: usize, field: &str, value: Value) {
         let entry = with(self.worker_addresses[number], field, value);
-        self.store.put(SERVERS, &self.workers.life_name(number), &entry);
+        self.store.put(SERVERS, &self.workers.life_id(number), &entry);
     }
 
     fn put_wrong(&self) -> usize {
@@ -78,7 +78,7 @@
             json!(null),
         ];
         for item in &items {
-            self.store.put_stray(SERVERS, item.clone());
+            self.store.put_raw_item(SERVERS, item.clone());
         }
         values.len() + items.len()
     }
--- a/crates/sedgehill-standin/src/cell_platform/mod.rs
+++ b/crates/sedgehill-standin/src/cell_platform/mod.rs
@@ -5,13 +5,13 @@
 //! workers started without end.
 
 mod advice;
+mod call_fault;
+mod foreign_entries;
 mod life;
 mod oracle;
-mod sight;
+mod snapshot;
 mod spec;
 mod store;
-mod strays;
-mod trouble;
 mod worker;
 mod worker_calls;
 
@@ -22,14 +22,14 @@
 
 use sedgehill_cell::authority::LeadRecord;
 
-pub use self::advice::{AdviceTrouble, StandinAdvice, StepHabit};
-pub use self::sight::WorkerSight;
+pub use self::advice::{AdviceFault, StandinAdvice, StepAdvice};
+pub use self::call_fault::{AffectedLeads, CallFault, PathFault};
+pub use self::snapshot::WorkerSnapshot;
 pub use self::spec::{
     CRASH_SPEC, GANG_SPEC, LONG_RUNNING_SPEC, SIZED_SPEC, WIDE_SPEC, is_long_running,
 };
 pub use self::store::StandinStore;
-pub use self::trouble::{CallTrouble, PathTrouble, TroubledLeads};
-pub use self::worker::{CORES, StandinWorkers, span_of};
+pub use self::worker::{CORES, StandinWorkers, run_duration_ms};
 use crate::http_server::{ServerGuard, serve};
 
 /// The stand-ins, which stop when dropped.
@@ -72,11 +72,11 @@
 impl CellPlatform {
     /// Starts a store, an advice service that likes every worker, and some workers of 4 cores.
     pub async fn start(workers: usize) -> std::io::Result<CellPlatform> {
-        CellPlatform::start_sized(workers, CORES).await
+        CellPlatform::start_with_cores(workers, CORES).await
     }
 
     /// The same with workers of so many cores.
-    pub async fn start_sized(workers: usize, cores: usize) -> std::io::Result<CellPlatform> {
+    pub async fn start_with_cores(workers: usize, cores: usize) -> std::io::Result<CellPlatform> {
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         let store = Arc::new(StandinStore::default());
         let serving = store.clone();
@@ -94,7 +94,8 @@
             worker_addresses.push(guard.address);
             guards.push(guard);
         }
-        let returns = follow_crashes(pool.clone(), store.clone(), worker_addresses.clone());
+        let returns =
+            start_lives_after_crashes(pool.clone(), store.clone(), worker_addresses.clone());
         let platform = CellPlatform {
             store,
             workers: pool,
@@ -111,7 +112,7 @@
 
     /// Opens a way to the advice service for one box more. Returns its address; boxes are numbered from 1, since all
     /// that were not given a way of their own are number 0.
-    pub async fn open_advice(&mut self) -> std::io::Result<SocketAddr> {
+    pub async fn add_advice_address(&mut self) -> std::io::Result<SocketAddr> {
         let guard = serve_advice(&self.advice).await?;
         let address = guard.address;
         self._guards.push(guard);
@@ -124,8 +125,8 @@
     }
 
     /// Has all workers tell when their lives began, and some that die start again under the ids that they had.
-    pub fn keep_worker_ids(&self, seed: u64) {
-        self.workers.keep_ids(seed);
+    pub fn reuse_worker_ids(&self, seed: u64) {
+        self.workers.reuse_ids(seed);
         (0..self.worker_addresses.len()).for_each(|number| self.list_worker(number));
     }
 
@@ -165,7 +166,7 @@
     }
 
     /// The version after that of the configuration in the store.
-    pub fn next_version(&self) -> u64 {
+    pub fn next_config_version(&self) -> u64 {
         let config = self.store.newest_value("keyed.op", "config").unwrap_or_default();
         let config: serde_json::Value = serde_json::from_slice(&config).unwrap_or_default();
         config["version"].as_u64().unwrap_or(0) + 1
@@ -207,16 +208,16 @@
     if let Some(born) = workers.born(number) {
         entry["born"] = born.into();
     }
-    store.put(WORKER_TOPIC, &workers.life_name(number), &entry);
+    store.put(WORKER_TOPIC, &workers.life_id(number), &entry);
 }
 
-async fn follow_crashes(
+async fn start_lives_after_crashes(
     workers: Arc<StandinWorkers>,
     store: Arc<StandinStore>,
     addresses: Vec<SocketAddr>,
 ) {
     loop {
-        let (back, gone) = workers.follow_crashes();
+        let (back, gone) = workers.start_lives_after_crashes();
         for number in back {
             list_life(&workers, &store, addresses[number], number);
         }
--- a/crates/sedgehill-standin/src/cell_platform/oracle.rs
+++ b/crates/sedgehill-standin/src/cell_platform/oracle.rs
@@ -17,7 +17,7 @@
     pub violations: Vec<String>,
     pub starts: usize,
     /// Jobs of which a task was ever begun.
-    pub begun_jobs: BTreeSet<String>,
+    pub started_jobs: BTreeSet<String>,
     /// The most tasks that may run of jobs whose ids begin so.
     pub bounds: Vec<(String, usize)>,
     /// Tasks whose end somebody has noted, with that end.
@@ -47,7 +47,7 @@
             self.violations.push(format!("{task} begins after its end: {end}, then {told}"));
         }
         self.starts += 1;
-        self.begun_jobs.insert(job_of(task));
+        self.started_jobs.insert(job_of(task));
         self.begun.entry(task.to_owned()).or_default().push((now, told.to_owned()));
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Workers that crashed under a task by its doing.
-    pub fn crashes_under(&self, task: &str) -> usize {
+    pub fn crashes_caused_by(&self, task: &str) -> usize {
         self.crashed.get(task).copied().unwrap_or(0)
     }
 
--- a/crates/sedgehill-standin/src/cell_platform/sight.rs
+++ b/crates/sedgehill-standin/src/cell_platform/snapshot.rs
@@ -7,9 +7,9 @@
 
 /// A worker as seen from outside.
 #[derive(Debug, Clone)]
-pub struct WorkerSight {
+pub struct WorkerSnapshot {
     /// A life is there.
-    pub lives: bool,
+    pub alive: bool,
     /// What it has, in cores.
     pub cores: usize,
     /// What runs there takes so many of them.
@@ -20,12 +20,12 @@
 
 impl StandinWorkers {
     /// What runs on each worker, as seen from outside.
-    pub fn sights(&self) -> Vec<WorkerSight> {
+    pub fn snapshots(&self) -> Vec<WorkerSnapshot> {
         let now = self.now_ms();
         let state = &mut *self.state.lock();
         state.settle(now);
-        let sight = |site: &WorkerSite| WorkerSight {
-            lives: site.life.is_some(),
+        let snapshot = |site: &WorkerSite| WorkerSnapshot {
+            alive: site.life.is_some(),
             cores: site.cores,
             used: site.life.as_ref().map_or(0, StandinLife::used_cores),
             running: site
@@ -35,7 +35,7 @@
                 .map(|task| step_of(task).to_owned())
                 .collect(),
         };
-        state.sites.iter().map(sight).collect()
+        state.sites.iter().map(snapshot).collect()
     }
 
     /// The tasks of all runs that are chosen.
--- a/crates/sedgehill-standin/src/cell_platform/store.rs
+++ b/crates/sedgehill-standin/src/cell_platform/store.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 
 use super::WORKER_TOPIC;
-use super::trouble::{CallFate, FateDrawer, PathTrouble};
+use super::call_fault::{CallDelivery, FaultInjector, PathFault};
 use crate::http_server::{JsonResponse, json, query_value, status};
 
 /// Time between two looks of a call that waits.
@@ -42,13 +42,13 @@
     /// How much later than the one before each reading of the newest records is answered, and how many were.
     newest_late: Option<(Duration, u32)>,
     /// What becomes of appends.
-    trouble: Option<PathTrouble>,
+    trouble: Option<PathFault>,
     /// What pages of the newest records hold as well, as it stands: the topic and the item.
     strays: Vec<(String, serde_json::Value)>,
 }
 
 impl StoreState {
-    fn forget(&mut self, topic: &str) {
+    fn discard_history(&mut self, topic: &str) {
         let end = self.topics.get(topic).map_or(0, Vec::len) as u64;
         self.first.insert(topic.to_owned(), end);
     }
@@ -58,7 +58,7 @@
 #[derive(Debug, Default)]
 pub struct StandinStore {
     state: Mutex<StoreState>,
-    fates: FateDrawer,
+    fault_injector: FaultInjector,
 }
 
 impl StandinStore {
@@ -75,12 +75,12 @@
     }
 
     /// Has the records that a topic holds now gone: only the newest of each key can be read.
-    pub fn forget(&self, topic: &str) {
-        self.state.lock().forget(topic);
+    pub fn discard_history(&self, topic: &str) {
+        self.state.lock().discard_history(topic);
     }
 
     /// Has a topic's records gone, once, the moment a sender begins a new epoch there.
-    pub fn forget_at_fence(&self, topic: &str) {
+    pub fn discard_history_at_fence(&self, topic: &str) {
         self.state.lock().forgets_at_fence = Some(topic.to_owned());
     }
 
@@ -91,13 +91,13 @@
     }
 
     /// Has the next append to a topic carried out at once and answered after a time.
-    pub fn answer_next_late(&self, topic: &str, after: Duration) {
+    pub fn delay_next_append_answer(&self, topic: &str, after: Duration) {
         self.state.lock().answers_late = Some((topic.to_owned(), after));
     }
 
     /// Has each reading of the newest records answered so much later than the one before it: the first as
     /// late, the second twice as late.
-    pub fn answer_newest_late(&self, each: Duration) {
+    pub fn delay_newest_answers(&self, each: Duration) {
         self.state.lock().newest_late = Some((each, 0));
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Has reads that waited told so much later that what they ask for is gone.
-    pub fn tell_held_reads_late(&self, late: Duration) {
+    pub fn delay_gone_answers(&self, late: Duration) {
         self.state.lock().tells_gone_late = Some(late);
     }
 
@@ -128,13 +128,13 @@
     }
 
     /// Has appends meet trouble, or no more.
-    pub fn set_trouble(&self, trouble: Option<PathTrouble>) {
+    pub fn set_append_fault(&self, trouble: Option<PathFault>) {
         self.state.lock().trouble = trouble;
     }
 
     /// Draws by another seed what becomes of appends.
     pub fn seed(&self, seed: u64) {
-        self.fates.seed(seed);
+        self.fault_injector.seed(seed);
     }
 
     /// Drops a key.
@@ -151,7 +151,7 @@
     }
 
     /// Puts an item into the pages of a topic's newest records, whatever it is.
-    pub fn put_stray(&self, topic: &str, item: serde_json::Value) {
+    pub fn put_raw_item(&self, topic: &str, item: serde_json::Value) {
         self.state.lock().strays.push((topic.to_owned(), item));
     }
 
@@ -219,15 +219,15 @@
         tokio::time::sleep(after).await;
         return response;
     }
-    match store.fates.draw(trouble, epoch) {
-        CallFate::Answered => carry_out(&store, call),
-        CallFate::AnsweredAfter(after) => {
+    match store.fault_injector.draw(trouble, epoch) {
+        CallDelivery::Answered => carry_out(&store, call),
+        CallDelivery::AnsweredAfter(after) => {
             let response = carry_out(&store, call);
             tokio::time::sleep(after).await;
             response
         }
-        CallFate::Lost => std::future::pending().await,
-        CallFate::Unanswered(after) => {
+        CallDelivery::Lost => std::future::pending().await,
+        CallDelivery::Unanswered(after) => {
             tokio::spawn(async move {
                 tokio::time::sleep(after).await;
                 carry_out(&store, call)
@@ -276,7 +276,7 @@
         state.holds_reads.take_if(|held| held == topic);
     }
     if fences && state.forgets_at_fence.take_if(|forgotten| forgotten == topic).is_some() {
-        state.forget(topic);
+        state.discard_history(topic);
     }
     json(&serde_json::json!({ "end": end }))
 }
--- a/crates/sedgehill-standin/src/cell_platform/worker.rs
+++ b/crates/sedgehill-standin/src/cell_platform/worker.rs
@@ -11,9 +11,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use super::call_fault::{FaultInjector, PathFault};
 use super::life::{StandinClock, StandinLife};
 use super::oracle::TaskOracle;
-use super::trouble::{FateDrawer, PathTrouble};
 
 /// How long every task runs where nothing else is asked for, in milliseconds.
 const RUN_MS: Range<u64> = 150..151;
@@ -52,7 +52,7 @@
     lives: usize,
     /// Ids that they had: a life may have the id of the one before it.
     pub(super) ids: usize,
-    pub(super) trouble: Option<PathTrouble>,
+    pub(super) trouble: Option<PathFault>,
     /// Runs that were begun there.
     pub(super) starts: usize,
     /// What it has, and what it had before, with until when a lead may go by that.
@@ -78,7 +78,7 @@
 pub struct StandinWorkers {
     begun: Instant,
     pub(super) state: Mutex<PoolState>,
-    pub(super) fates: FateDrawer,
+    pub(super) fault_injector: FaultInjector,
     /// How much later than they are given all answers arrive, in milliseconds.
     pub(super) delay_ms: AtomicU64,
 }
@@ -127,7 +127,7 @@
                 run_ms: RUN_MS,
                 keeping: None,
             }),
-            fates: FateDrawer::default(),
+            fault_injector: FaultInjector::default(),
             delay_ms: AtomicU64::new(0),
         }
     }
@@ -144,7 +144,7 @@
     }
 
     /// Has it counted as a violation if more than `most` tasks run at once of jobs whose ids begin so.
-    pub fn bound(&self, prefix: &str, most: usize) {
+    pub fn limit_running_tasks(&self, prefix: &str, most: usize) {
         self.state.lock().oracle.bounds.push((prefix.to_owned(), most));
     }
 
@@ -155,11 +155,11 @@
 
     /// Draws by another seed what becomes of calls.
     pub fn seed(&self, seed: u64) {
-        self.fates.seed(seed);
+        self.fault_injector.seed(seed);
     }
 
     /// Has all workers tell when their lives began, and some that die start again under the ids that they had.
-    pub fn keep_ids(&self, seed: u64) {
+    pub fn reuse_ids(&self, seed: u64) {
         let state = &mut *self.state.lock();
         state.keeping = Some(StdRng::seed_from_u64(seed));
         for life in state.sites.iter_mut().flat_map(|site| &mut site.life) {
@@ -178,13 +178,13 @@
     }
 
     /// Whether a life with this id is there.
-    pub fn lives_as(&self, id: &str) -> bool {
+    pub fn is_alive(&self, id: &str) -> bool {
         let state = self.state.lock();
         state.sites.iter().flat_map(|site| &site.life).any(|life| life.name == id)
     }
 
     /// Makes the path to a worker worse, or good again.
-    pub fn set_trouble(&self, number: usize, trouble: Option<PathTrouble>) {
+    pub fn set_path_fault(&self, number: usize, trouble: Option<PathFault>) {
         self.state.lock().sites[number].trouble = trouble;
     }
 
@@ -217,15 +217,15 @@
     }
 
     /// Workers that crashed under a task by its doing.
-    pub fn crashes_under(&self, task: &str) -> usize {
+    pub fn crashes_caused_by(&self, task: &str) -> usize {
         let state = &mut *self.state.lock();
         state.settle(self.now_ms());
-        state.oracle.crashes_under(task)
+        state.oracle.crashes_caused_by(task)
     }
 
     /// Begins the lives that follow on crashes by tasks. Returns the workers that are back, and the names of lives
     /// that are listed no more.
-    pub fn follow_crashes(&self) -> (Vec<usize>, Vec<String>) {
+    pub fn start_lives_after_crashes(&self) -> (Vec<usize>, Vec<String>) {
         let now = self.now_ms();
         let state = &mut *self.state.lock();
         state.settle(now);
@@ -247,18 +247,18 @@
     }
 
     /// Another life begins at the address of one that died. Returns its name; none if one is there.
-    pub fn revive(&self, number: usize) -> Option<String> {
+    pub fn start_next_life(&self, number: usize) -> Option<String> {
         let state = &mut *self.state.lock();
         state.begin_life(number).then(|| name(number, state.sites[number].ids - 1))
     }
 
     /// The id of the life at an address, or of the last one there.
-    pub fn life_name(&self, number: usize) -> String {
+    pub fn life_id(&self, number: usize) -> String {
         name(number, self.state.lock().sites[number].ids - 1)
     }
 
     /// The worker on which a task runs.
-    pub fn place_of(&self, task: &str) -> Option<usize> {
+    pub fn worker_running(&self, task: &str) -> Option<usize> {
         let state = self.state.lock();
         let runs =
             |site: &WorkerSite| site.life.as_ref().is_some_and(|life| life.runs.contains_key(task));
@@ -276,8 +276,8 @@
     }
 
     /// Jobs of which a task was ever begun.
-    pub fn begun_jobs(&self) -> BTreeSet<String> {
-        self.state.lock().oracle.begun_jobs.clone()
+    pub fn started_jobs(&self) -> BTreeSet<String> {
+        self.state.lock().oracle.started_jobs.clone()
     }
 
     pub(super) fn now_ms(&self) -> u64 {
@@ -339,7 +339,7 @@
 }
 
 /// How long the tasks of a step run: all alike, since the members of a gang end together.
-pub fn span_of(step: &str, run_ms: &Range<u64>) -> u64 {
+pub fn run_duration_ms(step: &str, run_ms: &Range<u64>) -> u64 {
     let mut hasher = DefaultHasher::new();
     step.hash(&mut hasher);
     let drawn = hasher.finish();
--- a/crates/sedgehill-standin/src/cell_platform/worker_calls.rs
+++ b/crates/sedgehill-standin/src/cell_platform/worker_calls.rs
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 
 use super::advice;
+use super::call_fault::CallDelivery;
 use super::life::{StandinLife, StandinRun};
 use super::spec::{GANG_SPEC, WIDE_SPEC, cores_of, crash_time, failure_time};
-use super::trouble::CallFate;
-use super::worker::{PoolState, STOP_MS, StandinWorkers, TURN, name, span_of, step_of};
+use super::worker::{PoolState, STOP_MS, StandinWorkers, TURN, name, run_duration_ms, step_of};
 use crate::http_server::{JsonResponse, json, read_json, status};
 
 #[derive(Deserialize, Clone)]
@@ -58,14 +58,14 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let trouble = pool.state.lock().sites[number].trouble;
-    let fate = pool.fates.draw(trouble, order.fencing_token);
+    let fate = pool.fault_injector.draw(trouble, order.fencing_token);
     let mut call = Call { number, path, life, order };
     let mut late = Duration::from_millis(pool.delay_ms.load(Ordering::Relaxed));
     match fate {
-        CallFate::Answered => {}
-        CallFate::AnsweredAfter(after) => late += after,
-        CallFate::Lost => return std::future::pending().await,
-        CallFate::Unanswered(after) => {
+        CallDelivery::Answered => {}
+        CallDelivery::AnsweredAfter(after) => late += after,
+        CallDelivery::Lost => return std::future::pending().await,
+        CallDelivery::Unanswered(after) => {
             call.order.held = after;
             tokio::spawn(async move {
                 tokio::time::sleep(after).await;
@@ -166,7 +166,7 @@
 
 fn start(state: &mut PoolState, call: &Call, now: u64) -> JsonResponse {
     let (order, number) = (&call.order, call.number);
-    let span = span_of(step_of(&order.task), &state.run_ms);
+    let span = run_duration_ms(step_of(&order.task), &state.run_ms);
     let Some(life) = &mut state.sites[number].life else { return status(StatusCode::NOT_FOUND) };
     let clock = life.clock.at(now);
     let ticket = order.ticket.as_deref().unwrap_or_default();
--- a/crates/sedgehill-standin/src/cell_process.rs
+++ b/crates/sedgehill-standin/src/cell_process.rs
@@ -20,7 +20,7 @@
 
 /// Where a box listens and what it meets. A box that is started again keeps all of it.
 #[derive(Debug, Clone)]
-pub struct CellSite {
+pub struct CellBoxConfig {
     /// Its name.
     pub name: String,
     /// Where it takes callers.
@@ -36,11 +36,16 @@
     link_mbps: Option<String>,
 }
 
-impl CellSite {
+impl CellBoxConfig {
     /// A site on free ports of loopback. The box reaches the store at `store`.
-    pub fn new(name: &str, platform: &CellPlatform, store: SocketAddr, cores: &str) -> CellSite {
+    pub fn new(
+        name: &str,
+        platform: &CellPlatform,
+        store: SocketAddr,
+        cores: &str,
+    ) -> CellBoxConfig {
         let [callers, ready, peers, metrics] = free_addresses(Ipv4Addr::LOCALHOST.into());
-        CellSite {
+        CellBoxConfig {
             name: name.to_owned(),
             callers,
             ready,
@@ -54,13 +59,13 @@
     }
 
     /// The same site with a link that carries so much.
-    pub fn with_link(mut self, link_mbps: &str) -> CellSite {
+    pub fn with_link_mbps(mut self, link_mbps: &str) -> CellBoxConfig {
         self.link_mbps = Some(link_mbps.to_owned());
         self
     }
 
     /// The same site with a way of its own to the advice service.
-    pub fn with_advice(mut self, advice: SocketAddr) -> CellSite {
+    pub fn with_advice(mut self, advice: SocketAddr) -> CellBoxConfig {
         self.advice = advice;
         self
     }
@@ -113,7 +118,7 @@
 
 impl CellProcess {
     /// The last lines of its log, to tell why something did not come.
-    pub fn last_lines(&self) -> String {
+    pub fn log_tail(&self) -> String {
         const LINES: usize = 12;
         let Ok(text) = std::fs::read_to_string(&self.log) else { return "no log".to_owned() };
         let lines: Vec<&str> = text.lines().collect();
--- a/crates/sedgehill-standin/src/cluster.rs
+++ b/crates/sedgehill-standin/src/cluster.rs
@@ -72,7 +72,7 @@
 }
 
 /// What most workers of the brief have.
-pub fn usual_worker() -> ResourceSet {
+pub fn standard_worker() -> ResourceSet {
     ResourceSet { cores: CoreCount(16_000), memory: MemorySize(64 << 30), accelerators: 0 }
 }
 
--- a/crates/sedgehill-standin/src/demo/load.rs
+++ b/crates/sedgehill-standin/src/demo/load.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use sedgehill_standin::caller::{CallPlan, CallReport, StandinCaller};
-use sedgehill_standin::ledger::ToldOutcome;
+use sedgehill_standin::ledger::CallerOutcome;
 use tokio::sync::watch;
 
 /// One kind of request and how often it comes.
@@ -55,7 +55,7 @@
     /// Waiting: the time beyond the endpoint's work, in microseconds.
     pub waiting: Histogram<u64>,
     /// Calls by what they were told.
-    pub outcomes: BTreeMap<ToldOutcome, u64>,
+    pub outcomes: BTreeMap<CallerOutcome, u64>,
     /// Calls that were not answered, by reason.
     pub reasons: BTreeMap<String, u64>,
 }
@@ -117,10 +117,10 @@
         let tally = tally.entry(kind.path).or_default();
         *tally.outcomes.entry(report.outcome).or_default() += 1;
         let success = report.status.is_some_and(|status| (200..300).contains(&status));
-        if report.outcome == ToldOutcome::Answered && !success {
+        if report.outcome == CallerOutcome::Answered && !success {
             let reason = format!("answered with status {:?}", report.status);
             *tally.reasons.entry(reason).or_default() += 1;
-        } else if report.outcome == ToldOutcome::Answered {
+        } else if report.outcome == CallerOutcome::Answered {
             let waited = report.took.saturating_sub(plan.work).as_micros() as u64;
             tally.waiting.saturating_record(waited.max(1));
         } else {
@@ -179,12 +179,12 @@
             continue;
         }
         shared.note(kind, &plan, &report);
-        if report.outcome == ToldOutcome::Nothing {
+        if report.outcome == CallerOutcome::Nothing {
             let lost =
                 LostCall { began, lost: Instant::now(), address, reason: report.reason.clone() };
             shared.lost.lock().push(lost);
         }
-        if report.outcome != ToldOutcome::NotRun {
+        if report.outcome != CallerOutcome::NotRun {
             return;
         }
         let pause = u64::from(report.retry_after.unwrap_or(1));
--- a/crates/sedgehill-standin/src/demo/mod.rs
+++ b/crates/sedgehill-standin/src/demo/mod.rs
@@ -12,12 +12,12 @@
 
 use pico_args::Arguments;
 use sedgehill_standin::cluster::{
-    ClusterPlan, EndpointGroup, TestCluster, WorkerGroup, quick_settings, usual_worker,
+    ClusterPlan, EndpointGroup, TestCluster, WorkerGroup, quick_settings, standard_worker,
 };
 
 use crate::commands::{CommandResult, finish};
 
-pub use sample::process_cost;
+pub use sample::process_usage;
 
 /// Halls of Haddad & Sons.
 const HADDAD_HALLS: [&str; 4] = ["abdali", "sweifieh", "marka", "tlaa-ali"];
@@ -64,13 +64,13 @@
                 halls: HADDAD_HALLS.to_vec(),
                 count: 50,
                 per_rack: 6,
-                total: usual_worker(),
+                total: standard_worker(),
             },
             WorkerGroup {
                 halls: INKASO_HALLS.to_vec(),
                 count: 50,
                 per_rack: 8,
-                total: usual_worker(),
+                total: standard_worker(),
             },
         ],
         list_lag: Duration::from_millis(500),
--- a/crates/sedgehill-standin/src/demo/report.rs
+++ b/crates/sedgehill-standin/src/demo/report.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use sedgehill_standin::cluster::TestCluster;
-use sedgehill_standin::ledger::{RuleCount, SafetyRule, ToldOutcome};
+use sedgehill_standin::ledger::{CallerOutcome, RuleCount, SafetyRule};
 use serde::Serialize;
 
 use super::load::{KindTally, LoadShared};
-use super::sample::{BoxCost, ConfigWatch, PackingSamples};
+use super::sample::{BoxUsage, ConfigWatch, PackingSamples};
 
 /// What callers of one kind saw.
 #[derive(Debug, Clone, Serialize)]
@@ -32,10 +32,10 @@
             path: path.to_owned(),
             waiting_p50_ms: millis(0.5),
             waiting_p99_ms: millis(0.99),
-            answered: count(ToldOutcome::Answered),
-            not_run: count(ToldOutcome::NotRun),
-            unknown: count(ToldOutcome::Unknown),
-            nothing: count(ToldOutcome::Nothing),
+            answered: count(CallerOutcome::Answered),
+            not_run: count(CallerOutcome::NotRun),
+            unknown: count(CallerOutcome::Unknown),
+            nothing: count(CallerOutcome::Nothing),
             reasons: tally.reasons.clone(),
         }
     }
@@ -52,7 +52,7 @@
     jobs: usize,
     unfinished_jobs: usize,
     log_appends: u64,
-    boxes: BTreeMap<String, BoxCost>,
+    boxes: BTreeMap<String, BoxUsage>,
     violations: Vec<(SafetyRule, RuleCount)>,
 }
 
@@ -69,7 +69,7 @@
     /// How configuration came into force.
     pub configs: &'r ConfigWatch,
     /// What each box used.
-    pub costs: &'r BTreeMap<String, BoxCost>,
+    pub costs: &'r BTreeMap<String, BoxUsage>,
     /// Jobs that were submitted.
     pub jobs: usize,
     /// Jobs that did not end in time.
@@ -93,7 +93,7 @@
             task_starts: cluster.ledger.task_starts(),
             jobs: findings.jobs,
             unfinished_jobs: findings.unfinished_jobs,
-            log_appends: cluster.log.appends(),
+            log_appends: cluster.log.append_count(),
             boxes: (*costs).clone(),
             violations: cluster.ledger.violations(),
         }
--- a/crates/sedgehill-standin/src/demo/sample.rs
+++ b/crates/sedgehill-standin/src/demo/sample.rs
@@ -16,7 +16,7 @@
 
 /// What one box cost.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct BoxCost {
+pub struct BoxUsage {
     /// Processor seconds of its process.
     pub cpu_seconds: f64,
     /// Its resident memory, in MiB.
@@ -24,14 +24,14 @@
 }
 
 /// Reads what a process has used so far; none if it is gone.
-pub fn process_cost(pid: u32) -> Option<BoxCost> {
+pub fn process_usage(pid: u32) -> Option<BoxUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kib: f64 = resident.trim().trim_end_matches("kB").trim().parse().ok()?;
-    Some(BoxCost { cpu_seconds: ticks / TICKS_PER_SECOND, resident_mib: kib / 1024.0 })
+    Some(BoxUsage { cpu_seconds: ticks / TICKS_PER_SECOND, resident_mib: kib / 1024.0 })
 }
 
 /// How full the workers were on which anything ran.
@@ -45,7 +45,7 @@
     /// Looks at every worker once.
     pub fn take(&mut self, cluster: &TestCluster) {
         for worker in &cluster.workers {
-            let (used, total) = worker.room();
+            let (used, total) = worker.usage();
             if used != ResourceSet::default() {
                 self.used += used.cores.0 as f64;
                 self.total += total.cores.0 as f64;
--- a/crates/sedgehill-standin/src/demo/scenario.rs
+++ b/crates/sedgehill-standin/src/demo/scenario.rs
@@ -11,7 +11,7 @@
 
 use super::load::{BRIEF_LOAD, BalancerView, LoadShared, send};
 use super::report::{DemoFindings, DemoReport};
-use super::sample::{BoxCost, ConfigWatch, PackingSamples, process_cost};
+use super::sample::{BoxUsage, ConfigWatch, PackingSamples, process_usage};
 use super::{progress, publish_examples};
 
 const TURN: Duration = Duration::from_millis(200);
@@ -34,7 +34,7 @@
     balancer: watch::Sender<BalancerView>,
     packing: PackingSamples,
     configs: ConfigWatch,
-    costs: BTreeMap<String, BoxCost>,
+    costs: BTreeMap<String, BoxUsage>,
     stop: Option<PlannedStop>,
 }
 
@@ -148,7 +148,7 @@
         for index in 0..self.cluster.boxes.len() {
             self.look_after_stop(index);
             let process = &self.cluster.boxes[index];
-            let Some(cost) = process.pid().and_then(process_cost) else { continue };
+            let Some(cost) = process.pid().and_then(process_usage) else { continue };
             self.costs.insert(process.id.to_string(), cost);
             let address = process.addresses.traffic;
             let Some(health) = self.cluster.health(index).await else { continue };
--- a/crates/sedgehill-standin/src/kept_caller.rs
+++ b/crates/sedgehill-standin/src/keep_alive_caller.rs
@@ -16,7 +16,7 @@
 
 /// How one call on a kept connection ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KeptOutcome {
+pub enum KeepAliveOutcome {
     /// A whole answer came, with this status.
     Answered(u16),
     /// No connection could be made: nothing was sent.
@@ -26,21 +26,21 @@
 }
 
 /// A caller with one connection.
-pub struct KeptCaller {
+pub struct KeepAliveCaller {
     address: SocketAddr,
     request: Arc<str>,
     stream: Option<TcpStream>,
     calls: usize,
 }
 
-impl KeptCaller {
+impl KeepAliveCaller {
     /// A caller that sends `request`, a whole HTTP/1.1 request, to `address`.
-    pub fn new(address: SocketAddr, request: Arc<str>) -> KeptCaller {
-        KeptCaller { address, request, stream: None, calls: 0 }
+    pub fn new(address: SocketAddr, request: Arc<str>) -> KeepAliveCaller {
+        KeepAliveCaller { address, request, stream: None, calls: 0 }
     }
 
     /// Makes one call, on the kept connection if that has not ended.
-    pub async fn call(&mut self) -> KeptOutcome {
+    pub async fn call(&mut self) -> KeepAliveOutcome {
         let kept = self.stream.take().filter(is_open);
         let mut stream = match kept {
             Some(stream) => stream,
@@ -48,7 +48,7 @@
                 self.calls = 0;
                 match TcpStream::connect(self.address).await {
                     Ok(stream) => stream,
-                    Err(_) => return KeptOutcome::Refused,
+                    Err(_) => return KeepAliveOutcome::Refused,
                 }
             }
         };
@@ -57,12 +57,12 @@
         match tokio::time::timeout(CALL_LIMIT, exchange).await {
             Ok(Ok((status, goes_on))) => {
                 self.stream = goes_on.then_some(stream);
-                KeptOutcome::Answered(status)
+                KeepAliveOutcome::Answered(status)
             }
             Ok(Err(error)) => {
-                KeptOutcome::Cut(format!("call {} of its connection: {error}", self.calls))
+                KeepAliveOutcome::Cut(format!("call {} of its connection: {error}", self.calls))
             }
-            Err(_) => KeptOutcome::Cut("no answer in time".to_owned()),
+            Err(_) => KeepAliveOutcome::Cut("no answer in time".to_owned()),
         }
     }
 }
@@ -112,7 +112,7 @@
 }
 
 /// Has callers go on at one address until it takes no connection.
-pub async fn call_until_gone(
+pub async fn call_until_refused(
     address: SocketAddr,
     request: &str,
     callers: usize,
@@ -123,14 +123,16 @@
     let mut tasks = JoinSet::new();
     for _ in 0..callers {
         let (mut caller, pauses_ms) =
-            (KeptCaller::new(address, request.clone()), pauses_ms.clone());
+            (KeepAliveCaller::new(address, request.clone()), pauses_ms.clone());
         tasks.spawn(async move {
             let mut tally = StopTally::default();
             loop {
                 match caller.call().await {
-                    KeptOutcome::Refused => return tally,
-                    KeptOutcome::Answered(status) => tally.refused += usize::from(status == 503),
-                    KeptOutcome::Cut(how) => tally.cut.push((begun.elapsed(), how)),
+                    KeepAliveOutcome::Refused => return tally,
+                    KeepAliveOutcome::Answered(status) => {
+                        tally.refused += usize::from(status == 503)
+                    }
+                    KeepAliveOutcome::Cut(how) => tally.cut.push((begun.elapsed(), how)),
                 }
                 tally.calls += 1;
                 let pause = rand::rng().random_range(pauses_ms.clone());
--- a/crates/sedgehill-standin/src/ledger.rs
+++ b/crates/sedgehill-standin/src/ledger.rs
@@ -66,7 +66,7 @@
 /// What a caller was told of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ToldOutcome {
+pub enum CallerOutcome {
     /// It has an answer.
     Answered,
     /// It did not run.
@@ -97,7 +97,7 @@
     once_only: HashSet<String>,
     told_not_run: HashSet<String>,
     leaving: HashMap<EndpointId, Instant>,
-    told: BTreeMap<ToldOutcome, u64>,
+    told: BTreeMap<CallerOutcome, u64>,
 }
 
 impl LedgerState {
@@ -203,10 +203,10 @@
 
     /// Notes what a caller was told. A request told as not run may be sent again under the same
     /// token; `again` says that the caller will.
-    pub fn told(&self, token: &str, outcome: ToldOutcome, again: bool) {
+    pub fn record_outcome(&self, token: &str, outcome: CallerOutcome, again: bool) {
         let mut state = self.state.lock();
         *state.told.entry(outcome).or_default() += 1;
-        if outcome != ToldOutcome::NotRun {
+        if outcome != CallerOutcome::NotRun {
             return;
         }
         let ran = state.request_runs.get(token).copied().unwrap_or(0);
@@ -224,7 +224,7 @@
     }
 
     /// What callers were told, by outcome.
-    pub fn outcomes(&self) -> BTreeMap<ToldOutcome, u64> {
+    pub fn outcome_counts(&self) -> BTreeMap<CallerOutcome, u64> {
         self.state.lock().told.clone()
     }
 
--- a/crates/sedgehill-standin/src/lib.rs
+++ b/crates/sedgehill-standin/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod cluster;
 pub mod endpoint;
 pub mod http_server;
-pub mod kept_caller;
+pub mod keep_alive_caller;
 pub mod ledger;
 pub mod list_server;
 pub mod log_server;
--- a/crates/sedgehill-standin/src/list_server.rs
+++ b/crates/sedgehill-standin/src/list_server.rs
@@ -64,7 +64,7 @@
     }
 
     /// The list as it shows now.
-    pub fn shown(&self) -> PlatformList {
+    pub fn visible_list(&self) -> PlatformList {
         let store = self.store.lock();
         let now = Instant::now();
         let shows = |(since, _): &&(Instant, PlatformList)| now >= *since + store.lag;
@@ -82,7 +82,7 @@
                     return status(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 match (request.method().clone(), request.uri().path()) {
-                    (Method::GET, "/v1/list") => http_server::json(&list.shown()),
+                    (Method::GET, "/v1/list") => http_server::json(&list.visible_list()),
                     (Method::POST, "/v1/list") => match read_json::<PlatformList>(request).await {
                         Some(new) => {
                             list.change(|list| *list = new);
--- a/crates/sedgehill-standin/src/log_server.rs
+++ b/crates/sedgehill-standin/src/log_server.rs
@@ -90,7 +90,7 @@
     }
 
     /// Appends so far.
-    pub fn appends(&self) -> u64 {
+    pub fn append_count(&self) -> u64 {
         self.store.lock().appends
     }
 
--- a/crates/sedgehill-standin/src/measure/capacity.rs
+++ b/crates/sedgehill-standin/src/measure/capacity.rs
@@ -24,13 +24,13 @@
 use sedgehill_core::state::ClusterState;
 use sedgehill_core::units::{Moment, ResourceSet, TimeSpan};
 use sedgehill_standin::cluster::{
-    ClusterPlan, TestCluster, WorkerGroup, quick_settings, usual_worker,
+    ClusterPlan, TestCluster, WorkerGroup, quick_settings, standard_worker,
 };
 use serde::Serialize;
 use serde_json::json;
 use uuid::Uuid;
 
-use crate::demo::process_cost;
+use crate::demo::process_usage;
 
 const WORKER_SIZES: [usize; 5] = [60, 120, 240, 540, 1_080];
 const ENDPOINT_SIZES: [usize; 5] = [50, 100, 200, 540, 1_080];
@@ -158,7 +158,7 @@
         hall: hall(),
         rack: format!("r-{}", index / 8).parse().expect("a valid name"),
         address: Some("127.0.0.1:1".parse().expect("a valid address")),
-        total: usual_worker(),
+        total: standard_worker(),
         leaving: false,
     };
     (0..count).map(view).collect()
@@ -359,7 +359,7 @@
         ..WorkerSync::default()
     };
     let report =
-        |index| TaskReport { attempt: attempt(index), resources: usual_worker(), outcome: None };
+        |index| TaskReport { attempt: attempt(index), resources: standard_worker(), outcome: None };
     let inventory = WorkerInventory {
         incarnation: Incarnation(u64::MAX / 3),
         tasks: (0..tasks).map(report).collect(),
@@ -377,7 +377,7 @@
 fn heartbeat_bytes(halls: usize) -> SlopeRow {
     let room = HallCapacity {
         hall: hall(),
-        total: usual_worker().times(90),
+        total: standard_worker().times(90),
         free: ResourceSet::default(),
     };
     let heartbeat = BoxHeartbeat {
@@ -407,7 +407,7 @@
             halls: vec!["hall"],
             count,
             per_rack: 8,
-            total: usual_worker(),
+            total: standard_worker(),
         }],
         list_lag: Duration::ZERO,
         settings,
@@ -426,17 +426,17 @@
     .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let pid = cluster.boxes[0].pid().expect("the box runs");
-    let before = process_cost(pid).expect("the box runs");
-    let appends = cluster.log.appends();
+    let before = process_usage(pid).expect("the box runs");
+    let appends = cluster.log.append_count();
     tokio::time::sleep(WATCH).await;
-    let after = process_cost(pid).expect("the box runs");
+    let after = process_usage(pid).expect("the box runs");
     let seconds = WATCH.as_secs_f64();
     row(
         count,
         [
             ("% of a core", (after.cpu_seconds - before.cpu_seconds) / seconds * 100.0),
             ("MiB resident", after.resident_mib),
-            ("appends/s", (cluster.log.appends() - appends) as f64 / seconds),
+            ("appends/s", (cluster.log.append_count() - appends) as f64 / seconds),
         ],
     )
 }
--- a/crates/sedgehill-standin/src/measure/stops.rs
+++ b/crates/sedgehill-standin/src/measure/stops.rs
@@ -7,9 +7,9 @@
 
 use nix::sys::signal::Signal;
 use sedgehill_standin::cell_platform::CellPlatform;
-use sedgehill_standin::cell_process::{CellProcess, CellSite, call};
+use sedgehill_standin::cell_process::{CellBoxConfig, CellProcess, call};
 use sedgehill_standin::cluster::{ClusterPlan, EndpointGroup, TestCluster, quick_settings};
-use sedgehill_standin::kept_caller::{StopTally, call_until_gone};
+use sedgehill_standin::keep_alive_caller::{StopTally, call_until_refused};
 use serde::Serialize;
 
 /// Callers of each stop.
@@ -163,7 +163,7 @@
     let platform = CellPlatform::start(2).await.expect("the stand-ins can be started");
     platform.configure(1);
     let start = |name: &str| {
-        let site = CellSite::new(name, &platform, platform.store_address, "0.25");
+        let site = CellBoxConfig::new(name, &platform, platform.store_address, "0.25");
         site.start(directory.path()).expect("a box can be started")
     };
     let (mut first, second) = (start("first"), start("second"));
@@ -203,5 +203,5 @@
     pauses: &RangeInclusive<u64>,
 ) -> tokio::task::JoinHandle<StopTally> {
     let pauses = pauses.clone();
-    tokio::spawn(async move { call_until_gone(address, request, CALLERS, pauses).await })
+    tokio::spawn(async move { call_until_refused(address, request, CALLERS, pauses).await })
 }
--- a/crates/sedgehill-standin/src/soak/callers.rs
+++ b/crates/sedgehill-standin/src/soak/callers.rs
@@ -17,7 +17,7 @@
 
 use super::keys::SOAK_KEY;
 use super::{RUN_MS, SoakSize, SoakWorld, wide};
-use crate::cell_platform::{CRASH_SPEC, GANG_SPEC, span_of};
+use crate::cell_platform::{CRASH_SPEC, GANG_SPEC, run_duration_ms};
 
 /// How often a caller tries one job before it gives up.
 const TRIES: usize = 10;
@@ -246,7 +246,7 @@
 fn draw_job(rng: &mut StdRng, id: u64) -> String {
     let step = |rng: &mut StdRng, after: Option<u16>| {
         let number = after.map_or(0, |before| before + 1);
-        let estimate = span_of(&format!("{id:016x}.0.{number}"), &RUN_MS);
+        let estimate = run_duration_ms(&format!("{id:016x}.0.{number}"), &RUN_MS);
         let gang = rng.random_ratio(1, 3);
         let count = rng.random_range(1..4);
         serde_json::json!({
--- a/crates/sedgehill-standin/src/soak/faults.rs
+++ b/crates/sedgehill-standin/src/soak/faults.rs
@@ -9,7 +9,7 @@
 use super::plan::SoakFault;
 use super::proxy::PathState;
 use super::{full, wide};
-use crate::cell_platform::{PROGRESS_TOPIC, PathTrouble};
+use crate::cell_platform::{PROGRESS_TOPIC, PathFault};
 
 /// One in so many workers dies where many do at once, and they are back so far apart.
 const MANY_ONE_IN: usize = 3;
@@ -46,8 +46,8 @@
     /// Another life begins at the address of a worker that died. One that has the id of the one before it is listed as
     /// that for a time.
     fn revive(&self, number: usize) -> Option<Duration> {
-        let earlier = self.platform.workers.life_name(number);
-        let next = self.platform.workers.revive(number)?;
+        let earlier = self.platform.workers.life_id(number);
+        let next = self.platform.workers.start_next_life(number)?;
         if next == earlier {
             return Some(LISTED_LATER * (number % LISTED_STEPS) as u32);
         }
@@ -92,7 +92,7 @@
             }
             SoakFault::Configure => self.configure(),
             SoakFault::Advice(number, trouble, span) => {
-                self.platform.advice.set_trouble(number + 1, Some(trouble));
+                self.platform.advice.set_fault(number + 1, Some(trouble));
                 repairs.push((after(span), Repair::Advice(number)));
             }
             SoakFault::KillLead(pause) => {
@@ -108,12 +108,12 @@
             SoakFault::WorkerPath(number, trouble, span) => {
                 let newest = self.platform.lead().map_or(0, |lead| lead.token.0);
                 let leads = trouble.leads.as_of(newest);
-                let trouble = PathTrouble { leads, ..trouble };
-                self.platform.workers.set_trouble(number, Some(trouble));
+                let trouble = PathFault { leads, ..trouble };
+                self.platform.workers.set_path_fault(number, Some(trouble));
                 repairs.push((after(span), Repair::WorkerPath(number)));
             }
             SoakFault::WorkerDies(number, pause, listed) => {
-                let gone = self.platform.workers.life_name(number);
+                let gone = self.platform.workers.life_id(number);
                 self.platform.workers.crash(number);
                 repairs.push((after(pause), Repair::Revive(number)));
                 repairs.push((after(pause + listed), Repair::Unlist(gone)));
@@ -128,7 +128,7 @@
                 }
             }
             SoakFault::Unlisted(number, span) => {
-                self.platform.unlist_worker(&self.platform.workers.life_name(number));
+                self.platform.unlist_worker(&self.platform.workers.life_id(number));
                 repairs.push((after(span), Repair::List(number)));
             }
             SoakFault::Resize(number, cores, span) => {
@@ -136,12 +136,12 @@
                 repairs.push((after(span), Repair::Size(number)));
             }
             SoakFault::Appends(trouble, span) => {
-                self.platform.store.set_trouble(Some(trouble));
+                self.platform.store.set_append_fault(Some(trouble));
                 repairs.push((after(span), Repair::Appends));
             }
-            SoakFault::Forget => self.platform.store.forget(PROGRESS_TOPIC),
+            SoakFault::Forget => self.platform.store.discard_history(PROGRESS_TOPIC),
             SoakFault::ForgetAtFence(span) => {
-                self.platform.store.forget_at_fence(PROGRESS_TOPIC);
+                self.platform.store.discard_history_at_fence(PROGRESS_TOPIC);
                 self.platform.store.hold_reads(Some(PROGRESS_TOPIC));
                 repairs.push((after(span), Repair::ReadProgress));
             }
@@ -153,8 +153,8 @@
     fn configure(&self) {
         match self.size.world {
             SoakWorld::Narrow => self.keys.configure(&self.platform),
-            SoakWorld::Wide => wide::configure(&self.platform, self.platform.next_version()),
-            SoakWorld::Full => full::configure(&self.platform, self.platform.next_version()),
+            SoakWorld::Wide => wide::configure(&self.platform, self.platform.next_config_version()),
+            SoakWorld::Full => full::configure(&self.platform, self.platform.next_config_version()),
         }
     }
 
@@ -171,19 +171,19 @@
             Repair::Wake(number) => self.signal(number, Signal::SIGCONT),
             Repair::Open(number) => self.boxes[number].path.set(PathState::Open),
             Repair::StoreSpeaks => self.platform.store.set_silent(false),
-            Repair::WorkerPath(number) => self.platform.workers.set_trouble(number, None),
+            Repair::WorkerPath(number) => self.platform.workers.set_path_fault(number, None),
             Repair::Revive(number) => {
                 if let Some(later) = self.revive(number) {
                     repairs.push((Instant::now() + later, Repair::List(number)));
                 }
             }
             Repair::List(number) => self.platform.list_worker(number),
-            Repair::Unlist(id) if self.platform.workers.lives_as(&id) => {}
+            Repair::Unlist(id) if self.platform.workers.is_alive(&id) => {}
             Repair::Unlist(id) => self.platform.unlist_worker(&id),
             Repair::Size(number) => self.platform.resize_worker(number, self.size.cores()),
-            Repair::Appends => self.platform.store.set_trouble(None),
+            Repair::Appends => self.platform.store.set_append_fault(None),
             Repair::ReadProgress => self.platform.store.hold_reads(None),
-            Repair::Advice(number) => self.platform.advice.set_trouble(number + 1, None),
+            Repair::Advice(number) => self.platform.advice.set_fault(number + 1, None),
         }
         Ok(())
     }
@@ -205,16 +205,16 @@
     /// Ends all faults.
     pub(super) fn heal(&mut self) -> std::io::Result<()> {
         self.platform.store.set_silent(false);
-        self.platform.store.set_trouble(None);
+        self.platform.store.set_append_fault(None);
         self.platform.store.hold_reads(None);
         for number in 0..self.size.workers {
-            self.platform.workers.set_trouble(number, None);
+            self.platform.workers.set_path_fault(number, None);
             self.revive(number);
             self.platform.list_worker(number);
             self.platform.resize_worker(number, self.size.cores());
         }
         for number in 0..self.boxes.len() {
-            self.platform.advice.set_trouble(number + 1, None);
+            self.platform.advice.set_fault(number + 1, None);
             self.boxes[number].path.set(PathState::Open);
             self.signal(number, Signal::SIGCONT);
             self.start_box(number)?;
--- a/crates/sedgehill-standin/src/soak/full.rs
+++ b/crates/sedgehill-standin/src/soak/full.rs
@@ -12,7 +12,7 @@
 use super::callers::CallerPool;
 use super::wide;
 use crate::cell_platform::{
-    CellPlatform, LONG_RUNNING_SPEC, SIZED_SPEC, StepHabit, is_long_running,
+    CellPlatform, LONG_RUNNING_SPEC, SIZED_SPEC, StepAdvice, is_long_running,
 };
 
 /// How long tasks of the narrow jobs run, in milliseconds.
@@ -63,18 +63,18 @@
     );
 }
 
-fn habit_of(step: &str, workers: usize) -> StepHabit {
+fn habit_of(step: &str, workers: usize) -> StepAdvice {
     let id = step.split('.').next().and_then(|id| u64::from_str_radix(id, 16).ok());
     match id.is_some_and(wide::is_wide) {
-        true => StepHabit {
-            decide: Duration::from_millis(560),
-            each: Duration::from_millis(8),
-            good: Some((workers * LONG_GOOD_PERCENT).div_ceil(100)),
+        true => StepAdvice {
+            per_question: Duration::from_millis(560),
+            per_worker: Duration::from_millis(8),
+            allowed_count: Some((workers * LONG_GOOD_PERCENT).div_ceil(100)),
         },
-        false => StepHabit {
-            decide: Duration::from_micros(5_600),
-            each: Duration::from_micros(80),
-            good: Some((workers * FILLING_GOOD_PERCENT).div_ceil(100)),
+        false => StepAdvice {
+            per_question: Duration::from_micros(5_600),
+            per_worker: Duration::from_micros(80),
+            allowed_count: Some((workers * FILLING_GOOD_PERCENT).div_ceil(100)),
         },
     }
 }
@@ -119,7 +119,7 @@
 
 /// Accepted jobs of which nothing has begun.
 fn waiting(pool: &CallerPool, platform: &CellPlatform) -> usize {
-    let begun = platform.workers.begun_jobs();
+    let begun = platform.workers.started_jobs();
     let told = pool.told().lock();
     told.accepted.iter().filter(|id| !begun.contains(&format!("{id:016x}"))).count()
 }
--- a/crates/sedgehill-standin/src/soak/keys.rs
+++ b/crates/sedgehill-standin/src/soak/keys.rs
@@ -55,7 +55,7 @@
         let version = state.versions.len() + 1;
         if version == 1 {
             let most = LIMITS.into_iter().max().unwrap_or_default() * self.workers / LIMITS_FOR;
-            platform.workers.bound("", most as usize);
+            platform.workers.limit_running_tasks("", most as usize);
         }
         let organisation = StandinOrganisation {
             name: "soak",
--- a/crates/sedgehill-standin/src/soak/mod.rs
+++ b/crates/sedgehill-standin/src/soak/mod.rs
@@ -22,7 +22,7 @@
 use self::progress::ProgressWatch;
 pub use self::proxy::{FaultyPath, PathState};
 use crate::cell_platform::{CORES, CellPlatform};
-use crate::cell_process::{CellProcess, CellSite, call, call_with_key};
+use crate::cell_process::{CellBoxConfig, CellProcess, call, call_with_key};
 
 /// How long tasks run, in milliseconds: many outlive their lead.
 pub(crate) const RUN_MS: std::ops::Range<u64> = 150..2_000;
@@ -113,7 +113,7 @@
 
 /// A box, running or not.
 struct SoakBox {
-    site: CellSite,
+    site: CellBoxConfig,
     path: FaultyPath,
     process: Option<CellProcess>,
 }
@@ -204,15 +204,15 @@
 
 impl<'a> Soak<'a> {
     async fn start(seed: u64, size: SoakSize, directory: &'a Path) -> std::io::Result<Soak<'a>> {
-        let mut platform = CellPlatform::start_sized(size.workers, size.cores()).await?;
+        let mut platform = CellPlatform::start_with_cores(size.workers, size.cores()).await?;
         platform.workers.set_run_ms(match size.world {
             SoakWorld::Narrow | SoakWorld::Wide => RUN_MS,
             SoakWorld::Full => FULL_RUN_MS,
         });
         if !seed.is_multiple_of(OTHER_IDS_ONE_IN) {
-            platform.keep_worker_ids(seed);
+            platform.reuse_worker_ids(seed);
         }
-        platform.put_strays();
+        platform.put_foreign_entries();
         let keys = SoakKeys::new(size.workers);
         match size.world {
             SoakWorld::Narrow => keys.configure(&platform),
@@ -222,8 +222,9 @@
         let mut boxes = Vec::new();
         for number in 0..size.boxes {
             let path = FaultyPath::open(platform.store_address).await?;
-            let advice = platform.open_advice().await?;
-            let site = CellSite::new(&format!("box-{number}"), &platform, path.address, "0.25");
+            let advice = platform.add_advice_address().await?;
+            let site =
+                CellBoxConfig::new(&format!("box-{number}"), &platform, path.address, "0.25");
             let site = site.with_advice(advice);
             let process = Some(site.start(directory)?);
             boxes.push(SoakBox { site, path, process });
@@ -350,7 +351,7 @@
         report.broken.extend(self.platform.workers.violations());
         report.broken.extend(self.keys.violations());
         report.broken.extend(self.platform.shared_tokens());
-        let begun = self.platform.workers.begun_jobs();
+        let begun = self.platform.workers.started_jobs();
         let ran = refused.iter().map(|id| format!("{id:016x}")).filter(|id| begun.contains(id));
         report.broken.extend(ran.map(|id| format!("{id} was refused each time and ran")));
         for one in &self.boxes {
--- a/crates/sedgehill-standin/src/soak/plan.rs
+++ b/crates/sedgehill-standin/src/soak/plan.rs
@@ -7,7 +7,7 @@
 
 use super::proxy::PathState;
 use super::{SoakSize, SoakWorld};
-use crate::cell_platform::{AdviceTrouble, CORES, CallTrouble, PathTrouble, TroubledLeads};
+use crate::cell_platform::{AdviceFault, AffectedLeads, CORES, CallFault, PathFault};
 
 /// One thing that happens from outside.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -35,7 +35,7 @@
     /// The lead stands still, and then goes on.
     PauseLead(Duration),
     /// Calls to a worker meet trouble for a time.
-    WorkerPath(usize, PathTrouble, Duration),
+    WorkerPath(usize, PathFault, Duration),
     /// A worker dies; another life follows at its address after a pause. The store lists the old one for
     /// a time.
     WorkerDies(usize, Duration, Duration),
@@ -46,11 +46,11 @@
     /// A worker has so many cores for a time.
     Resize(usize, usize, Duration),
     /// Appends meet trouble for a time.
-    Appends(PathTrouble, Duration),
+    Appends(PathFault, Duration),
     /// The store forgets the progress of jobs but for the newest of each key.
     Forget,
     /// The questions of a box to the advice service meet trouble for a time.
-    Advice(usize, AdviceTrouble, Duration),
+    Advice(usize, AdviceFault, Duration),
     /// The same the moment the next lead fences. For a time before it progress is not read.
     ForgetAtFence(Duration),
 }
@@ -145,7 +145,7 @@
     let mut plan = Vec::new();
     let mut at = rng.random_range(ADVICE_GAP_MS);
     while at < seconds * 1_000 {
-        let kinds = [AdviceTrouble::Fails, AdviceTrouble::Silent, AdviceTrouble::Slow(8)];
+        let kinds = [AdviceFault::Fails, AdviceFault::Silent, AdviceFault::Slow(8)];
         let trouble = kinds[rng.random_range(0..kinds.len())];
         let span = rng.random_range(ADVICE_SPAN_MS);
         let number = rng.random_range(0..boxes);
@@ -297,20 +297,19 @@
         50..68 => SoakFault::WorkerDies(number, down, listed),
         68..84 => SoakFault::Unlisted(number, away),
         84..92 => {
-            let leads = TroubledLeads::All;
-            SoakFault::Appends(PathTrouble { leads, ..draw_trouble(rng) }, stored)
+            let leads = AffectedLeads::All;
+            SoakFault::Appends(PathFault { leads, ..draw_trouble(rng) }, stored)
         }
         92..95 => SoakFault::Forget,
         _ => SoakFault::ForgetAtFence(stored),
     }
 }
 
-fn draw_trouble(rng: &mut StdRng) -> PathTrouble {
-    let kinds =
-        [CallTrouble::Lost, CallTrouble::Unanswered, CallTrouble::Late, CallTrouble::AnsweredLate];
+fn draw_trouble(rng: &mut StdRng) -> PathFault {
+    let kinds = [CallFault::Lost, CallFault::Unanswered, CallFault::Late, CallFault::AnsweredLate];
     // Counted from the lead of that moment.
-    let leads = [TroubledLeads::All, TroubledLeads::UpTo(0), TroubledLeads::After(0)];
-    PathTrouble {
+    let leads = [AffectedLeads::All, AffectedLeads::UpTo(0), AffectedLeads::After(0)];
+    PathFault {
         kind: kinds[rng.random_range(0..kinds.len())],
         percent: [20, 50, 100][rng.random_range(0..3)],
         leads: leads[rng.random_range(0..leads.len())],
--- a/crates/sedgehill-standin/src/soak/progress.rs
+++ b/crates/sedgehill-standin/src/soak/progress.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 
 use super::callers::ToldJobs;
-use crate::cell_platform::{CellPlatform, WorkerSight};
+use crate::cell_platform::{CellPlatform, WorkerSnapshot};
 
 /// A job may be stalled for so long, as the users say.
 const STALLED_AFTER: Duration = Duration::from_secs(3);
@@ -88,7 +88,7 @@
     }
 
     fn look(&self, platform: &CellPlatform, told: &Mutex<ToldJobs>) {
-        let sights = platform.workers.sights();
+        let sights = platform.workers.snapshots();
         let done = platform.workers.done_tasks();
         let now = Instant::now();
         let calm = now.duration_since(*self.calm_from.lock());
@@ -173,7 +173,7 @@
 /// The step of a job that could run though nothing of the job does.
 fn stalled_step(
     steps: &[WatchedStep],
-    sights: &[WorkerSight],
+    sights: &[WorkerSnapshot],
     done: &BTreeMap<String, usize>,
     platform: &CellPlatform,
 ) -> Option<String> {
@@ -188,8 +188,8 @@
             continue;
         }
         let good = sights.iter().enumerate().filter(|(number, one)| {
-            let room = one.lives && one.cores >= one.used + step.cores;
-            room && platform.advice.is_good(&step.id, *number)
+            let room = one.alive && one.cores >= one.used + step.cores;
+            room && platform.advice.is_allowed(&step.id, *number)
         });
         let places: usize = good.map(|(_, one)| (one.cores - one.used) / step.cores).sum();
         let wanted = if step.gang { left } else { 1 };
--- a/crates/sedgehill-standin/src/soak/wide.rs
+++ b/crates/sedgehill-standin/src/soak/wide.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use super::RUN_MS;
-use crate::cell_platform::{CellPlatform, StepHabit, WIDE_SPEC, span_of};
+use crate::cell_platform::{CellPlatform, StepAdvice, WIDE_SPEC, run_duration_ms};
 
 /// Cores of a worker, as at the users' small sites.
 pub const WIDE_CORES: usize = 16;
@@ -81,7 +81,7 @@
         .iter()
         .enumerate()
         .map(|(number, gang)| {
-            let estimate = span_of(&format!("{id:016x}.0.{number}"), &RUN_MS);
+            let estimate = run_duration_ms(&format!("{id:016x}.0.{number}"), &RUN_MS);
             let after: Vec<usize> = number.checked_sub(1).into_iter().collect();
             json!({
                 "count": gang.members, "cpu": cores * 1_000, "mem_mb": 16, "estimate_ms": estimate,
@@ -93,14 +93,14 @@
 }
 
 /// How many workers are good for a step, and what a question about it costs: the figures of the users' small site.
-fn habit_of(step: &str, workers: usize) -> StepHabit {
+fn habit_of(step: &str, workers: usize) -> StepAdvice {
     let mut parts = step.split('.');
     let id = parts.next().and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or_default();
     let number: usize = parts.nth(1).and_then(|number| number.parse().ok()).unwrap_or_default();
     if !is_wide(id) {
         let good = (workers * NARROW_GOOD_PERCENT).div_ceil(100);
         let (decide, each) = (Duration::from_micros(5_600), Duration::from_micros(80));
-        return StepHabit { decide, each, good: Some(good) };
+        return StepAdvice { per_question: decide, per_worker: each, allowed_count: Some(good) };
     }
     let gangs = gangs_of(id, workers);
     let cores = gangs.iter().map(|gang| gang.cores).max().unwrap_or(1);
@@ -108,7 +108,7 @@
     let needed = (ROOM_TIMES * members).div_ceil(WIDE_CORES / cores);
     let good = needed.max(workers * WIDE_GOOD_PERCENT / 100).min(workers);
     let (decide, each) = (Duration::from_millis(480), Duration::from_micros(6_800));
-    StepHabit { decide, each, good: Some(good) }
+    StepAdvice { per_question: decide, per_worker: each, allowed_count: Some(good) }
 }
 
 /// Sets the service and the configuration up: one queue for narrow jobs, one for wide gangs.
--- a/crates/sedgehill-standin/src/worker.rs
+++ b/crates/sedgehill-standin/src/worker.rs
@@ -95,7 +95,7 @@
     }
 
     /// What is in use now, and what the worker has.
-    pub fn room(&self) -> (ResourceSet, ResourceSet) {
+    pub fn usage(&self) -> (ResourceSet, ResourceSet) {
         (used(&self.store.lock()), self.total)
     }
 
--- a/crates/sedgehill-standin/tests/testsuite/cell.rs
+++ b/crates/sedgehill-standin/tests/testsuite/cell.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use sedgehill_standin::binaries::{build_binaries, workspace_root};
 use sedgehill_standin::cell_platform::CellPlatform;
-use sedgehill_standin::cell_process::{CellProcess, CellSite, call};
+use sedgehill_standin::cell_process::{CellBoxConfig, CellProcess, call};
 use sedgehill_standin::soak::{FaultyPath, PathState};
 use serde_json::{Value, json};
 
@@ -386,8 +386,8 @@
     let mut boxes = Vec::new();
     for name in ["box-1", "box-2", "box-3", "box-4"] {
         // A link so narrow that the lead feeds as few boxes in full as it may.
-        let site = CellSite::new(name, &platform, platform.store_address, "0.25");
-        let process = site.with_link("0.001").start(directory.path()).unwrap();
+        let site = CellBoxConfig::new(name, &platform, platform.store_address, "0.25");
+        let process = site.with_link_mbps("0.001").start(directory.path()).unwrap();
         wait_ready(&process).await;
         boxes.push(process);
     }
--- a/crates/sedgehill-standin/tests/testsuite/cell_support.rs
+++ b/crates/sedgehill-standin/tests/testsuite/cell_support.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use sedgehill_standin::cell_platform::CellPlatform;
-use sedgehill_standin::cell_process::{CellProcess, CellSite, call};
+use sedgehill_standin::cell_process::{CellBoxConfig, CellProcess, call};
 use serde_json::{Value, json};
 
 /// How long a job of the tests may take, take-overs and outages included.
@@ -24,7 +24,7 @@
     store: SocketAddr,
     cores: &str,
 ) -> CellProcess {
-    CellSite::new(name, platform, store, cores).start(directory).expect("a box can be started")
+    CellBoxConfig::new(name, platform, store, cores).start(directory).expect("a box can be started")
 }
 
 /// Waits until a check holds.
@@ -44,7 +44,7 @@
         if answer.is_some_and(|(status, _)| status == 200) {
             return;
         }
-        assert!(Instant::now() < deadline, "readiness did not come:\n{}", process.last_lines());
+        assert!(Instant::now() < deadline, "readiness did not come:\n{}", process.log_tail());
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -92,7 +92,7 @@
         if answer.as_ref().is_some_and(completed) {
             return;
         }
-        let log = process.last_lines();
+        let log = process.log_tail();
         assert!(Instant::now() < deadline, "job {id} is told as {answer:?}; the box's log:\n{log}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/sedgehill-standin/tests/testsuite/crashing.rs
+++ b/crates/sedgehill-standin/tests/testsuite/crashing.rs
@@ -35,7 +35,7 @@
         if answer.as_ref().is_some_and(|(_, body)| body.contains("failed")) {
             return;
         }
-        let log = process.last_lines();
+        let log = process.log_tail();
         assert!(begun.elapsed() < GIVEN_UP_WITHIN, "job {id} is told as {answer:?}:\n{log}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -79,8 +79,8 @@
     let task = format!("{:016x}.0.0.0", 1);
     for _ in 0..2 {
         // The lead that ordered the start is killed before it can know of the crash.
-        wait_for("a start", async || platform.workers.crashes_under(&task) > 0).await;
-        let seen = platform.workers.crashes_under(&task);
+        wait_for("a start", async || platform.workers.crashes_caused_by(&task) > 0).await;
+        let seen = platform.workers.crashes_caused_by(&task);
         let lead = platform.lead().unwrap().holder.0;
         let place = ["a", "b", "c"].iter().position(|name| **name == *lead).unwrap();
         boxes[place] = None;
@@ -90,14 +90,14 @@
             let path = format!("/checks/{:016x}", 1);
             let answer = call(told.callers, "GET", &path, "").await;
             let over = answer.is_some_and(|(_, body)| body.contains("failed"));
-            over || platform.workers.crashes_under(&task) > seen
+            over || platform.workers.crashes_caused_by(&task) > seen
         })
         .await;
     }
     for one in boxes.iter().flatten() {
         wait_given_up(one, 1).await;
     }
-    assert!(platform.workers.crashes_under(&task) <= 5);
+    assert!(platform.workers.crashes_caused_by(&task) <= 5);
     assert_kept(&platform);
 }
 
--- a/crates/sedgehill-standin/tests/testsuite/earlier_lead.rs
+++ b/crates/sedgehill-standin/tests/testsuite/earlier_lead.rs
@@ -10,7 +10,7 @@
 
 use nix::sys::signal::Signal;
 use sedgehill_standin::cell_platform::{
-    CallTrouble, CellPlatform, LEAD_TOPIC, PathTrouble, TroubledLeads,
+    AffectedLeads, CallFault, CellPlatform, LEAD_TOPIC, PathFault,
 };
 use sedgehill_standin::soak::{FaultyPath, PathState};
 use serde_json::json;
@@ -59,11 +59,11 @@
     let steps = json!([{"count": 1, "cpu": 1000, "mem_mb": 16, "estimate_ms": 14_000}]);
     submit_steps(&[&lead], 1, steps).await;
     let task = format!("{:016x}.0.0.0", 1);
-    wait_for("the run", async || platform.workers.place_of(&task).is_some()).await;
-    let place = platform.workers.place_of(&task).unwrap();
-    let leads = TroubledLeads::After(FIRST_TOKEN);
-    let cut = PathTrouble { kind: CallTrouble::Lost, percent: 100, leads };
-    platform.workers.set_trouble(place, Some(cut));
+    wait_for("the run", async || platform.workers.worker_running(&task).is_some()).await;
+    let place = platform.workers.worker_running(&task).unwrap();
+    let leads = AffectedLeads::After(FIRST_TOKEN);
+    let cut = PathFault { kind: CallFault::Lost, percent: 100, leads };
+    platform.workers.set_path_fault(place, Some(cut));
 
     let renewed = next_renewal(&platform).await;
     lead.signal(Signal::SIGSTOP);
--- a/crates/sedgehill-standin/tests/testsuite/endpoints.rs
+++ b/crates/sedgehill-standin/tests/testsuite/endpoints.rs
@@ -5,7 +5,7 @@
 use sedgehill_standin::caller::{CallPlan, CallReport};
 use sedgehill_standin::cluster::TestCluster;
 use sedgehill_standin::endpoint::EndpointFault;
-use sedgehill_standin::ledger::ToldOutcome;
+use sedgehill_standin::ledger::CallerOutcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -20,14 +20,14 @@
     (cluster, reports)
 }
 
-fn count(reports: &[CallReport], outcome: ToldOutcome) -> usize {
+fn count(reports: &[CallReport], outcome: CallerOutcome) -> usize {
     reports.iter().filter(|report| report.outcome == outcome).count()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_refusing_endpoint_costs_no_answer() {
     let (cluster, reports) = calls_with_fault(EndpointFault::Refuses, 2).await;
-    assert_eq!(count(&reports, ToldOutcome::Answered), reports.len(), "{reports:?}");
+    assert_eq!(count(&reports, CallerOutcome::Answered), reports.len(), "{reports:?}");
     cluster.assert_no_violation();
 }
 
@@ -35,25 +35,25 @@
 async fn a_cut_answer_is_never_passed_off_as_whole() {
     let (cluster, reports) = calls_with_fault(EndpointFault::CutsAnswers, 2).await;
     let unknown: Vec<_> =
-        reports.iter().filter(|report| report.outcome == ToldOutcome::Unknown).collect();
+        reports.iter().filter(|report| report.outcome == CallerOutcome::Unknown).collect();
     assert!(!unknown.is_empty(), "the fault was met");
     assert!(unknown.iter().all(|report| report.reason == "answer-cut"), "{unknown:?}");
-    assert_eq!(count(&reports, ToldOutcome::Answered) + unknown.len(), reports.len());
+    assert_eq!(count(&reports, CallerOutcome::Answered) + unknown.len(), reports.len());
     cluster.assert_no_violation();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_closed_connection_is_unknown_and_never_sent_again() {
     let (cluster, reports) = calls_with_fault(EndpointFault::Closes, 2).await;
-    assert!(count(&reports, ToldOutcome::Unknown) > 0, "the fault was met");
-    assert_eq!(count(&reports, ToldOutcome::NotRun), 0);
+    assert!(count(&reports, CallerOutcome::Unknown) > 0, "the fault was met");
+    assert_eq!(count(&reports, CallerOutcome::NotRun), 0);
     cluster.assert_no_violation();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn garbage_from_an_endpoint_reaches_no_caller() {
     let (cluster, reports) = calls_with_fault(EndpointFault::Garbage, 2).await;
-    assert!(count(&reports, ToldOutcome::Unknown) > 0, "the fault was met");
+    assert!(count(&reports, CallerOutcome::Unknown) > 0, "the fault was met");
     cluster.assert_no_violation();
 }
 
@@ -71,7 +71,7 @@
     let mut cluster = start_published(&small_plan()).await;
     cluster.stop_endpoint(0).await;
     let reports = call_many(&cluster, CHECK, 100, Duration::from_millis(5)).await;
-    assert_eq!(count(&reports, ToldOutcome::Answered), reports.len(), "{reports:?}");
+    assert_eq!(count(&reports, CallerOutcome::Answered), reports.len(), "{reports:?}");
     cluster.assert_no_violation();
 }
 
@@ -85,7 +85,7 @@
     // The ledger counts what a leaving endpoint gets after its time of grace.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let reports = call_many(&cluster, CHECK, 150, Duration::from_millis(20)).await;
-    assert_eq!(count(&reports, ToldOutcome::Answered), reports.len());
+    assert_eq!(count(&reports, CallerOutcome::Answered), reports.len());
     cluster.assert_no_violation();
 }
 
@@ -107,13 +107,13 @@
         cluster.list.set_endpoint_leaving(id, false);
     }
     let report = held.await.expect("the call ends");
-    assert_eq!(report.outcome, ToldOutcome::Answered, "{report:?}");
+    assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
     for index in 0..endpoints.len() {
         cluster.stop_endpoint(index).await;
     }
     let plan = CallPlan::new(CHECK, Duration::from_millis(5));
     let report = cluster.caller().call(address, &plan, false).await;
-    assert_eq!(report.outcome, ToldOutcome::NotRun, "{report:?}");
+    assert_eq!(report.outcome, CallerOutcome::NotRun, "{report:?}");
     assert!(report.retry_after.is_some(), "{report:?}");
     cluster.assert_no_violation();
 }
@@ -146,7 +146,7 @@
     let mut plan = CallPlan::new(CHECK, Duration::ZERO);
     plan.body = vec![b'x'; 2 << 20].into();
     let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, false).await;
-    assert_eq!((report.outcome, report.status), (ToldOutcome::NotRun, Some(413)), "{report:?}");
+    assert_eq!((report.outcome, report.status), (CallerOutcome::NotRun, Some(413)), "{report:?}");
     assert_eq!(cluster.ledger.request_runs(&plan.token), 0);
 }
 
--- a/crates/sedgehill-standin/tests/testsuite/entries.rs
+++ b/crates/sedgehill-standin/tests/testsuite/entries.rs
@@ -31,7 +31,7 @@
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(3).await.unwrap();
     platform.configure(1);
-    let strays = platform.put_strays();
+    let strays = platform.put_foreign_entries();
     let first = start_box(directory.path(), "first", &platform);
     wait_ready(&first).await;
     for id in 1..=6 {
--- a/crates/sedgehill-standin/tests/testsuite/forgotten_history.rs
+++ b/crates/sedgehill-standin/tests/testsuite/forgotten_history.rs
@@ -53,7 +53,7 @@
     for _ in 0..CELLS {
         let course = Course::start(150..151).await;
         course.lead_dies().await;
-        course.platform.store.answer_newest_late(NEWEST_LATE);
+        course.platform.store.delay_newest_answers(NEWEST_LATE);
         wait_for_lead(course.directory.path(), "next").await;
         // The second answer comes when the lead has recorded more.
         wait_for("the fence", async || course.next_says("\"fenced\"")).await;
@@ -90,9 +90,9 @@
 async fn a_late_sign_of_a_gap_does_not_have_a_lead_begin_again_what_is_over() {
     for _ in 0..CELLS {
         let course = Course::start(60..61).await;
-        course.platform.store.tell_held_reads_late(GONE_LATE);
+        course.platform.store.delay_gone_answers(GONE_LATE);
         course.lead_dies().await;
-        course.platform.store.answer_newest_late(READ_AGAIN_LATE);
+        course.platform.store.delay_newest_answers(READ_AGAIN_LATE);
         wait_for_lead(course.directory.path(), "next").await;
         if !course.second_gap_comes().await {
             continue;
@@ -166,7 +166,7 @@
     /// next lead fences, and is forgotten then.
     async fn lead_dies(&self) {
         self.platform.store.hold_reads(Some(PROGRESS_TOPIC));
-        self.platform.store.forget_at_fence(PROGRESS_TOPIC);
+        self.platform.store.discard_history_at_fence(PROGRESS_TOPIC);
         let steps = json!([{"count": 4, "cpu": 1000, "mem_mb": 16, "estimate_ms": 2000}]);
         let body = json!({"spec": "work", "steps": steps}).to_string();
         let callers = self.lead.callers;
--- a/crates/sedgehill-standin/tests/testsuite/ledger.rs
+++ b/crates/sedgehill-standin/tests/testsuite/ledger.rs
@@ -8,10 +8,10 @@
 use sedgehill_platform::caller::JsonCaller;
 use sedgehill_platform::worker::WorkerClient;
 use sedgehill_standin::caller::{CallPlan, StandinCaller};
-use sedgehill_standin::cluster::usual_worker;
+use sedgehill_standin::cluster::standard_worker;
 use sedgehill_standin::endpoint::{EndpointFault, StandinEndpoint};
 use sedgehill_standin::http_server;
-use sedgehill_standin::ledger::{RuleLedger, SafetyRule, ToldOutcome};
+use sedgehill_standin::ledger::{CallerOutcome, RuleLedger, SafetyRule};
 use sedgehill_standin::worker::StandinWorker;
 use uuid::Uuid;
 
@@ -44,15 +44,18 @@
     let task = attempt();
     let mut guards = Vec::new();
     for name in ["w1", "w2"] {
-        let worker =
-            StandinWorker::new(name.parse().expect("a valid name"), usual_worker(), ledger.clone());
+        let worker = StandinWorker::new(
+            name.parse().expect("a valid name"),
+            standard_worker(),
+            ledger.clone(),
+        );
         guards.push(worker.serve(any).await.expect("loopback can be listened on"));
     }
-    client.start(guards[0].address, &start(task, usual_worker())).await;
+    client.start(guards[0].address, &start(task, standard_worker())).await;
     assert_eq!(ledger.total_violations(), 0);
-    client.start(guards[0].address, &start(attempt(), usual_worker())).await;
+    client.start(guards[0].address, &start(attempt(), standard_worker())).await;
     assert_eq!(count(&ledger, SafetyRule::WorkerRoom), 1);
-    client.start(guards[1].address, &start(task, usual_worker())).await;
+    client.start(guards[1].address, &start(task, standard_worker())).await;
     assert_eq!(count(&ledger, SafetyRule::OnePlace), 1);
 }
 
@@ -68,9 +71,9 @@
     ledger.request_ended("b");
     ledger.request_began("b", &endpoint);
     assert_eq!(count(&ledger, SafetyRule::OnceOnly), 1);
-    ledger.told("b", ToldOutcome::NotRun, false);
+    ledger.record_outcome("b", CallerOutcome::NotRun, false);
     assert_eq!(count(&ledger, SafetyRule::NotRun), 1, "it had run before");
-    ledger.told("c", ToldOutcome::NotRun, false);
+    ledger.record_outcome("c", CallerOutcome::NotRun, false);
     ledger.request_began("c", &endpoint);
     assert_eq!(count(&ledger, SafetyRule::NotRun), 2, "it ran afterwards");
     ledger.endpoint_leaving(&endpoint);
@@ -94,7 +97,7 @@
     .expect("loopback can be listened on");
     let caller = StandinCaller::new(ledger.clone());
     let report = caller.call(server.address, &CallPlan::new("a/b/c", Duration::ZERO), false).await;
-    assert_eq!(report.outcome, ToldOutcome::Answered);
+    assert_eq!(report.outcome, CallerOutcome::Answered);
     assert_eq!(count(&ledger, SafetyRule::WholeAnswer), 1);
 }
 
@@ -107,7 +110,7 @@
     let server = endpoint.serve(any).await.expect("loopback can be listened on");
     let caller = StandinCaller::new(ledger.clone());
     let report = caller.call(server.address, &CallPlan::new("a/b/c", Duration::ZERO), false).await;
-    assert_eq!(report.outcome, ToldOutcome::Nothing);
+    assert_eq!(report.outcome, CallerOutcome::Nothing);
 }
 
 #[test]
--- a/crates/sedgehill-standin/tests/testsuite/logging.rs
+++ b/crates/sedgehill-standin/tests/testsuite/logging.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgehill_standin::cluster::TestCluster;
-use sedgehill_standin::ledger::ToldOutcome;
+use sedgehill_standin::ledger::CallerOutcome;
 use serde_json::Value;
 
 use crate::support::{CHECK, call_many, small_plan, start_published, submit, wait_phase};
@@ -56,7 +56,8 @@
     cluster.wait_ready(0).await;
     cluster.client_ok(&["publish", "examples/inkaso.json"]).await;
     let reports = call_many(&cluster, CHECK, CALLS, Duration::ZERO).await;
-    let answered = reports.iter().filter(|report| report.outcome == ToldOutcome::Answered).count();
+    let answered =
+        reports.iter().filter(|report| report.outcome == CallerOutcome::Answered).count();
     assert_eq!(answered, CALLS);
     assert!(
         cluster.metric(0, "sedgehill_log_lines_dropped").await > Some(0.0),
--- a/crates/sedgehill-standin/tests/testsuite/once_only.rs
+++ b/crates/sedgehill-standin/tests/testsuite/once_only.rs
@@ -5,7 +5,7 @@
 use nix::sys::signal::Signal;
 use sedgehill_standin::caller::CallPlan;
 use sedgehill_standin::cluster::TestCluster;
-use sedgehill_standin::ledger::ToldOutcome;
+use sedgehill_standin::ledger::CallerOutcome;
 use sedgehill_standin::log_server::LogFaults;
 use uuid::{Timestamp, Uuid};
 
@@ -24,7 +24,7 @@
         }
         let reports = calls.join_all().await;
         let answered =
-            reports.iter().filter(|report| report.outcome == ToldOutcome::Answered).count();
+            reports.iter().filter(|report| report.outcome == CallerOutcome::Answered).count();
         assert_eq!(answered, 1, "{reports:?}");
         assert_eq!(cluster.ledger.request_runs(&plan.token), 1);
     }
@@ -41,7 +41,7 @@
         for attempt in 0..3 {
             let process = &cluster.boxes[(round + attempt) % cluster.boxes.len()];
             let report = cluster.caller().call(process.addresses.traffic, &plan, true).await;
-            answered += usize::from(report.outcome == ToldOutcome::Answered);
+            answered += usize::from(report.outcome == CallerOutcome::Answered);
         }
         assert!(cluster.ledger.request_runs(&plan.token) <= 1);
     }
@@ -57,22 +57,25 @@
     let address = cluster.boxes[0].addresses.traffic;
     let offer = CallPlan::once_only(OFFER, Duration::from_millis(5));
     let report = caller.call(address, &offer, true).await;
-    assert_eq!((report.outcome, report.reason.as_str()), (ToldOutcome::NotRun, "log-unavailable"));
+    assert_eq!(
+        (report.outcome, report.reason.as_str()),
+        (CallerOutcome::NotRun, "log-unavailable")
+    );
     assert!(report.retry_after.is_some());
     let report = caller.call(address, &CallPlan::new(CHECK, Duration::from_millis(5)), false).await;
-    assert_eq!(report.outcome, ToldOutcome::Answered, "{report:?}");
+    assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
 
     cluster.log.set_faults(LogFaults::default());
     // The refused request may be sent again under its key once the log answers.
-    let mut outcome = ToldOutcome::NotRun;
+    let mut outcome = CallerOutcome::NotRun;
     for _ in 0..20 {
         outcome = caller.call(address, &offer, true).await.outcome;
-        if outcome == ToldOutcome::Answered {
+        if outcome == CallerOutcome::Answered {
             break;
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    assert_eq!(outcome, ToldOutcome::Answered);
+    assert_eq!(outcome, CallerOutcome::Answered);
     assert_eq!(cluster.ledger.request_runs(&offer.token), 1);
     cluster.assert_no_violation();
 }
@@ -90,10 +93,13 @@
     })
     .await;
     cluster.boxes[0].kill();
-    assert_eq!(call.await.expect("the call ends").outcome, ToldOutcome::Nothing);
+    assert_eq!(call.await.expect("the call ends").outcome, CallerOutcome::Nothing);
     for process in &cluster.boxes[1..] {
         let report = cluster.caller().call(process.addresses.traffic, &plan, false).await;
-        assert_eq!((report.outcome, report.reason.as_str()), (ToldOutcome::Unknown, "key-claimed"));
+        assert_eq!(
+            (report.outcome, report.reason.as_str()),
+            (CallerOutcome::Unknown, "key-claimed")
+        );
     }
     assert_eq!(cluster.ledger.request_runs(&plan.token), 1);
     cluster.assert_no_violation();
@@ -110,7 +116,7 @@
         plan.key = Some(Uuid::new_v7(Timestamp::from_unix(uuid::NoContext, seconds, 0)));
         let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, false).await;
         let told = (report.outcome, report.reason.as_str());
-        assert_eq!(told, (ToldOutcome::NotRun, "key-outside-window"), "{report:?}");
+        assert_eq!(told, (CallerOutcome::NotRun, "key-outside-window"), "{report:?}");
     }
     cluster.assert_no_violation();
 }
@@ -125,10 +131,10 @@
     cluster.client_ok(&["publish", "examples/inkaso.json"]).await;
     let plan = CallPlan::once_only(OFFER, Duration::from_millis(5));
     let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, false).await;
-    assert_eq!(report.outcome, ToldOutcome::Answered);
+    assert_eq!(report.outcome, CallerOutcome::Answered);
     cluster.boxes[1].signal(Signal::SIGCONT);
     let report = cluster.caller().call(cluster.boxes[1].addresses.traffic, &plan, false).await;
-    assert_ne!(report.outcome, ToldOutcome::NotRun, "{report:?}");
+    assert_ne!(report.outcome, CallerOutcome::NotRun, "{report:?}");
     cluster.assert_no_violation();
 }
 
@@ -139,7 +145,7 @@
     let cluster = start_published(&small_plan()).await;
     let plan = run_beside_a_paused_box(&cluster).await;
     let report = cluster.caller().call(cluster.boxes[1].addresses.traffic, &plan, false).await;
-    assert_eq!((report.outcome, report.reason.as_str()), (ToldOutcome::Unknown, "key-claimed"));
+    assert_eq!((report.outcome, report.reason.as_str()), (CallerOutcome::Unknown, "key-claimed"));
     cluster.assert_no_violation();
 }
 
@@ -152,7 +158,7 @@
     cluster.boxes[0].kill();
     cluster.boxes[2].kill();
     let report = cluster.caller().call(cluster.boxes[1].addresses.traffic, &plan, false).await;
-    assert_eq!((report.outcome, report.reason.as_str()), (ToldOutcome::Unknown, "key-unread"));
+    assert_eq!((report.outcome, report.reason.as_str()), (CallerOutcome::Unknown, "key-unread"));
     cluster.assert_no_violation();
 }
 
@@ -161,7 +167,7 @@
     cluster.boxes[1].signal(Signal::SIGSTOP);
     let plan = CallPlan::once_only(OFFER, Duration::from_millis(5));
     let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, false).await;
-    assert_eq!(report.outcome, ToldOutcome::Answered, "{report:?}");
+    assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
     cluster.log.set_faults(LogFaults { down: true, ..LogFaults::default() });
     cluster.boxes[1].signal(Signal::SIGCONT);
     plan
@@ -173,9 +179,9 @@
     let cluster = start_published(&small_plan()).await;
     let plan = CallPlan::once_only(OFFER, Duration::from_millis(5));
     let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, true).await;
-    assert_eq!(report.outcome, ToldOutcome::Answered, "{report:?}");
+    assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
     let elsewhere = CallPlan { path: "inkaso/windyk/no-such-kind".to_owned(), ..plan.clone() };
     let report = cluster.caller().call(cluster.boxes[1].addresses.traffic, &elsewhere, false).await;
-    assert_eq!((report.outcome, report.reason.as_str()), (ToldOutcome::Unknown, "key-claimed"));
+    assert_eq!((report.outcome, report.reason.as_str()), (CallerOutcome::Unknown, "key-claimed"));
     assert_eq!(cluster.ledger.request_runs(&plan.token), 1);
 }
--- a/crates/sedgehill-standin/tests/testsuite/organisations.rs
+++ b/crates/sedgehill-standin/tests/testsuite/organisations.rs
@@ -188,7 +188,7 @@
     let platform = CellPlatform::start(4).await.unwrap();
     configure(&platform, 1, &[OFFICE_KEY]);
     // The office may have three cores; its jobs' ids begin with zeros, the other's with an `f`.
-    platform.workers.bound("0", 3);
+    platform.workers.limit_running_tasks("0", 3);
     let mut processes = vec![
         start_box(directory.path(), "a", &platform),
         start_box(directory.path(), "b", &platform),
--- a/crates/sedgehill-standin/tests/testsuite/planned_stops.rs
+++ b/crates/sedgehill-standin/tests/testsuite/planned_stops.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use sedgehill_standin::cell_platform::CellPlatform;
 use sedgehill_standin::cell_process::CellProcess;
-use sedgehill_standin::kept_caller::{StopTally, call_until_gone};
+use sedgehill_standin::keep_alive_caller::{StopTally, call_until_refused};
 use tempfile::TempDir;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -59,7 +59,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_in_cell_mode_cuts_off_no_call_on_a_kept_connection() {
     let mut pair = start_pair().await;
-    let calls = tokio::spawn(call_until_gone(pair.first.callers, CELL_CALL, 32, 0..=64));
+    let calls = tokio::spawn(call_until_refused(pair.first.callers, CELL_CALL, 32, 0..=64));
     tokio::time::sleep(WARM_UP).await;
     pair.first.signal(Signal::SIGTERM);
     assert_none_cut(&calls.await.unwrap());
@@ -70,7 +70,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_in_cell_mode_waits_for_callers_that_pause() {
     let mut pair = start_pair().await;
-    let calls = tokio::spawn(call_until_gone(pair.first.callers, CELL_CALL, 128, 500..=3_000));
+    let calls = tokio::spawn(call_until_refused(pair.first.callers, CELL_CALL, 128, 500..=3_000));
     tokio::time::sleep(WARM_UP).await;
     pair.first.signal(Signal::SIGTERM);
     assert_none_cut(&calls.await.unwrap());
@@ -84,7 +84,7 @@
     const RUNNING: Duration = Duration::from_micros(300);
     let mut cluster = start_published(&small_plan()).await;
     let address = cluster.boxes[1].addresses.traffic;
-    let calls = tokio::spawn(call_until_gone(address, OWN_CALL, 16, 0..=0));
+    let calls = tokio::spawn(call_until_refused(address, OWN_CALL, 16, 0..=0));
     tokio::time::sleep(WARM_UP).await;
     cluster.boxes[1].signal(Signal::SIGTERM);
     // Until shortly before the listener is closed.
--- a/crates/sedgehill-standin/tests/testsuite/replaced_lead.rs
+++ b/crates/sedgehill-standin/tests/testsuite/replaced_lead.rs
@@ -10,7 +10,7 @@
 
 use nix::sys::signal::Signal;
 use sedgehill_standin::cell_platform::CellPlatform;
-use sedgehill_standin::cell_platform::{CallTrouble, PathTrouble, TroubledLeads};
+use sedgehill_standin::cell_platform::{AffectedLeads, CallFault, PathFault};
 use sedgehill_standin::cell_process::{CellProcess, call};
 use serde_json::json;
 
@@ -56,15 +56,15 @@
     wait_for_successor(directory.path()).await;
     // The first lead learns neither from claims nor from a refused record that it was followed.
     platform.store.hold_reads(Some(CLAIMS));
-    let leads = TroubledLeads::UpTo(token);
-    let trouble = PathTrouble { kind: CallTrouble::Lost, percent: 100, leads };
-    platform.store.set_trouble(Some(trouble));
+    let leads = AffectedLeads::UpTo(token);
+    let trouble = PathFault { kind: CallFault::Lost, percent: 100, leads };
+    platform.store.set_append_fault(Some(trouble));
     hand_in(&next).await;
     first.signal(Signal::SIGCONT);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     platform.store.hold_reads(None);
-    platform.store.set_trouble(None);
-    (0..4).for_each(|number| platform.workers.set_trouble(number, None));
+    platform.store.set_append_fault(None);
+    (0..4).for_each(|number| platform.workers.set_path_fault(number, None));
     wait_completed(&next, JOB).await;
     assert_kept(&platform);
     heard_of_the_job(directory.path())
@@ -74,11 +74,11 @@
 fn reach_apart(platform: &CellPlatform, token: u64) {
     for number in 0..4 {
         let leads = match number {
-            3 => TroubledLeads::UpTo(token),
-            _ => TroubledLeads::After(token),
+            3 => AffectedLeads::UpTo(token),
+            _ => AffectedLeads::After(token),
         };
-        let trouble = PathTrouble { kind: CallTrouble::Lost, percent: 100, leads };
-        platform.workers.set_trouble(number, Some(trouble));
+        let trouble = PathFault { kind: CallFault::Lost, percent: 100, leads };
+        platform.workers.set_path_fault(number, Some(trouble));
     }
 }
 
--- a/crates/sedgehill-standin/tests/testsuite/shared_token.rs
+++ b/crates/sedgehill-standin/tests/testsuite/shared_token.rs
@@ -42,7 +42,7 @@
     // Until the boxes have found each other.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     drop(lead);
-    platform.store.answer_next_late(LEAD_TOPIC, ANSWERED_AFTER);
+    platform.store.delay_next_append_answer(LEAD_TOPIC, ANSWERED_AFTER);
     wait_for("a second claim", async || platform.lead().is_some_and(|lead| lead.token.0 >= 3))
         .await;
     tokio::time::sleep(ANSWERED_AFTER).await;
--- a/crates/sedgehill-standin/tests/testsuite/stops.rs
+++ b/crates/sedgehill-standin/tests/testsuite/stops.rs
@@ -7,7 +7,7 @@
 use nix::sys::signal::Signal;
 use sedgehill_standin::caller::{CallPlan, CallReport, StandinCaller};
 use sedgehill_standin::cluster::TestCluster;
-use sedgehill_standin::ledger::ToldOutcome;
+use sedgehill_standin::ledger::CallerOutcome;
 use tokio::task::JoinSet;
 
 use crate::support::{CHECK, call_many, small_plan, start_published};
@@ -53,7 +53,7 @@
     cluster.boxes[1].signal(Signal::SIGTERM);
     let reports: Vec<CallReport> = callers.join_all().await.into_iter().flatten().collect();
     let cut: Vec<_> =
-        reports.iter().filter(|report| report.outcome != ToldOutcome::Answered).collect();
+        reports.iter().filter(|report| report.outcome != CallerOutcome::Answered).collect();
     assert!(reports.len() > 50, "there was load: {} calls", reports.len());
     assert!(cut.is_empty(), "{cut:?}");
     assert_eq!(cluster.boxes[1].wait(), Some(0));
@@ -70,7 +70,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     cluster.boxes[0].signal(Signal::SIGTERM);
     let report = call.await.expect("the call ends");
-    assert_eq!(report.outcome, ToldOutcome::Answered, "{report:?}");
+    assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
     assert_eq!(cluster.boxes[0].wait(), Some(0));
 }
 
@@ -84,11 +84,11 @@
     stop.store(true, Ordering::SeqCst);
     let address = cluster.boxes[1].addresses.traffic;
     let report = cluster.caller().call(address, &CallPlan::new(CHECK, Duration::ZERO), false).await;
-    assert_eq!(report.outcome, ToldOutcome::Answered);
+    assert_eq!(report.outcome, CallerOutcome::Answered);
     cluster.start_box(0);
     cluster.wait_ready(0).await;
     let reports = call_many(&cluster, CHECK, 30, Duration::from_millis(5)).await;
-    assert!(reports.iter().all(|report| report.outcome == ToldOutcome::Answered), "{reports:?}");
+    assert!(reports.iter().all(|report| report.outcome == CallerOutcome::Answered), "{reports:?}");
     cluster.assert_no_violation();
 }
 
@@ -108,6 +108,6 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     stop.store(true, Ordering::SeqCst);
     let reports: Vec<CallReport> = callers.join_all().await.into_iter().flatten().collect();
-    assert!(reports.iter().all(|report| report.outcome == ToldOutcome::Answered), "{reports:?}");
+    assert!(reports.iter().all(|report| report.outcome == CallerOutcome::Answered), "{reports:?}");
     cluster.assert_no_violation();
 }
--- a/crates/sedgehill-standin/tests/testsuite/support.rs
+++ b/crates/sedgehill-standin/tests/testsuite/support.rs
@@ -5,7 +5,7 @@
 use sedgehill_platform::admin::JobListing;
 use sedgehill_standin::caller::{CallPlan, CallReport};
 use sedgehill_standin::cluster::{
-    ClusterPlan, EndpointGroup, TestCluster, WorkerGroup, quick_settings, usual_worker, wait_for,
+    ClusterPlan, EndpointGroup, TestCluster, WorkerGroup, quick_settings, standard_worker, wait_for,
 };
 use serde_json::Value;
 
@@ -28,7 +28,7 @@
             halls: vec!["gdansk-hala-a", "gdynia-hala-b"],
             count: 6,
             per_rack: 8,
-            total: usual_worker(),
+            total: standard_worker(),
         }],
         list_lag: Duration::from_millis(300),
         settings: quick_settings(),
--- a/crates/sedgehill-standin/tests/testsuite/take_over.rs
+++ b/crates/sedgehill-standin/tests/testsuite/take_over.rs
@@ -5,7 +5,7 @@
 
 use nix::sys::signal::Signal;
 use sedgehill_standin::cell_platform::CellPlatform;
-use sedgehill_standin::cell_process::{CellProcess, CellSite, call};
+use sedgehill_standin::cell_process::{CellBoxConfig, CellProcess, call};
 
 use crate::cell_support::{
     assert_kept, start_box, start_box_at, submit, wait_completed, wait_for, wait_for_lead,
@@ -74,8 +74,8 @@
     // A lead, two that stand by, and more than the few that are told in any case.
     let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
     let start = |name: &str| {
-        let site = CellSite::new(name, &platform, platform.store_address, "0.25");
-        site.with_link(THIN_LINK).start(directory.path()).expect("a box can be started")
+        let site = CellBoxConfig::new(name, &platform, platform.store_address, "0.25");
+        site.with_link_mbps(THIN_LINK).start(directory.path()).expect("a box can be started")
     };
     let mut boxes: Vec<CellProcess> = names.iter().map(|name| start(name)).collect();
     for process in &boxes {
--- a/crates/sedgehill-standin/tests/testsuite/whole_path.rs
+++ b/crates/sedgehill-standin/tests/testsuite/whole_path.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgehill_standin::caller::CallPlan;
-use sedgehill_standin::ledger::ToldOutcome;
+use sedgehill_standin::ledger::CallerOutcome;
 
 use crate::support::{CHECK, OFFER, parse, small_plan, start_published, submit, wait_phase};
 
@@ -15,11 +15,11 @@
     for process in &cluster.boxes {
         let plan = CallPlan::new(CHECK, Duration::from_millis(5));
         let report = caller.call(process.addresses.traffic, &plan, false).await;
-        assert_eq!(report.outcome, ToldOutcome::Answered, "{report:?}");
+        assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
     }
     let plan = CallPlan::once_only(OFFER, Duration::from_millis(20));
     let report = caller.call(cluster.boxes[0].addresses.traffic, &plan, false).await;
-    assert_eq!((report.outcome, report.status), (ToldOutcome::Answered, Some(200)), "{report:?}");
+    assert_eq!((report.outcome, report.status), (CallerOutcome::Answered, Some(200)), "{report:?}");
     assert!(report.took >= plan.work, "an answer came before its work was done: {report:?}");
     assert_eq!(cluster.ledger.request_runs(&plan.token), 1);
 
