--- a/crates/sedgehill-standin/src/cell_platform/advice.rs
+++ b/crates/sedgehill-standin/src/cell_platform/advice.rs
@@ -1,5 +1,7 @@
-//! The advice service: it answers one question at a time for each box that asks, takes its time, and gives tickets
-//! that hold for one step at one life of a worker, for a while.
+//! A stand-in for the advice service, which decides which workers may run a step.
+//!
+//! It works on one question of each box at a time, takes a configurable time for it, and issues tickets that are valid
+//! for one step on one life of a worker until they expire.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -14,50 +16,52 @@
 use super::worker::StandinWorkers;
 use crate::http_server::{JsonResponse, json, read_json, status};
 
-/// How long tickets hold, in milliseconds.
-pub const VALID_MS: u64 = 2_000;
-/// Questions of one box that may wait, as the users say.
-const WAITING_MOST: usize = 32;
+/// How long a ticket is valid.
+pub const TICKET_VALIDITY_MS: u64 = 2_000;
+/// Questions of one box that may be open at a time, as the users' service specifies; further ones get status 429.
+const MAX_OPEN_QUESTIONS: usize = 32;
 
-/// What the service does about a step.
+/// How the service answers questions about a step.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StepAdvice {
-    /// How long a question takes, whatever it names.
+    /// Time that each question takes, independent of the number of workers in it.
     pub per_question: Duration,
-    /// Further time for each worker that is named.
+    /// Additional time for each worker that the question names.
     pub per_worker: Duration,
-    /// How many workers are good for the step; none for all.
+    /// Number of workers that may run the step; `None` allows all.
     pub allowed_count: Option<usize>,
 }
 
-/// What becomes of the questions of a box.
+/// A fault of the service for the questions of one box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdviceFault {
-    /// They fail at once.
+    /// Questions fail at once with status 503.
     Fails,
-    /// They are not answered.
+    /// Questions are never answered.
     Silent,
-    /// They take so many times as long.
+    /// Questions take this many times as long.
     Slow(u32),
-    /// They are answered with nobody.
+    /// Every answer allows no worker.
     NoneAllowed,
 }
 
-/// Tells what the service does about a step, by its id.
+/// Maps the id of a step to how the service answers questions about it.
 pub type AdviceRule = dyn Fn(&str) -> StepAdvice + Send + Sync;
 
-/// One box as the service knows it.
+/// The state that the service keeps for one box.
 #[derive(Default)]
 struct AskingBox {
+    /// Held while a question is worked on, so that the questions of a box are answered one after the other.
     turn: tokio::sync::Mutex<()>,
-    waiting: AtomicUsize,
-    trouble: Mutex<Option<AdviceFault>>,
+    /// Questions that are worked on or wait for their turn.
+    open: AtomicUsize,
+    fault: Mutex<Option<AdviceFault>>,
 }
 
-/// The service.
+/// The advice service.
 pub struct StandinAdvice {
     workers: Arc<StandinWorkers>,
-    count: usize,
+    worker_count: usize,
     rule: Mutex<Arc<AdviceRule>>,
     boxes: Mutex<Vec<Arc<AskingBox>>>,
 }
@@ -69,58 +73,59 @@
 }
 
 impl StandinAdvice {
-    /// A service for so many workers that answers at once and likes all of them.
-    pub fn new(workers: Arc<StandinWorkers>, count: usize) -> StandinAdvice {
+    /// Creates a service for `worker_count` workers that answers at once and allows all of them.
+    pub fn new(workers: Arc<StandinWorkers>, worker_count: usize) -> StandinAdvice {
         let rule: Arc<AdviceRule> = Arc::new(|_| StepAdvice::default());
-        StandinAdvice { workers, count, rule: Mutex::new(rule), boxes: Mutex::default() }
+        StandinAdvice { workers, worker_count, rule: Mutex::new(rule), boxes: Mutex::default() }
     }
 
-    /// Has it go by a rule from now on.
+    /// Replaces the rule by which questions are answered.
     pub fn set_rule(&self, rule: impl Fn(&str) -> StepAdvice + Send + Sync + 'static) {
         *self.rule.lock() = Arc::new(rule);
     }
 
-    /// Makes the questions of a box fare worse, or well again.
-    pub fn set_fault(&self, number: usize, trouble: Option<AdviceFault>) {
-        *self.boxes.lock()[number].trouble.lock() = trouble;
+    /// Sets the fault that questions of a box meet; `None` ends it.
+    pub fn set_fault(&self, number: usize, fault: Option<AdviceFault>) {
+        *self.boxes.lock()[number].fault.lock() = fault;
     }
 
-    /// Another box asks. Returns its number.
+    /// Adds a box that asks questions. Returns its number.
     pub(super) fn add_box(&self) -> usize {
         let mut boxes = self.boxes.lock();
         boxes.push(Arc::default());
         boxes.len() - 1
     }
 
-    /// Whether a worker is good for a step: as many are as the step's habit says, drawn for each step.
+    /// Returns whether a worker may run a step. Which workers these are is drawn from the hash of the step and the
+    /// worker, and their number is [`StepAdvice::allowed_count`].
     pub fn is_allowed(&self, step: &str, worker: usize) -> bool {
         let rule = self.rule.lock().clone();
-        let Some(good) = rule(step).allowed_count else { return true };
-        let place = |number: usize| {
+        let Some(allowed_count) = rule(step).allowed_count else { return true };
+        let rank = |number: usize| {
             let mut hasher = DefaultHasher::new();
             (step, number).hash(&mut hasher);
             (hasher.finish(), number)
         };
-        let own = place(worker);
-        (0..self.count).filter(|other| place(*other) < own).count() < good
+        let own = rank(worker);
+        (0..self.worker_count).filter(|other| rank(*other) < own).count() < allowed_count
     }
 }
 
-/// The text of a ticket.
+/// Formats a ticket for a step on a life of a worker. `until_ms` is on the clock of the stand-ins.
 fn ticket(step: &str, life: &str, until_ms: u64) -> String {
     format!("{step}/{life}/{until_ms}")
 }
 
-/// Whether a ticket allows a task on a life of a worker now.
-pub fn holds(ticket: &str, task: &str, life: &str, now_ms: u64) -> bool {
+/// Returns whether a ticket permits a task on a life of a worker at `now_ms`.
+pub fn is_ticket_valid(ticket: &str, task: &str, life: &str, now_ms: u64) -> bool {
     let mut parts = ticket.split('/');
-    let (step, of, until) = (parts.next(), parts.next(), parts.next());
-    let own_step = task.rsplit_once('.').map(|(step, _)| step);
+    let (step, ticket_life, until) = (parts.next(), parts.next(), parts.next());
+    let task_step = task.rsplit_once('.').map(|(step, _)| step);
     let until: Option<u64> = until.and_then(|until| until.parse().ok());
-    step == own_step && of == Some(life) && until.is_some_and(|until| now_ms < until)
+    step == task_step && ticket_life == Some(life) && until.is_some_and(|until| now_ms < until)
 }
 
-/// Answers a question of a box. What a box has asked is worked on though it does not wait any more.
+/// Answers a question of a box. The work on a question goes on when the box has stopped waiting for the answer.
 pub async fn answer(
     advice: Arc<StandinAdvice>,
     number: usize,
@@ -131,42 +136,43 @@
     };
     let asking = advice.boxes.lock()[number].clone();
     let working = tokio::spawn(async move {
-        if asking.waiting.fetch_add(1, Ordering::Relaxed) >= WAITING_MOST {
-            asking.waiting.fetch_sub(1, Ordering::Relaxed);
+        if asking.open.fetch_add(1, Ordering::Relaxed) >= MAX_OPEN_QUESTIONS {
+            asking.open.fetch_sub(1, Ordering::Relaxed);
             return status(StatusCode::TOO_MANY_REQUESTS);
         }
         let turn = asking.turn.lock().await;
-        let response = work(&advice, &asking, &question).await;
+        let response = decide(&advice, &asking, &question).await;
         drop(turn);
-        asking.waiting.fetch_sub(1, Ordering::Relaxed);
+        asking.open.fetch_sub(1, Ordering::Relaxed);
         response
     });
     match working.await {
         Ok(response) => response,
-        // The task ends with the stand-in.
+        // The runtime is shutting down.
         Err(_) => status(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-async fn work(advice: &StandinAdvice, asking: &AskingBox, question: &Question) -> JsonResponse {
+async fn decide(advice: &StandinAdvice, asking: &AskingBox, question: &Question) -> JsonResponse {
     let rule = advice.rule.lock().clone();
-    let habit = rule(&question.step);
-    let cost = habit.per_question + habit.per_worker * question.workers.len() as u32;
-    let trouble = *asking.trouble.lock();
-    match trouble {
+    let step_advice = rule(&question.step);
+    let duration =
+        step_advice.per_question + step_advice.per_worker * question.workers.len() as u32;
+    let fault = *asking.fault.lock();
+    match fault {
         Some(AdviceFault::Fails) => return status(StatusCode::SERVICE_UNAVAILABLE),
         Some(AdviceFault::Silent) => return std::future::pending().await,
-        Some(AdviceFault::Slow(times)) => tokio::time::sleep(cost * times).await,
-        Some(AdviceFault::NoneAllowed) | None => tokio::time::sleep(cost).await,
+        Some(AdviceFault::Slow(factor)) => tokio::time::sleep(duration * factor).await,
+        Some(AdviceFault::NoneAllowed) | None => tokio::time::sleep(duration).await,
     }
-    let until = advice.workers.now_ms() + VALID_MS;
-    let is_good = |life: &&String| {
+    let until = advice.workers.now_ms() + TICKET_VALIDITY_MS;
+    let is_allowed = |life: &&String| {
         let number = life.split('-').nth(1).and_then(|number| number.parse().ok());
-        let likes = number.is_some_and(|number| advice.is_allowed(&question.step, number));
-        likes && trouble != Some(AdviceFault::NoneAllowed)
+        let allowed = number.is_some_and(|number| advice.is_allowed(&question.step, number));
+        allowed && fault != Some(AdviceFault::NoneAllowed)
     };
-    let good = question.workers.iter().filter(is_good);
-    let good: Vec<(&str, String)> =
-        good.map(|life| (life.as_str(), ticket(&question.step, life, until))).collect();
-    json(&serde_json::json!({ "good": good, "valid_ms": VALID_MS }))
+    let allowed = question.workers.iter().filter(is_allowed);
+    let allowed: Vec<(&str, String)> =
+        allowed.map(|life| (life.as_str(), ticket(&question.step, life, until))).collect();
+    json(&serde_json::json!({ "good": allowed, "valid_ms": TICKET_VALIDITY_MS }))
 }
