--- a/crates/sedgehill-standin/src/cell_platform/oracle.rs
+++ b/crates/sedgehill-standin/src/cell_platform/oracle.rs
@@ -1,142 +1,152 @@
-//! What must never happen at workers, counted over all of them.
+//! Checks over all workers together that what must never happen at workers does not happen.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::life::{StandinEnd, StandinLife};
 
-/// Workers that may crash under a task before its starts are counted.
-const CRASHES_FREE: usize = 3;
-/// Workers that crashed under a task, from which on it may be given up.
-const CRASHES_GIVEN_UP: usize = 2;
-/// The first of the counted starts that is one too many.
-const STARTS_TOO_MANY: usize = 3;
+/// Number of crashes that a task may cause before its further starts are counted.
+const UNCOUNTED_CRASHES: usize = 3;
+/// Number of lives that must have ended while they ran a task before its job may be given up.
+const MIN_LOSSES_TO_GIVE_UP: usize = 2;
+/// The first of the counted starts that is a violation.
+const FIRST_EXCESS_START: usize = 3;
 
-/// The account of all workers.
+/// The history of all workers and the violations found in it.
 #[derive(Debug, Default)]
 pub struct TaskOracle {
     pub violations: Vec<String>,
+    /// Number of runs that have begun.
     pub starts: usize,
-    /// Jobs of which a task was ever begun.
+    /// Jobs of which at least one task has begun.
     pub started_jobs: BTreeSet<String>,
-    /// The most tasks that may run of jobs whose ids begin so.
-    pub bounds: Vec<(String, usize)>,
-    /// Tasks whose end somebody has noted, with that end.
-    noted: BTreeMap<String, String>,
-    /// Tasks whose end a worker has listed.
-    listed: BTreeSet<String>,
-    /// When each run of a task began, and what is told of it.
-    begun: BTreeMap<String, Vec<(u64, String)>>,
-    /// Lives that ended with a task on them.
-    lost: BTreeMap<String, usize>,
-    /// Workers that crashed under a task by its doing, and starts of it since the third.
-    crashed: BTreeMap<String, usize>,
-    further: BTreeMap<String, usize>,
-    /// Jobs whose tasks end together at the platform, which these workers do not know.
-    gangs: BTreeSet<String>,
+    /// Prefixes of job ids, each with the number of tasks of such jobs that may run at once.
+    pub task_limits: Vec<(String, usize)>,
+    /// Tasks whose successful end a box has acknowledged, with a description of that end.
+    acknowledged: BTreeMap<String, String>,
+    /// Tasks whose successful end was in a report of a worker.
+    reported: BTreeSet<String>,
+    /// When each run of a task began, with its description.
+    runs_by_task: BTreeMap<String, Vec<(u64, String)>>,
+    /// Number of lives that ended while they ran the task, for whatever reason.
+    losses: BTreeMap<String, usize>,
+    /// Number of crashes that the task caused.
+    crashes: BTreeMap<String, usize>,
+    /// Number of starts of the task since its crashes reached [`UNCOUNTED_CRASHES`].
+    counted_starts: BTreeMap<String, usize>,
+    /// Jobs with gangs. The platform ends the members of a gang together, which these workers do not model.
+    gang_jobs: BTreeSet<String>,
 }
 
 impl TaskOracle {
-    /// A run begins while the others go on.
-    pub fn note_start(&mut self, task: &str, now: u64, told: &str, lives: &[&StandinLife]) {
+    /// Records that a run begins while `lives` run what they have.
+    pub fn record_start(
+        &mut self,
+        task: &str,
+        now: u64,
+        description: &str,
+        lives: &[&StandinLife],
+    ) {
         for life in lives {
             if let Some(other) = life.runs.get(task) {
-                self.violations.push(format!("{task} runs twice: {} and {told}", other.told));
+                self.violations
+                    .push(format!("{task} runs twice: {} and {description}", other.description));
             }
         }
-        if let Some(end) = self.noted.get(task) {
-            self.violations.push(format!("{task} begins after its end: {end}, then {told}"));
+        if let Some(end) = self.acknowledged.get(task) {
+            self.violations.push(format!("{task} begins after its end: {end}, then {description}"));
         }
         self.starts += 1;
         self.started_jobs.insert(job_of(task));
-        self.begun.entry(task.to_owned()).or_default().push((now, told.to_owned()));
+        self.runs_by_task.entry(task.to_owned()).or_default().push((now, description.to_owned()));
     }
 
-    /// A life ends with all that runs there, by the doing of a task or not.
-    pub fn note_crash(&mut self, life: &StandinLife, by: Option<&str>) {
+    /// Records that a life ends with all its runs. `cause` is the task that crashed it, if one did.
+    pub fn record_crash(&mut self, life: &StandinLife, cause: Option<&str>) {
         for task in life.runs.keys() {
-            *self.lost.entry(task.clone()).or_default() += 1;
+            *self.losses.entry(task.clone()).or_default() += 1;
         }
-        if let Some(task) = by {
-            *self.crashed.entry(task.to_owned()).or_default() += 1;
+        if let Some(task) = cause {
+            *self.crashes.entry(task.to_owned()).or_default() += 1;
         }
     }
 
-    /// A task that crashes its workers is started by an order that was not held up.
-    pub fn note_crashing_start(&mut self, task: &str, told: &str) {
-        if self.crashed.get(task).is_none_or(|count| *count < CRASHES_FREE) {
+    /// Records the start of a task that crashes its workers, by an order that was not delayed on its way.
+    pub fn record_crashing_start(&mut self, task: &str, description: &str) {
+        if self.crashes.get(task).is_none_or(|count| *count < UNCOUNTED_CRASHES) {
             return;
         }
-        let further = self.further.entry(task.to_owned()).or_default();
-        *further += 1;
-        if *further >= STARTS_TOO_MANY {
-            let what = format!(
-                "{task} was started {further} times more after {CRASHES_FREE} crashes: {told}"
+        let starts = self.counted_starts.entry(task.to_owned()).or_default();
+        *starts += 1;
+        if *starts >= FIRST_EXCESS_START {
+            let violation = format!(
+                "{task} was started {starts} times more after {UNCOUNTED_CRASHES} crashes: {description}"
             );
-            self.violations.push(what);
+            self.violations.push(violation);
         }
     }
 
-    /// Workers that crashed under a task by its doing.
+    /// Returns how many workers a task has crashed.
     pub fn crashes_caused_by(&self, task: &str) -> usize {
-        self.crashed.get(task).copied().unwrap_or(0)
+        self.crashes.get(task).copied().unwrap_or(0)
     }
 
-    /// Whether a job may be given up: so many lives ended under one of its tasks.
+    /// Returns whether a job may be given up: [`MIN_LOSSES_TO_GIVE_UP`] lives ended while they ran one of its tasks.
     pub fn may_give_up(&self, job: &str) -> bool {
-        let of_job = self.lost.iter().filter(|(task, _)| job_of(task) == job);
-        of_job.into_iter().any(|(_, count)| *count >= CRASHES_GIVEN_UP)
+        let losses = self.losses.iter().filter(|(task, _)| job_of(task) == job);
+        losses.into_iter().any(|(_, count)| *count >= MIN_LOSSES_TO_GIVE_UP)
     }
 
-    /// Tasks whose end a worker has listed to somebody, whether it was noted before the worker died or not.
+    /// Returns the tasks whose successful end was in a report of a worker, acknowledged or not.
     pub fn done_tasks(&self) -> impl Iterator<Item = &String> {
-        self.listed.iter()
+        self.reported.iter()
     }
 
-    /// A worker lists ends.
-    pub fn note_listed(&mut self, ends: &[StandinEnd]) {
-        let done = ends.iter().filter(|end| end.how == "done");
-        self.listed.extend(done.map(|end| end.task.clone()));
+    /// Records ends that are in a report of a worker.
+    pub fn record_reported_ends(&mut self, ends: &[StandinEnd]) {
+        let done = ends.iter().filter(|end| end.outcome == "done");
+        self.reported.extend(done.map(|end| end.task.clone()));
     }
 
-    /// Tells of a job with gangs.
-    pub fn note_gangs(&mut self, task: &str) {
-        self.gangs.insert(job_of(task));
+    /// Marks the job of a task as one with gangs.
+    pub fn mark_gang_job(&mut self, task: &str) {
+        self.gang_jobs.insert(job_of(task));
     }
 
-    /// Somebody notes ends.
-    pub fn note_ends(&mut self, ends: &[StandinEnd]) {
-        for end in ends.iter().filter(|end| end.how == "done") {
+    /// Records ends that a box has acknowledged.
+    pub fn record_acknowledged_ends(&mut self, ends: &[StandinEnd]) {
+        for end in ends.iter().filter(|end| end.outcome == "done") {
             if self
-                .noted
-                .insert(end.task.clone(), format!("{} done at {}", end.told, end.at))
+                .acknowledged
+                .insert(end.task.clone(), format!("{} done at {}", end.description, end.ended_at))
                 .is_none()
             {
-                self.check_earlier(end);
+                self.check_later_runs(end);
             }
         }
     }
 
-    /// A run that began after an end counts as well if the end is noted later, unless the lease lapsed
-    /// in between.
-    fn check_earlier(&mut self, end: &StandinEnd) {
-        if end.lapsed || self.gangs.contains(&job_of(&end.task)) {
+    /// Counts runs as violations that began after an end that is acknowledged only now. They are permitted if the
+    /// worker's lease expired after the end.
+    fn check_later_runs(&mut self, end: &StandinEnd) {
+        if end.lease_expired || self.gang_jobs.contains(&job_of(&end.task)) {
             return;
         }
-        let begun = self.begun.get(&end.task).into_iter().flatten();
-        for (_, told) in begun.filter(|(at, _)| *at > end.at) {
-            let (task, first, at) = (&end.task, &end.told, end.at);
-            let what = "began after its end, which was noted later";
-            self.violations.push(format!("{task} {what}: {first} done at {at}, then {told}"));
+        let runs = self.runs_by_task.get(&end.task).into_iter().flatten();
+        for (_, description) in runs.filter(|(at, _)| *at > end.ended_at) {
+            let (task, first, at) = (&end.task, &end.description, end.ended_at);
+            let fault = "began after its end, which was acknowledged later";
+            self.violations
+                .push(format!("{task} {fault}: {first} done at {at}, then {description}"));
         }
     }
 
-    /// Counts what runs of each organisation.
-    pub fn check_bounds(&mut self, lives: &[&StandinLife]) {
-        for (prefix, most) in &self.bounds {
+    /// Checks that no more tasks run than [`TaskOracle::task_limits`] permits.
+    pub fn check_task_limits(&mut self, lives: &[&StandinLife]) {
+        for (prefix, limit) in &self.task_limits {
             let tasks = lives.iter().flat_map(|life| life.runs.keys());
             let running = tasks.filter(|task| task.starts_with(prefix.as_str())).count();
-            if running > *most {
-                self.violations.push(format!("{running} tasks of {prefix} run, beyond {most}"));
+            if running > *limit {
+                self.violations.push(format!("{running} tasks of {prefix} run, beyond {limit}"));
             }
         }
     }
