--- a/crates/sedgehill-standin/src/cell_platform/snapshot.rs
+++ b/crates/sedgehill-standin/src/cell_platform/snapshot.rs
@@ -1,29 +1,29 @@
-//! What can be seen of the workers from outside: what runs on each, and which tasks have ended.
+//! Snapshots of the workers for tests and soaks: what runs on each, and which tasks have ended.
 
 use std::collections::BTreeMap;
 
 use super::life::{StandinLife, StandinRun};
 use super::worker::{StandinWorkers, WorkerSite, step_of};
 
-/// A worker as seen from outside.
+/// The state of a worker at one moment.
 #[derive(Debug, Clone)]
 pub struct WorkerSnapshot {
-    /// A life is there.
+    /// Whether a process of the worker runs.
     pub alive: bool,
-    /// What it has, in cores.
+    /// Cores that the worker has.
     pub cores: usize,
-    /// What runs there takes so many of them.
+    /// Cores that its runs use.
     pub used: usize,
-    /// The step of each task that runs there.
+    /// The step of each running task.
     pub running: Vec<String>,
 }
 
 impl StandinWorkers {
-    /// What runs on each worker, as seen from outside.
+    /// Returns the state of each worker now.
     pub fn snapshots(&self) -> Vec<WorkerSnapshot> {
         let now = self.now_ms();
         let state = &mut *self.state.lock();
-        state.settle(now);
+        state.advance(now);
         let snapshot = |site: &WorkerSite| WorkerSnapshot {
             alive: site.life.is_some(),
             cores: site.cores,
@@ -38,17 +38,17 @@
         state.sites.iter().map(snapshot).collect()
     }
 
-    /// The tasks of all runs that are chosen.
-    pub fn running_tasks(&self, chosen: impl Fn(&StandinRun) -> bool) -> Vec<String> {
+    /// Returns the tasks of all runs that match `filter`.
+    pub fn running_tasks(&self, filter: impl Fn(&StandinRun) -> bool) -> Vec<String> {
         let now = self.now_ms();
         let state = &mut *self.state.lock();
-        state.settle(now);
+        state.advance(now);
         let lives = state.sites.iter().flat_map(|site| &site.life);
-        let runs = lives.flat_map(|life| &life.runs).filter(|(_, run)| chosen(run));
+        let runs = lives.flat_map(|life| &life.runs).filter(|(_, run)| filter(run));
         runs.map(|(task, _)| task.clone()).collect()
     }
 
-    /// How many tasks of each step have ended done.
+    /// Returns how many tasks of each step have ended as done and were reported.
     pub fn done_tasks(&self) -> BTreeMap<String, usize> {
         let state = self.state.lock();
         let mut done: BTreeMap<String, usize> = BTreeMap::new();
