--- a/crates/sedgehill-standin/src/cell_platform/call_fault.rs
+++ b/crates/sedgehill-standin/src/cell_platform/call_fault.rs
@@ -1,4 +1,4 @@
-//! Trouble with calls: some are lost, some are carried out without an answer, some are carried out late.
+//! Faults injected into calls to workers and appends to the store: lost calls, lost answers, and delays of both.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -8,53 +8,56 @@
 use rand::{Rng, SeedableRng};
 use sedgehill_cell::ids::TOKENS_PER_LEAD;
 
-/// How much later a late call is carried out, in milliseconds: past the term of a lead and past leases.
-const LATE_MS: Range<u64> = 2_000..12_000;
+/// Delay of a late call: longer than the term of a lead and than leases of workers.
+const CALL_DELAY_MS: Range<u64> = 2_000..12_000;
 
-/// How much later a late answer comes, in milliseconds: another lead may have claimed meanwhile.
-const ANSWER_LATE_MS: Range<u64> = 100..2_400;
+/// Delay of a late answer: long enough for another box to claim the lead meanwhile.
+const ANSWER_DELAY_MS: Range<u64> = 100..2_400;
 
-/// What goes wrong with a call.
+/// A kind of fault of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFault {
-    /// It does not arrive.
+    /// The call does not arrive.
     Lost,
-    /// It is carried out at once, and the answer is lost.
+    /// The call is executed at once, and its answer is lost.
     Unanswered,
-    /// It is carried out seconds later, and not answered.
+    /// The call is executed seconds later, and its answer is lost.
     Late,
-    /// It is carried out at once, and answered late.
+    /// The call is executed at once, and its answer arrives late.
     AnsweredLate,
 }
 
-/// What becomes of one call.
+/// How one call is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallDelivery {
-    /// It is carried out and answered.
+    /// It is executed and answered at once.
     Answered,
-    /// It is carried out at once and answered after a time.
+    /// It is executed at once and answered after a delay.
     AnsweredAfter(Duration),
     /// It does not arrive.
     Lost,
-    /// It is carried out after a time and not answered.
+    /// It is executed after a delay and not answered.
     Unanswered(Duration),
 }
 
-/// Which leads meet trouble. Tokens rise from one lead to the next, so a worker that the lead of a moment
-/// reaches can be cut from all that follow it, and the other way about.
+/// The leads whose calls a fault affects, by their fencing tokens.
+///
+/// Tokens rise from one lead to the next. A worker can thus be cut off from the present lead and be reachable for its
+/// successors, or the other way round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AffectedLeads {
-    /// Each one.
+    /// All leads.
     All,
-    /// Those with this token or a lower one.
+    /// Leads up to the one with this token.
     UpTo(u64),
-    /// Those with a higher token.
+    /// Leads after the one with this token.
     After(u64),
 }
 
 impl AffectedLeads {
-    fn contain(self, token: u64) -> bool {
-        // Each lead has some tokens, for later lives of workers.
+    fn include(self, token: u64) -> bool {
+        // A lead has a block of tokens, of which later ones are for later lives of workers. The first one identifies
+        // the lead.
         let token = token - token % TOKENS_PER_LEAD;
         match self {
             AffectedLeads::All => true,
@@ -63,7 +66,7 @@
         }
     }
 
-    /// The same leads as of a moment at which the newest has this token.
+    /// Returns the same selection relative to the lead with the token `newest`.
     pub fn as_of(self, newest: u64) -> AffectedLeads {
         match self {
             AffectedLeads::All => AffectedLeads::All,
@@ -73,18 +76,18 @@
     }
 }
 
-/// Trouble on a path.
+/// A fault that some calls on a path meet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PathFault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: CallFault,
-    /// Of a hundred calls so many meet it.
+    /// Share of calls that meet the fault.
     pub percent: u32,
-    /// Whose calls.
+    /// The leads whose calls may meet it.
     pub leads: AffectedLeads,
 }
 
-/// Draws what becomes of calls.
+/// Decides by a seeded generator which calls meet a fault.
 #[derive(Debug)]
 pub struct FaultInjector {
     rng: Mutex<StdRng>,
@@ -97,28 +100,28 @@
 }
 
 impl FaultInjector {
-    /// Draws by another seed from now on.
+    /// Restarts the generator with a seed.
     pub fn seed(&self, seed: u64) {
         *self.rng.lock() = StdRng::seed_from_u64(seed);
     }
 
-    /// What becomes of a call under a token.
-    pub fn draw(&self, trouble: Option<PathFault>, token: u64) -> CallDelivery {
-        let Some(trouble) = trouble.filter(|trouble| trouble.leads.contain(token)) else {
+    /// Draws how a call with a fencing token is delivered.
+    pub fn draw(&self, fault: Option<PathFault>, token: u64) -> CallDelivery {
+        let Some(fault) = fault.filter(|fault| fault.leads.include(token)) else {
             return CallDelivery::Answered;
         };
         let mut rng = self.rng.lock();
-        if !rng.random_ratio(trouble.percent, 100) {
+        if !rng.random_ratio(fault.percent, 100) {
             return CallDelivery::Answered;
         }
-        match trouble.kind {
+        match fault.kind {
             CallFault::Lost => CallDelivery::Lost,
             CallFault::Unanswered => CallDelivery::Unanswered(Duration::ZERO),
-            CallFault::AnsweredLate => {
-                CallDelivery::AnsweredAfter(Duration::from_millis(rng.random_range(ANSWER_LATE_MS)))
-            }
+            CallFault::AnsweredLate => CallDelivery::AnsweredAfter(Duration::from_millis(
+                rng.random_range(ANSWER_DELAY_MS),
+            )),
             CallFault::Late => {
-                CallDelivery::Unanswered(Duration::from_millis(rng.random_range(LATE_MS)))
+                CallDelivery::Unanswered(Duration::from_millis(rng.random_range(CALL_DELAY_MS)))
             }
         }
     }
