--- a/crates/sedgehill-standin/src/cell_platform/mod.rs
+++ b/crates/sedgehill-standin/src/cell_platform/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-ins of what a box in cell mode meets: the users' store, workers and advice service.
+//! Stand-ins for the systems that a box in cell mode talks to: the users' store, workers and advice service.
 //!
-//! They speak what the users publish, small and strict. The workers count what must never happen: a
-//! task in two places, a task begun after its acknowledged end, a worker over its size, a task that crashes its
-//! workers started without end.
+//! They implement the parts of the users' published interfaces that boxes use, and reject what these do not permit. The
+//! workers record violations: a task that runs in two places, a task that begins after its acknowledged end, a
+//! worker that runs more than its capacity, and a task that is started again and again though it crashes its workers.
 
 mod advice;
 mod call_fault;
@@ -32,7 +32,7 @@
 pub use self::worker::{CORES, StandinWorkers, run_duration_ms};
 use crate::http_server::{ServerGuard, serve};
 
-/// The stand-ins, which stop when dropped.
+/// The running stand-ins. They stop when this is dropped.
 pub struct CellPlatform {
     /// The store.
     pub store: Arc<StandinStore>,
@@ -40,42 +40,42 @@
     pub workers: Arc<StandinWorkers>,
     /// The advice service.
     pub advice: Arc<StandinAdvice>,
-    /// Where the store listens.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// Where the advice service listens.
+    /// Address of the advice service for boxes without an address of their own.
     pub advice_address: SocketAddr,
-    /// Where the workers listen.
+    /// Addresses of the workers, by number.
     pub worker_addresses: Vec<SocketAddr>,
-    _guards: Vec<ServerGuard>,
-    _returns: ReturnsGuard,
+    _servers: Vec<ServerGuard>,
+    _restarts: RestartGuard,
 }
 
-/// Lets workers that tasks crashed come back, until it is dropped.
-struct ReturnsGuard(tokio::task::JoinHandle<()>);
+/// The background job that restarts workers that tasks have crashed. It ends when this is dropped.
+struct RestartGuard(tokio::task::JoinHandle<()>);
 
-impl Drop for ReturnsGuard {
+impl Drop for RestartGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Time between two looks for workers that tasks crashed.
-const RETURNS_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which crashed workers are looked for.
+const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The topic of workers' entries.
+/// The topic in which workers are listed.
 const WORKER_TOPIC: &str = "keyed.servers";
-/// The topic of leads.
+/// The topic of claims of the lead.
 pub const LEAD_TOPIC: &str = "keyed.sedgehill-lead";
-/// The topic that leads write.
+/// The topic in which leads record the progress of jobs.
 pub const PROGRESS_TOPIC: &str = "keyed.sedgehill-progress";
 
 impl CellPlatform {
-    /// Starts a store, an advice service that likes every worker, and some workers of 4 cores.
+    /// Starts a store, an advice service that allows every worker, and `workers` workers of [`CORES`] cores.
     pub async fn start(workers: usize) -> std::io::Result<CellPlatform> {
         CellPlatform::start_with_cores(workers, CORES).await
     }
 
-    /// The same with workers of so many cores.
+    /// Like [`CellPlatform::start`], with workers of `cores` cores.
     pub async fn start_with_cores(workers: usize, cores: usize) -> std::io::Result<CellPlatform> {
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         let store = Arc::new(StandinStore::default());
@@ -94,8 +94,8 @@
             worker_addresses.push(guard.address);
             guards.push(guard);
         }
-        let returns =
-            start_lives_after_crashes(pool.clone(), store.clone(), worker_addresses.clone());
+        let restarts =
+            restart_crashed_workers(pool.clone(), store.clone(), worker_addresses.clone());
         let platform = CellPlatform {
             store,
             workers: pool,
@@ -103,51 +103,52 @@
             store_address,
             advice_address,
             worker_addresses,
-            _guards: guards,
-            _returns: ReturnsGuard(tokio::spawn(returns)),
+            _servers: guards,
+            _restarts: RestartGuard(tokio::spawn(restarts)),
         };
         (0..workers).for_each(|number| platform.list_worker(number));
         Ok(platform)
     }
 
-    /// Opens a way to the advice service for one box more. Returns its address; boxes are numbered from 1, since all
-    /// that were not given a way of their own are number 0.
+    /// Opens another address of the advice service, for one box alone, and returns it. Boxes with such addresses are
+    /// numbered from 1 in the order of the calls; number 0 is all boxes that use [`CellPlatform::advice_address`].
     pub async fn add_advice_address(&mut self) -> std::io::Result<SocketAddr> {
         let guard = serve_advice(&self.advice).await?;
         let address = guard.address;
-        self._guards.push(guard);
+        self._servers.push(guard);
         Ok(address)
     }
 
-    /// Has the store list the life that a worker has now.
+    /// Lists the current life of a worker in the store.
     pub fn list_worker(&self, number: usize) {
         list_life(&self.workers, &self.store, self.worker_addresses[number], number);
     }
 
-    /// Has all workers tell when their lives began, and some that die start again under the ids that they had.
+    /// Makes all workers report when their lives began, and some workers restart under the same id after they die.
     pub fn reuse_worker_ids(&self, seed: u64) {
         self.workers.reuse_ids(seed);
         (0..self.worker_addresses.len()).for_each(|number| self.list_worker(number));
     }
 
-    /// A worker has so many cores from now on, and its entry says so.
+    /// Changes the cores of a worker, and its entry in the store.
     pub fn resize_worker(&self, number: usize, cores: usize) {
         self.workers.resize(number, cores);
         self.list_worker(number);
     }
 
-    /// Has the store list a life no more.
+    /// Removes the entry of a life from the store.
     pub fn unlist_worker(&self, life: &str) {
         self.store.remove(WORKER_TOPIC, life);
     }
 
-    /// Who claimed the lead last, or renewed it.
+    /// Returns the newest record of a claim or a renewal of the lead.
     pub fn lead(&self) -> Option<LeadRecord> {
         let value = self.store.newest_value(LEAD_TOPIC, "lead")?;
         LeadRecord::decode(&value).ok()
     }
 
-    /// Tokens that more than one process claimed. Workers cannot tell the orders of the two apart.
+    /// Describes each fencing token that more than one process has claimed. Workers cannot tell orders of such
+    /// processes apart.
     pub fn shared_tokens(&self) -> Vec<String> {
         let values = self.store.all_values(LEAD_TOPIC);
         let records = values.iter().filter_map(|value| LeadRecord::decode(value).ok());
@@ -160,25 +161,25 @@
         shared.map(|(token, processes)| format!("token {token} is held by {processes:?}")).collect()
     }
 
-    /// Puts a configuration with one queue into the store.
+    /// Writes a configuration with one queue to the store.
     pub fn configure(&self, version: u64) {
         self.store.put("keyed.op", "config", &one_queue(version));
     }
 
-    /// The version after that of the configuration in the store.
+    /// Returns the version that follows that of the configuration in the store.
     pub fn next_config_version(&self) -> u64 {
         let config = self.store.newest_value("keyed.op", "config").unwrap_or_default();
         let config: serde_json::Value = serde_json::from_slice(&config).unwrap_or_default();
         config["version"].as_u64().unwrap_or(0) + 1
     }
 
-    /// Puts a configuration of any queues into the store.
+    /// Writes a configuration with the given queues to the store.
     pub fn configure_queues(&self, version: u64, queues: &[serde_json::Value]) {
         let config = serde_json::json!({ "version": version, "routes": queues });
         self.store.put("keyed.op", "config", &config);
     }
 
-    /// The same with organisations, whose callers need keys.
+    /// Writes a configuration with one queue and organisations, whose callers need keys.
     pub fn configure_organisations(&self, version: u64, organisations: &[StandinOrganisation]) {
         let tenant = |organisation: &StandinOrganisation| {
             serde_json::json!({
@@ -192,14 +193,14 @@
     }
 }
 
-/// An organisation as it is configured.
+/// An organisation in the configuration.
 #[derive(Debug, Clone)]
 pub struct StandinOrganisation {
     /// Its name.
     pub name: &'static str,
-    /// Its keys.
+    /// Keys of its callers.
     pub keys: Vec<String>,
-    /// The most cores that it may have running; 0 for no limit.
+    /// Cores that its running tasks may use at once; 0 for no limit.
     pub cores: u64,
 }
 
@@ -211,20 +212,20 @@
     store.put(WORKER_TOPIC, &workers.life_id(number), &entry);
 }
 
-async fn start_lives_after_crashes(
+async fn restart_crashed_workers(
     workers: Arc<StandinWorkers>,
     store: Arc<StandinStore>,
     addresses: Vec<SocketAddr>,
 ) {
     loop {
-        let (back, gone) = workers.start_lives_after_crashes();
-        for number in back {
+        let (restarted, expired) = workers.start_lives_after_crashes();
+        for number in restarted {
             list_life(&workers, &store, addresses[number], number);
         }
-        for life in gone {
+        for life in expired {
             store.remove(WORKER_TOPIC, &life);
         }
-        tokio::time::sleep(RETURNS_EVERY).await;
+        tokio::time::sleep(RESTART_POLL_INTERVAL).await;
     }
 }
 
