--- a/crates/sedgehill-standin/src/cell_platform/store.rs
+++ b/crates/sedgehill-standin/src/cell_platform/store.rs
@@ -1,4 +1,5 @@
-//! A store of topics, of which the newest record of each key is kept.
+//! A stand-in for the users' store of topics: append-only logs of records with keys, of which the newest record of
+//! each key can always be read.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,43 +15,49 @@
 use super::call_fault::{CallDelivery, FaultInjector, PathFault};
 use crate::http_server::{JsonResponse, json, query_value, status};
 
-/// Time between two looks of a call that waits.
-const TURN: Duration = Duration::from_millis(5);
+/// Interval at which a waiting call checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
+/// The state of one producer of a topic.
 #[derive(Debug, Default)]
 struct ProducerState {
     epoch: u64,
-    next: u64,
-    last: u64,
+    /// The sequence number that its next append must have.
+    next_sequence: u64,
+    /// The end of the topic after its last append, which a repeated append is answered with.
+    last_end: u64,
 }
 
 #[derive(Debug, Default)]
 struct StoreState {
+    /// All records of each topic, by offset. An empty value deletes its key.
     topics: HashMap<String, Vec<(String, Bytes)>>,
     /// The first offset of each topic that can still be read.
-    first: HashMap<String, u64>,
+    first_offsets: HashMap<String, u64>,
     producers: HashMap<(String, String), ProducerState>,
+    /// No call is answered.
     silent: bool,
-    /// The topic whose records go the moment a sender begins a new epoch there.
-    forgets_at_fence: Option<String>,
-    /// The topic whose reads wait, until such a moment at the latest.
-    holds_reads: Option<String>,
-    /// How much later such reads are told that what they ask for is gone; none for an error at once.
-    tells_gone_late: Option<Duration>,
-    /// The topic whose next append is answered so much later than it is carried out.
-    answers_late: Option<(String, Duration)>,
-    /// How much later than the one before each reading of the newest records is answered, and how many were.
-    newest_late: Option<(Duration, u32)>,
-    /// What becomes of appends.
-    trouble: Option<PathFault>,
-    /// What pages of the newest records hold as well, as it stands: the topic and the item.
-    strays: Vec<(String, serde_json::Value)>,
+    /// The topic whose history is discarded when a producer begins a new epoch there.
+    discard_at_fence: Option<String>,
+    /// The topic whose reads wait, at the latest until a producer begins a new epoch there.
+    held_reads: Option<String>,
+    /// Delay after which held reads are answered with status 410 if their offset cannot be read any more. Without it
+    /// they get status 503 at once.
+    gone_answer_delay: Option<Duration>,
+    /// The topic whose next append is answered late, and the delay.
+    next_append_delay: Option<(String, Duration)>,
+    /// The delay that each read of the newest records adds to that of the one before, and the number of reads so far.
+    newest_delay: Option<(Duration, u32)>,
+    /// The fault that appends meet.
+    append_fault: Option<PathFault>,
+    /// Additional items in pages of newest records, with their topics. They need not be well formed.
+    raw_items: Vec<(String, serde_json::Value)>,
 }
 
 impl StoreState {
     fn discard_history(&mut self, topic: &str) {
         let end = self.topics.get(topic).map_or(0, Vec::len) as u64;
-        self.first.insert(topic.to_owned(), end);
+        self.first_offsets.insert(topic.to_owned(), end);
     }
 }
 
@@ -62,111 +69,113 @@
 }
 
 impl StandinStore {
-    /// Puts a record under a key.
+    /// Appends a record with a JSON value.
     pub fn put(&self, topic: &str, key: &str, value: &serde_json::Value) {
         self.put_bytes(topic, key, value.to_string().as_bytes());
     }
 
-    /// Puts a record of any bytes under a key.
+    /// Appends a record with a value of any bytes.
     pub fn put_bytes(&self, topic: &str, key: &str, value: &[u8]) {
         let value = Bytes::copy_from_slice(value);
         let mut state = self.state.lock();
         state.topics.entry(topic.to_owned()).or_default().push((key.to_owned(), value));
     }
 
-    /// Has the records that a topic holds now gone: only the newest of each key can be read.
+    /// Discards the present records of a topic: only the newest one of each key can still be read.
     pub fn discard_history(&self, topic: &str) {
         self.state.lock().discard_history(topic);
     }
 
-    /// Has a topic's records gone, once, the moment a sender begins a new epoch there.
+    /// Discards the records of a topic once, when a producer next begins a new epoch there.
     pub fn discard_history_at_fence(&self, topic: &str) {
-        self.state.lock().forgets_at_fence = Some(topic.to_owned());
+        self.state.lock().discard_at_fence = Some(topic.to_owned());
     }
 
-    /// Has reads of a topic wait, until a sender begins a new epoch there at the latest, or wait no more.
-    /// Those that waited do nothing.
+    /// Holds reads of a topic, at the latest until a producer begins a new epoch there; `None` releases them. Held
+    /// reads return no records.
     pub fn hold_reads(&self, topic: Option<&str>) {
-        self.state.lock().holds_reads = topic.map(str::to_owned);
+        self.state.lock().held_reads = topic.map(str::to_owned);
     }
 
-    /// Has the next append to a topic carried out at once and answered after a time.
-    pub fn delay_next_append_answer(&self, topic: &str, after: Duration) {
-        self.state.lock().answers_late = Some((topic.to_owned(), after));
+    /// Delays the answer to the next append to a topic, which is executed at once.
+    pub fn delay_next_append_answer(&self, topic: &str, delay: Duration) {
+        self.state.lock().next_append_delay = Some((topic.to_owned(), delay));
     }
 
-    /// Has each reading of the newest records answered so much later than the one before it: the first as
-    /// late, the second twice as late.
-    pub fn delay_newest_answers(&self, each: Duration) {
-        self.state.lock().newest_late = Some((each, 0));
+    /// Delays answers to reads of the newest records: the first one by `step`, the second one by twice as much, and so
+    /// on. Reads of the list of workers are not delayed.
+    pub fn delay_newest_answers(&self, step: Duration) {
+        self.state.lock().newest_delay = Some((step, 0));
     }
 
-    /// All that was ever appended to a topic.
+    /// Returns the values of all records that were ever appended to a topic.
     pub fn all_values(&self, topic: &str) -> Vec<Bytes> {
         let state = self.state.lock();
         let records = state.topics.get(topic).into_iter().flatten();
         records.map(|(_, value)| value.clone()).collect()
     }
 
-    /// Where a topic ends.
+    /// Returns the offset after the last record of a topic.
     pub fn end(&self, topic: &str) -> u64 {
         self.state.lock().topics.get(topic).map_or(0, Vec::len) as u64
     }
 
-    /// Has reads that waited told so much later that what they ask for is gone.
-    pub fn delay_gone_answers(&self, late: Duration) {
-        self.state.lock().tells_gone_late = Some(late);
+    /// Answers held reads whose offset cannot be read any more with status 410, after a delay.
+    pub fn delay_gone_answers(&self, delay: Duration) {
+        self.state.lock().gone_answer_delay = Some(delay);
     }
 
-    fn gone_late(&self, topic: &str, from: u64) -> Option<Duration> {
+    /// Returns the delay of the answer to a held read, if its offset cannot be read any more and a delay is set.
+    fn gone_delay(&self, topic: &str, from: u64) -> Option<Duration> {
         let is_gone = from < self.first_of(topic);
-        self.state.lock().tells_gone_late.filter(|_| is_gone)
+        self.state.lock().gone_answer_delay.filter(|_| is_gone)
     }
 
     fn first_of(&self, topic: &str) -> u64 {
-        self.state.lock().first.get(topic).copied().unwrap_or_default()
+        self.state.lock().first_offsets.get(topic).copied().unwrap_or_default()
     }
 
-    /// Has appends meet trouble, or no more.
-    pub fn set_append_fault(&self, trouble: Option<PathFault>) {
-        self.state.lock().trouble = trouble;
+    /// Sets the fault that appends meet; `None` ends it.
+    pub fn set_append_fault(&self, fault: Option<PathFault>) {
+        self.state.lock().append_fault = fault;
     }
 
-    /// Draws by another seed what becomes of appends.
+    /// Seeds the generator that decides which appends meet the fault.
     pub fn seed(&self, seed: u64) {
         self.fault_injector.seed(seed);
     }
 
-    /// Drops a key.
+    /// Deletes a key.
     pub fn remove(&self, topic: &str, key: &str) {
         let mut state = self.state.lock();
         state.topics.entry(topic.to_owned()).or_default().push((key.to_owned(), Bytes::new()));
     }
 
-    /// The newest value of a key.
+    /// Returns the newest value of a key, which is empty if the key was deleted.
     pub fn newest_value(&self, topic: &str, key: &str) -> Option<Bytes> {
         let state = self.state.lock();
         let records = state.topics.get(topic)?;
         records.iter().rev().find(|(other, _)| other == key).map(|(_, value)| value.clone())
     }
 
-    /// Puts an item into the pages of a topic's newest records, whatever it is.
+    /// Adds an item to the pages of a topic's newest records as it is, well formed or not.
     pub fn put_raw_item(&self, topic: &str, item: serde_json::Value) {
-        self.state.lock().strays.push((topic.to_owned(), item));
+        self.state.lock().raw_items.push((topic.to_owned(), item));
     }
 
-    /// Lets the store answer nobody, or everybody again. Calls that wait meanwhile do nothing.
+    /// Stops the store from answering calls, or lets it answer again. Calls that arrive in between are not executed and
+    /// get status 503 at its end.
     pub fn set_silent(&self, silent: bool) {
         self.state.lock().silent = silent;
     }
 }
 
-/// Answers a call.
+/// Answers a call of a box.
 pub async fn answer(store: Arc<StandinStore>, request: Request<Incoming>) -> JsonResponse {
     let mut was_silent = false;
     while store.state.lock().silent {
         was_silent = true;
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     if was_silent {
         return status(StatusCode::SERVICE_UNAVAILABLE);
@@ -176,12 +185,12 @@
         "/sedgehill/log-append" => append(store, topic, request).await,
         "/sedgehill/log-read" => read(&store, &topic, &request).await,
         "/sedgehill/log-newest" if topic != WORKER_TOPIC => {
-            let late = store.state.lock().newest_late.as_mut().map(|(each, count)| {
+            let delay = store.state.lock().newest_delay.as_mut().map(|(step, count)| {
                 *count += 1;
-                *each * *count
+                *step * *count
             });
             let response = newest(&store, &topic);
-            tokio::time::sleep(late.unwrap_or_default()).await;
+            tokio::time::sleep(delay.unwrap_or_default()).await;
             response
         }
         "/sedgehill/log-newest" => newest(&store, &topic),
@@ -189,9 +198,10 @@
     }
 }
 
-/// An append on its way.
+/// The content of an append call.
 struct AppendCall {
     topic: String,
+    /// The offset at which the topic must end for the append to take effect.
     at: Option<u64>,
     producer: Option<String>,
     epoch: u64,
@@ -212,32 +222,32 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let call = AppendCall { topic, at, producer, epoch, sequence, body: body.to_bytes() };
-    let trouble = store.state.lock().trouble;
-    let late = store.state.lock().answers_late.take_if(|(topic, _)| *topic == call.topic);
-    if let Some((_, after)) = late {
-        let response = carry_out(&store, call);
-        tokio::time::sleep(after).await;
+    let fault = store.state.lock().append_fault;
+    let late = store.state.lock().next_append_delay.take_if(|(topic, _)| *topic == call.topic);
+    if let Some((_, delay)) = late {
+        let response = execute_append(&store, call);
+        tokio::time::sleep(delay).await;
         return response;
     }
-    match store.fault_injector.draw(trouble, epoch) {
-        CallDelivery::Answered => carry_out(&store, call),
-        CallDelivery::AnsweredAfter(after) => {
-            let response = carry_out(&store, call);
-            tokio::time::sleep(after).await;
+    match store.fault_injector.draw(fault, epoch) {
+        CallDelivery::Answered => execute_append(&store, call),
+        CallDelivery::AnsweredAfter(delay) => {
+            let response = execute_append(&store, call);
+            tokio::time::sleep(delay).await;
             response
         }
         CallDelivery::Lost => std::future::pending().await,
-        CallDelivery::Unanswered(after) => {
+        CallDelivery::Unanswered(delay) => {
             tokio::spawn(async move {
-                tokio::time::sleep(after).await;
-                carry_out(&store, call)
+                tokio::time::sleep(delay).await;
+                execute_append(&store, call)
             });
             std::future::pending().await
         }
     }
 }
 
-fn carry_out(store: &StandinStore, call: AppendCall) -> JsonResponse {
+fn execute_append(store: &StandinStore, call: AppendCall) -> JsonResponse {
     let AppendCall { topic, at, producer, epoch, sequence, body } = call;
     let topic = topic.as_str();
     let mut state = store.state.lock();
@@ -248,7 +258,7 @@
     if at.is_some_and(|at| at != end) {
         return refuse(StatusCode::PRECONDITION_FAILED, "", end);
     }
-    let mut known = None;
+    let mut appending = None;
     let mut fences = false;
     if let Some(producer) = producer {
         let state = producers.entry((topic.to_owned(), producer)).or_default();
@@ -257,25 +267,25 @@
         }
         if epoch > state.epoch {
             fences = true;
-            *state = ProducerState { epoch, next: sequence, last: end };
+            *state = ProducerState { epoch, next_sequence: sequence, last_end: end };
         }
-        if sequence + 1 == state.next {
-            return json(&serde_json::json!({ "end": state.last }));
+        if sequence + 1 == state.next_sequence {
+            return json(&serde_json::json!({ "end": state.last_end }));
         }
-        if sequence != state.next {
+        if sequence != state.next_sequence {
             return refuse(StatusCode::CONFLICT, "seq", end);
         }
-        known = Some(state);
+        appending = Some(state);
     }
     records.extend(decode(body));
     let end = records.len() as u64;
-    if let Some(state) = known {
-        (state.next, state.last) = (state.next + 1, end);
+    if let Some(state) = appending {
+        (state.next_sequence, state.last_end) = (state.next_sequence + 1, end);
     }
     if fences {
-        state.holds_reads.take_if(|held| held == topic);
+        state.held_reads.take_if(|held| held == topic);
     }
-    if fences && state.forgets_at_fence.take_if(|forgotten| forgotten == topic).is_some() {
+    if fences && state.discard_at_fence.take_if(|discarded| discarded == topic).is_some() {
         state.discard_history(topic);
     }
     json(&serde_json::json!({ "end": end }))
@@ -303,14 +313,14 @@
     let from: u64 = query_value(request, "from_rev").unwrap_or_default();
     let wait: u64 = query_value(request, "wait_ms").unwrap_or_default();
     let deadline = Instant::now() + Duration::from_millis(wait);
-    let is_held = || store.state.lock().holds_reads.as_deref() == Some(topic);
+    let is_held = || store.state.lock().held_reads.as_deref() == Some(topic);
     loop {
         if is_held() {
             while is_held() {
-                tokio::time::sleep(TURN).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
-            if let Some(late) = store.gone_late(topic, from) {
-                tokio::time::sleep(late).await;
+            if let Some(delay) = store.gone_delay(topic, from) {
+                tokio::time::sleep(delay).await;
                 return gone(store.first_of(topic));
             }
             return status(StatusCode::SERVICE_UNAVAILABLE);
@@ -318,7 +328,7 @@
         let (first, end, records) = {
             let state = store.state.lock();
             let records = state.topics.get(topic).cloned().unwrap_or_default();
-            let first = state.first.get(topic).copied().unwrap_or_default();
+            let first = state.first_offsets.get(topic).copied().unwrap_or_default();
             (first, records.len() as u64, records)
         };
         if from < first {
@@ -328,7 +338,7 @@
             let new = records.get(from as usize..).unwrap_or_default();
             return JsonResponse::new(Full::new(encode(first, end, new)));
         }
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -358,11 +368,12 @@
     let newest: BTreeMap<&str, &Bytes> =
         records.iter().map(|(key, value)| (key.as_str(), value)).collect();
     let encode = |value: &Bytes| base64::engine::general_purpose::STANDARD.encode(value);
-    let strays = state.strays.iter().filter(|(of, _)| of == topic).map(|(_, item)| item.clone());
+    let raw_items =
+        state.raw_items.iter().filter(|(other, _)| other == topic).map(|(_, item)| item.clone());
     let items = newest
         .into_iter()
         .filter(|(_, value)| !value.is_empty())
         .map(|(key, value)| serde_json::json!({ "key": key, "value": encode(value), "offset": 0 }));
-    let items: Vec<serde_json::Value> = strays.chain(items).collect();
+    let items: Vec<serde_json::Value> = raw_items.chain(items).collect();
     json(&serde_json::json!({ "items": items, "more": false, "end": records.len() }))
 }
