--- a/crates/sedgehill-standin/src/cell_platform/worker_calls.rs
+++ b/crates/sedgehill-standin/src/cell_platform/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers: what becomes of each on its way, and what the worker does.
+//! Calls of boxes to workers: their delivery, with injected faults, and their execution.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,11 +12,14 @@
 use super::call_fault::CallDelivery;
 use super::life::{StandinLife, StandinRun};
 use super::spec::{GANG_SPEC, WIDE_SPEC, cores_of, crash_time, failure_time};
-use super::worker::{PoolState, STOP_MS, StandinWorkers, TURN, name, run_duration_ms, step_of};
+use super::worker::{
+    POLL_INTERVAL, PoolState, STOP_DURATION_MS, StandinWorkers, run_duration_ms, step_of, worker_id,
+};
 use crate::http_server::{JsonResponse, json, read_json, status};
 
+/// The body of a call. Which fields it has depends on the path.
 #[derive(Deserialize, Clone)]
-struct Order {
+struct WorkerOrder {
     #[serde(default)]
     task: String,
     #[serde(default)]
@@ -31,21 +34,22 @@
     #[serde(default)]
     spec: String,
     ticket: Option<String>,
-    /// How much later than it was sent it is carried out.
+    /// Injected delay between sending and execution.
     #[serde(skip)]
-    held: Duration,
+    delay: Duration,
 }
 
-/// An order on its way to one life at one address.
+/// A call to the worker at one address.
 #[derive(Clone)]
-struct Call {
+struct WorkerCall {
     number: usize,
     path: String,
+    /// The id of the life that the call is meant for.
     life: Option<String>,
-    order: Order,
+    order: WorkerOrder,
 }
 
-/// Answers an order to one worker, late if that was asked for.
+/// Answers a call to a worker, as the faults of its path and the delay of answers have it.
 pub async fn answer(
     pool: Arc<StandinWorkers>,
     number: usize,
@@ -54,92 +58,94 @@
     let path = request.uri().path().to_owned();
     let intended = request.headers().get("target-instance");
     let life = intended.and_then(|life| life.to_str().ok()).map(str::to_owned);
-    let Some(order) = read_json::<Order>(request).await else {
+    let Some(order) = read_json::<WorkerOrder>(request).await else {
         return status(StatusCode::BAD_REQUEST);
     };
-    let trouble = pool.state.lock().sites[number].trouble;
-    let fate = pool.fault_injector.draw(trouble, order.fencing_token);
-    let mut call = Call { number, path, life, order };
-    let mut late = Duration::from_millis(pool.delay_ms.load(Ordering::Relaxed));
-    match fate {
+    let fault = pool.state.lock().sites[number].path_fault;
+    let delivery = pool.fault_injector.draw(fault, order.fencing_token);
+    let mut call = WorkerCall { number, path, life, order };
+    let mut answer_delay = Duration::from_millis(pool.answer_delay_ms.load(Ordering::Relaxed));
+    match delivery {
         CallDelivery::Answered => {}
-        CallDelivery::AnsweredAfter(after) => late += after,
+        CallDelivery::AnsweredAfter(delay) => answer_delay += delay,
         CallDelivery::Lost => return std::future::pending().await,
-        CallDelivery::Unanswered(after) => {
-            call.order.held = after;
+        CallDelivery::Unanswered(delay) => {
+            call.order.delay = delay;
             tokio::spawn(async move {
-                tokio::time::sleep(after).await;
-                obey(&pool, &call).await
+                tokio::time::sleep(delay).await;
+                execute(&pool, &call).await
             });
             return std::future::pending().await;
         }
     }
-    let response = obey(&pool, &call).await;
-    tokio::time::sleep(late).await;
+    let response = execute(&pool, &call).await;
+    tokio::time::sleep(answer_delay).await;
     response
 }
 
-async fn obey(pool: &StandinWorkers, call: &Call) -> JsonResponse {
+/// Executes a call, and repeats that for a call that may wait until there is something to answer.
+async fn execute(pool: &StandinWorkers, call: &WorkerCall) -> JsonResponse {
     let deadline = Instant::now() + Duration::from_millis(call.order.wait_ms);
-    let lives = pool.lives(call.number);
+    let life_count = pool.life_count(call.number);
     loop {
-        let waits = Instant::now() < deadline;
-        // A process that ends takes along the calls that wait there: the next one does not carry them out again.
-        if pool.lives(call.number) != lives {
+        let may_wait = Instant::now() < deadline;
+        // Calls that wait at a process end with it; the next process does not execute them.
+        if pool.life_count(call.number) != life_count {
             return std::future::pending().await;
         }
-        match try_obey(pool, call, waits) {
-            Obeyed::Answer(response) => return response,
-            // A machine without a process says nothing.
-            Obeyed::Nobody => return std::future::pending().await,
-            Obeyed::Waits => tokio::time::sleep(TURN).await,
+        match try_execute(pool, call, may_wait) {
+            CallProgress::Answered(response) => return response,
+            // No process runs, so that nothing answers.
+            CallProgress::NoProcess => return std::future::pending().await,
+            CallProgress::Waiting => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-enum Obeyed {
-    Answer(JsonResponse),
-    Nobody,
-    Waits,
+enum CallProgress {
+    Answered(JsonResponse),
+    NoProcess,
+    Waiting,
 }
 
-fn try_obey(pool: &StandinWorkers, call: &Call, waits: bool) -> Obeyed {
+fn try_execute(pool: &StandinWorkers, call: &WorkerCall, may_wait: bool) -> CallProgress {
     let now = pool.now_ms();
     let state = &mut *pool.state.lock();
-    state.settle(now);
+    state.advance(now);
     let order = &call.order;
-    let Some(life) = &mut state.sites[call.number].life else { return Obeyed::Nobody };
+    let Some(life) = &mut state.sites[call.number].life else { return CallProgress::NoProcess };
     if call.life.as_ref() != Some(&life.name) {
-        return Obeyed::Answer(status(StatusCode::MISDIRECTED_REQUEST));
+        return CallProgress::Answered(status(StatusCode::MISDIRECTED_REQUEST));
     }
-    let clock = life.clock.at(now);
+    let clock = life.clock.reading_at(now);
     if order.fencing_token < life.token {
-        return Obeyed::Answer(refuse("fence", clock));
+        return CallProgress::Answered(refuse("fence", clock));
     }
     life.token = order.fencing_token;
-    Obeyed::Answer(match call.path.as_str() {
+    CallProgress::Answered(match call.path.as_str() {
         "/sedgehill/run-start" => start(state, call, now),
         "/sedgehill/run-stop" => {
-            life.stop(&order.task, order.run, now + STOP_MS);
+            life.stop(&order.task, order.run, now + STOP_DURATION_MS);
             json(&serde_json::json!({ "clock_ms": clock }))
         }
         "/sedgehill/hold" => {
-            life.lease(order.deadline_ms, now);
-            let seen = life.acknowledge(order.last_seen);
-            let quiet = life.ends.is_empty();
-            if quiet && waits {
-                state.oracle.note_ends(&seen);
-                return Obeyed::Waits;
+            life.extend_lease(order.deadline_ms, now);
+            let acknowledged = life.acknowledge(order.last_seen);
+            let has_no_ends = life.ends.is_empty();
+            if has_no_ends && may_wait {
+                state.oracle.record_acknowledged_ends(&acknowledged);
+                return CallProgress::Waiting;
             }
-            let account = account(life, clock);
-            state.oracle.note_listed(&life.ends);
-            let listed = match pool.delay_ms.load(Ordering::Relaxed) {
+            let report = build_report(life, clock);
+            state.oracle.record_reported_ends(&life.ends);
+            // Delayed answers always arrive, so that the ends in them count as acknowledged.
+            let delivered = match pool.answer_delay_ms.load(Ordering::Relaxed) {
                 0 => Vec::new(),
                 _ => life.ends.clone(),
             };
-            state.oracle.note_ends(&seen);
-            state.oracle.note_ends(&listed);
-            account
+            state.oracle.record_acknowledged_ends(&acknowledged);
+            state.oracle.record_acknowledged_ends(&delivered);
+            report
         }
         _ => status(StatusCode::NOT_FOUND),
     })
@@ -151,70 +157,82 @@
     response
 }
 
-fn account(life: &StandinLife, clock: u64) -> JsonResponse {
+fn build_report(life: &StandinLife, clock: u64) -> JsonResponse {
     let running: Vec<(&str, u64, &str, u64)> =
         life.runs.iter().map(|(task, run)| (task.as_str(), run.run, "", 100)).collect();
-    let ended: Vec<(u64, &str, u64, &str, &str)> =
-        life.ends.iter().map(|end| (end.number, end.task.as_str(), end.run, end.how, "")).collect();
-    let mut account =
+    let ended: Vec<(u64, &str, u64, &str, &str)> = life
+        .ends
+        .iter()
+        .map(|end| (end.number, end.task.as_str(), end.run, end.outcome, ""))
+        .collect();
+    let mut report =
         serde_json::json!({ "clock_ms": clock, "running": running, "ended_at": ended });
     if let Some(born) = life.born {
-        account["born"] = born.into();
+        report["born"] = born.into();
     }
-    json(&account)
+    json(&report)
 }
 
-fn start(state: &mut PoolState, call: &Call, now: u64) -> JsonResponse {
+fn start(state: &mut PoolState, call: &WorkerCall, now: u64) -> JsonResponse {
     let (order, number) = (&call.order, call.number);
-    let span = run_duration_ms(step_of(&order.task), &state.run_ms);
+    let duration = run_duration_ms(step_of(&order.task), &state.run_ms);
     let Some(life) = &mut state.sites[number].life else { return status(StatusCode::NOT_FOUND) };
-    let clock = life.clock.at(now);
+    let clock = life.clock.reading_at(now);
     let ticket = order.ticket.as_deref().unwrap_or_default();
-    if !advice::holds(ticket, &order.task, &life.name, now) {
+    if !advice::is_ticket_valid(ticket, &order.task, &life.name, now) {
         return refuse("ticket", clock);
     }
     if order.deadline_ms < clock {
         return refuse("late", clock);
     }
-    life.lease(order.deadline_ms, now);
+    life.extend_lease(order.deadline_ms, now);
     if life.runs.get(&order.task).is_some_and(|run| run.run == order.run) {
-        // The same order again.
+        // A repeated order for a run that has begun.
         return json(&serde_json::json!({ "clock_ms": clock }));
     }
     if life.refuses(&order.task, order.run) {
         return refuse("old", clock);
     }
-    let told = format!(
-        "run {} at {} by lead {}, begun at {now} ms, carried out {} ms late",
+    let description = format!(
+        "run {} at {} by lead {}, begun at {now} ms, executed {} ms late",
         order.run,
         life.name,
         order.fencing_token,
-        order.held.as_millis()
+        order.delay.as_millis()
     );
     let PoolState { sites, oracle, .. } = state;
     let lives: Vec<&StandinLife> = sites.iter().flat_map(|site| &site.life).collect();
-    oracle.note_start(&order.task, now, &told, &lives);
+    oracle.record_start(&order.task, now, &description, &lives);
     if order.spec == GANG_SPEC || order.spec.starts_with(WIDE_SPEC) {
-        oracle.note_gangs(&order.task);
+        oracle.mark_gang_job(&order.task);
     }
     let crashes_at = crash_time(&order.task, &order.spec).map(|after| now + after);
-    if crashes_at.is_some() && order.held.is_zero() {
-        oracle.note_crashing_start(&order.task, &told);
+    if crashes_at.is_some() && order.delay.is_zero() {
+        oracle.record_crashing_start(&order.task, &description);
     }
     sites[number].starts += 1;
     if let Some(life) = &mut sites[number].life {
         let (run, cores) = (order.run, cores_of(&order.spec));
         let fails_at = failure_time(&order.task, run, &order.spec).map(|after| now + after);
         let stops_at = None;
-        let run = StandinRun { run, begun: now, span, cores, stops_at, crashes_at, fails_at, told };
+        let run = StandinRun {
+            run,
+            started_at: now,
+            duration,
+            cores,
+            stops_at,
+            crashes_at,
+            fails_at,
+            description,
+        };
         life.runs.insert(order.task.clone(), run);
     }
-    if state.is_over_size(number, now) {
-        let name = name(number, state.sites[number].ids - 1);
-        state.oracle.violations.push(format!("{name} is over its size"));
+    if state.exceeds_capacity(number, now) {
+        let worker_id = worker_id(number, state.sites[number].id_count - 1);
+        state.oracle.violations.push(format!("{worker_id} runs more than its capacity"));
     }
     let PoolState { sites, oracle, .. } = state;
     let lives: Vec<&StandinLife> = sites.iter().flat_map(|site| &site.life).collect();
-    oracle.check_bounds(&lives);
+    oracle.check_task_limits(&lives);
     json(&serde_json::json!({ "clock_ms": clock }))
 }
