--- a/crates/sedgehill-standin/src/cell_platform/call_fault.rs
+++ b/crates/sedgehill-standin/src/cell_platform/call_fault.rs
@@ -8,10 +8,10 @@
 use rand::{Rng, SeedableRng};
 use sedgehill_cell::ids::TOKENS_PER_LEAD;
 
-/// Delay of a late call: longer than the term of a lead and than leases of workers.
+/// Delay of a late call. The range extends beyond the term of a lead and beyond leases.
 const CALL_DELAY_MS: Range<u64> = 2_000..12_000;
 
-/// Delay of a late answer: long enough for another box to claim the lead meanwhile.
+/// Delay of a late answer. In the longer delays another box may claim the lead.
 const ANSWER_DELAY_MS: Range<u64> = 100..2_400;
 
 /// A kind of fault of a call.
--- a/crates/sedgehill-standin/src/cell_platform/mod.rs
+++ b/crates/sedgehill-standin/src/cell_platform/mod.rs
@@ -196,7 +196,7 @@
 /// An organisation in the configuration.
 #[derive(Debug, Clone)]
 pub struct StandinOrganisation {
-    /// Its name.
+    /// The name of the organisation.
     pub name: &'static str,
     /// Keys of its callers.
     pub keys: Vec<String>,
--- a/crates/sedgehill-standin/src/cell_platform/oracle.rs
+++ b/crates/sedgehill-standin/src/cell_platform/oracle.rs
@@ -1,11 +1,11 @@
-//! Checks over all workers together that what must never happen at workers does not happen.
+//! Detects violations, that is, events that must never happen, over all workers together.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::life::{StandinEnd, StandinLife};
 
 /// Number of crashes that a task may cause before its further starts are counted.
-const UNCOUNTED_CRASHES: usize = 3;
+const CRASHES_BEFORE_COUNT: usize = 3;
 /// Number of lives that must have ended while they ran a task before its job may be given up.
 const MIN_LOSSES_TO_GIVE_UP: usize = 2;
 /// The first of the counted starts that is a violation.
@@ -31,7 +31,7 @@
     losses: BTreeMap<String, usize>,
     /// Number of crashes that the task caused.
     crashes: BTreeMap<String, usize>,
-    /// Number of starts of the task since its crashes reached [`UNCOUNTED_CRASHES`].
+    /// Number of starts of the task since its crashes reached [`CRASHES_BEFORE_COUNT`].
     counted_starts: BTreeMap<String, usize>,
     /// Jobs with gangs. The platform ends the members of a gang together, which these workers do not model.
     gang_jobs: BTreeSet<String>,
@@ -72,14 +72,14 @@
 
     /// Records the start of a task that crashes its workers, by an order that was not delayed on its way.
     pub fn record_crashing_start(&mut self, task: &str, description: &str) {
-        if self.crashes.get(task).is_none_or(|count| *count < UNCOUNTED_CRASHES) {
+        if self.crashes.get(task).is_none_or(|count| *count < CRASHES_BEFORE_COUNT) {
             return;
         }
         let starts = self.counted_starts.entry(task.to_owned()).or_default();
         *starts += 1;
         if *starts >= FIRST_EXCESS_START {
             let violation = format!(
-                "{task} was started {starts} times more after {UNCOUNTED_CRASHES} crashes: {description}"
+                "{task} was started {starts} times more after {CRASHES_BEFORE_COUNT} crashes: {description}"
             );
             self.violations.push(violation);
         }
--- a/crates/sedgehill-standin/src/cell_platform/store.rs
+++ b/crates/sedgehill-standin/src/cell_platform/store.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// The store.
+/// The stand-in store.
 #[derive(Debug, Default)]
 pub struct StandinStore {
     state: Mutex<StoreState>,
@@ -223,8 +223,8 @@
     };
     let call = AppendCall { topic, at, producer, epoch, sequence, body: body.to_bytes() };
     let fault = store.state.lock().append_fault;
-    let late = store.state.lock().next_append_delay.take_if(|(topic, _)| *topic == call.topic);
-    if let Some((_, delay)) = late {
+    let delayed = store.state.lock().next_append_delay.take_if(|(topic, _)| *topic == call.topic);
+    if let Some((_, delay)) = delayed {
         let response = execute_append(&store, call);
         tokio::time::sleep(delay).await;
         return response;
@@ -321,7 +321,7 @@
             }
             if let Some(delay) = store.gone_delay(topic, from) {
                 tokio::time::sleep(delay).await;
-                return gone(store.first_of(topic));
+                return gone_response(store.first_of(topic));
             }
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -332,7 +332,7 @@
             (first, records.len() as u64, records)
         };
         if from < first {
-            return gone(first);
+            return gone_response(first);
         }
         if end > from || Instant::now() >= deadline {
             let new = records.get(from as usize..).unwrap_or_default();
@@ -342,7 +342,7 @@
     }
 }
 
-fn gone(first: u64) -> JsonResponse {
+fn gone_response(first: u64) -> JsonResponse {
     let mut response = json(&serde_json::json!({ "first": first }));
     *response.status_mut() = StatusCode::GONE;
     response
--- a/crates/sedgehill-standin/src/cell_platform/worker.rs
+++ b/crates/sedgehill-standin/src/cell_platform/worker.rs
@@ -74,14 +74,14 @@
 pub(super) struct PoolState {
     pub(super) sites: Vec<WorkerSite>,
     pub(super) oracle: TaskOracle,
-    /// Shortest and longest run time of tasks.
+    /// Range of run times of tasks, before the factor of very long steps.
     pub(super) run_ms: Range<u64>,
     /// Draws which lives reuse the id of the one before. Without it each life has an id of its own and does not report
     /// when it began.
     id_reuse: Option<StdRng>,
 }
 
-/// All workers, with one check of violations over all of them.
+/// All workers, with the violations found over all of them.
 #[derive(Debug)]
 pub struct StandinWorkers {
     started: Instant,
