--- a/crates/sedgehill-standin/src/caller.rs
+++ b/crates/sedgehill-standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in for callers, which check what they are told.
+//! A stand-in for callers, which checks the answers that it gets.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,28 +14,28 @@
 use crate::endpoint::{TOKEN_HEADER, expected_answer};
 use crate::ledger::{CallerOutcome, RuleLedger, SafetyRule};
 
-/// How long a caller waits for anything at all.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One request as a caller makes it.
+/// A request to make.
 #[derive(Debug, Clone)]
 pub struct CallPlan {
-    /// The organisation, service and kind, as in `haddad/cdr-lookup/trace`.
+    /// The organisation, service and kind of request, as in `haddad/cdr-lookup/trace`.
     pub path: String,
-    /// How long the endpoint works on it.
+    /// Time that the endpoint takes to work on it.
     pub work: Duration,
-    /// The size of the answer, in bytes.
+    /// Size of the part of the answer that the endpoint generates, in bytes.
     pub size: usize,
-    /// The body.
+    /// The body of the request.
     pub body: Bytes,
-    /// The key, for a request that must run at most once.
+    /// The idempotency key of a request that must run at most once.
     pub key: Option<Uuid>,
-    /// The caller's name for the request; new unless it is sent again.
+    /// Identifies the request. A request that is sent again keeps its token.
     pub token: String,
 }
 
 impl CallPlan {
-    /// A small request.
+    /// Creates a request with a small body and answer.
     pub fn new(path: &str, work: Duration) -> CallPlan {
         CallPlan {
             path: path.to_owned(),
@@ -47,26 +47,26 @@
         }
     }
 
-    /// The same, to be run at most once.
+    /// Creates a request as [`CallPlan::new`] does, with a new idempotency key.
     pub fn once_only(path: &str, work: Duration) -> CallPlan {
         CallPlan { key: Some(Uuid::now_v7()), ..CallPlan::new(path, work) }
     }
 }
 
-/// How a call went.
+/// The result of a call.
 #[derive(Debug, Clone)]
 pub struct CallReport {
-    /// What the caller was told.
+    /// What the caller learned of its request.
     pub outcome: CallerOutcome,
-    /// Why it was not answered.
+    /// The reason given by the box, or the error of the connection, if the request was not answered.
     pub reason: String,
-    /// The HTTP status, if there was one.
+    /// The HTTP status, if a response came.
     pub status: Option<u16>,
-    /// After how many seconds to come back, if it was told.
+    /// Seconds after which to try again, if the box gave them.
     pub retry_after: Option<u32>,
     /// The id that the box gave the request.
     pub request_id: Option<String>,
-    /// From the start of the call to its end.
+    /// Duration of the call.
     pub took: Duration,
     /// Whether a connection to the box was refused, so that nothing was sent.
     pub refused_connection: bool,
@@ -80,7 +80,7 @@
 }
 
 impl StandinCaller {
-    /// A caller with connections of its own.
+    /// Creates a caller with its own connections.
     pub fn new(ledger: RuleLedger) -> StandinCaller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -90,20 +90,19 @@
         StandinCaller { client, ledger }
     }
 
-    /// Makes a call to a box. `again` says that the same request may be sent again if it did not
-    /// run.
-    pub async fn call(&self, address: SocketAddr, plan: &CallPlan, again: bool) -> CallReport {
+    /// Makes a call to a box. `will_retry` says that the caller may send the same request again if it did not run.
+    pub async fn call(&self, address: SocketAddr, plan: &CallPlan, will_retry: bool) -> CallReport {
         if plan.key.is_some() {
             self.ledger.mark_once_only(&plan.token);
         }
         let started = Instant::now();
         let exchange = self.exchange(address, plan);
-        let mut report = match tokio::time::timeout(CALL_LIMIT, exchange).await {
+        let mut report = match tokio::time::timeout(CALL_TIMEOUT, exchange).await {
             Ok(report) => report,
-            Err(_) => nothing("no answer in time"),
+            Err(_) => report_nothing("no answer in time"),
         };
         report.took = started.elapsed();
-        self.ledger.record_outcome(&plan.token, report.outcome, again);
+        self.ledger.record_outcome(&plan.token, report.outcome, will_retry);
         report
     }
 
@@ -119,7 +118,7 @@
         let response = match self.client.request(request).await {
             Ok(response) => response,
             Err(error) => {
-                let mut report = nothing(&format!("{error:?}"));
+                let mut report = report_nothing(&format!("{error:?}"));
                 report.refused_connection = error.is_connect();
                 return report;
             }
@@ -128,7 +127,7 @@
         let text = |name: &str| {
             parts.headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
         };
-        let mut report = nothing("");
+        let mut report = report_nothing("");
         report.status = Some(parts.status.as_u16());
         report.reason = text("sedgehill-reason").unwrap_or_default();
         report.retry_after = text("retry-after").and_then(|text| text.parse().ok());
@@ -141,11 +140,11 @@
         };
         match body.collect().await {
             Ok(body) if report.outcome == CallerOutcome::Answered && parts.status.is_success() => {
-                self.check(plan, &body.to_bytes());
+                self.check_answer(plan, &body.to_bytes());
             }
             Ok(_) => {}
             Err(_) if report.outcome == CallerOutcome::Answered => {
-                self.ledger.break_rule(
+                self.ledger.record_violation(
                     SafetyRule::WholeAnswer,
                     format!("answer to {} was cut", plan.token),
                 );
@@ -155,17 +154,19 @@
         report
     }
 
-    fn check(&self, plan: &CallPlan, answer: &[u8]) {
+    /// Records a violation if an answer is not the one that the endpoint gives to this request.
+    fn check_answer(&self, plan: &CallPlan, answer: &[u8]) {
         let expected = expected_answer(&plan.token, &plan.body, plan.size);
         if answer != expected.as_ref() {
             let start = String::from_utf8_lossy(&answer[..answer.len().min(60)]).into_owned();
             let example = format!("request {} got {} bytes: {start}", plan.token, answer.len());
-            self.ledger.break_rule(SafetyRule::WholeAnswer, example);
+            self.ledger.record_violation(SafetyRule::WholeAnswer, example);
         }
     }
 }
 
-fn nothing(reason: &str) -> CallReport {
+/// Returns the report of a call without a response.
+fn report_nothing(reason: &str) -> CallReport {
     CallReport {
         outcome: CallerOutcome::Nothing,
         reason: reason.to_owned(),
--- a/crates/sedgehill-standin/src/demo/load.rs
+++ b/crates/sedgehill-standin/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The load of the demonstration: requests of each kind at a steady mean rate.
+//! The load of the demonstration: requests of each kind as a Poisson process of a constant rate.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,21 +13,21 @@
 use sedgehill_standin::ledger::CallerOutcome;
 use tokio::sync::watch;
 
-/// One kind of request and how often it comes.
+/// The load of one kind of request.
 #[derive(Debug, Clone, Copy)]
 pub struct KindLoad {
-    /// The organisation, service and kind.
+    /// The organisation, service and kind of the requests.
     pub path: &'static str,
-    /// Requests a second.
+    /// Mean number of requests a second.
     pub rate: f64,
-    /// The mean time that an endpoint works on one, in milliseconds.
+    /// Mean time that an endpoint works on a request, in milliseconds.
     pub work_ms: f64,
-    /// Whether each must run at most once.
+    /// Whether each request must run at most once.
     pub once_only: bool,
 }
 
-/// The mix of the two deployments.
-pub const BRIEF_LOAD: [KindLoad; 6] = [
+/// The load of the two example deployments, Haddad and Inkaso.
+pub const EXAMPLE_LOAD: [KindLoad; 6] = [
     KindLoad { path: "haddad/cdr-lookup/trace", rate: 400.0, work_ms: 15.0, once_only: false },
     KindLoad { path: "haddad/cdr-lookup/history", rate: 60.0, work_ms: 300.0, once_only: false },
     KindLoad { path: "haddad/cdr-lookup/disclosure", rate: 20.0, work_ms: 50.0, once_only: true },
@@ -36,83 +36,84 @@
     KindLoad { path: "inkaso/windyk/offer", rate: 25.0, work_ms: 1_000.0, once_only: true },
 ];
 
-/// How often a request that was told "not run" is sent again.
-const MAX_TRIES: u32 = 3;
-/// The longest waiting that is told apart, in microseconds.
-const LONGEST_WAIT_US: u64 = 120_000_000;
+/// Maximum number of times that a request is sent if it did not run.
+const MAX_ATTEMPTS: u32 = 3;
+/// Upper bound of recorded waiting times; longer ones count as this.
+const MAX_RECORDED_WAIT_US: u64 = 120_000_000;
 const LOAD_SEED: u64 = 20261202;
 
-/// Where requests are sent now: what the platform's balancer would keep.
+/// The boxes to which requests are sent, as a load balancer of the platform would choose them.
 #[derive(Debug, Clone, Default)]
 pub struct BalancerView {
-    /// Traffic addresses of boxes that say that they are ready.
+    /// Traffic addresses of boxes that report to be ready.
     pub ready: Vec<SocketAddr>,
 }
 
-/// What callers saw of one kind.
+/// Results of the calls of one kind.
 #[derive(Debug, Clone)]
 pub struct KindTally {
-    /// Waiting: the time beyond the endpoint's work, in microseconds.
+    /// Durations of answered calls without the endpoint's work, in microseconds.
     pub waiting: Histogram<u64>,
-    /// Calls by what they were told.
+    /// Number of calls by outcome.
     pub outcomes: BTreeMap<CallerOutcome, u64>,
-    /// Calls that were not answered, by reason.
+    /// Number of calls that did not succeed, by reason.
     pub reasons: BTreeMap<String, u64>,
 }
 
 impl Default for KindTally {
     fn default() -> Self {
-        // With its bounds set: one that grows by itself does not grow for a saturating record.
+        // Has fixed bounds because `saturating_record` does not enlarge a histogram with automatic bounds.
         let waiting =
-            Histogram::new_with_bounds(1, LONGEST_WAIT_US, 3).expect("the bounds are valid");
+            Histogram::new_with_bounds(1, MAX_RECORDED_WAIT_US, 3).expect("the bounds are valid");
         KindTally { waiting, outcomes: BTreeMap::new(), reasons: BTreeMap::new() }
     }
 }
 
-/// What callers saw, by kind.
+/// Results of the calls by kind.
 pub type LoadTally = BTreeMap<&'static str, KindTally>;
 
-/// A call that got nothing: when, and from which box.
+/// A call that got no response.
 #[derive(Debug, Clone)]
 pub struct LostCall {
     /// When the call began.
     pub began: Instant,
-    /// When it was lost.
+    /// When the caller noticed the loss.
     pub lost: Instant,
-    /// The box.
+    /// The traffic address of the box.
     pub address: SocketAddr,
-    /// Why.
+    /// The error of the call.
     pub reason: String,
 }
 
-/// What all callers share.
+/// State that all callers share.
 #[derive(Clone)]
-pub struct LoadShared {
-    /// Makes the calls.
+pub struct LoadContext {
+    /// The client that makes the calls.
     pub caller: StandinCaller,
-    /// Where calls go.
+    /// The boxes to which calls go.
     pub balancer: watch::Receiver<BalancerView>,
     tally: Arc<Mutex<LoadTally>>,
     lost: Arc<Mutex<Vec<LostCall>>>,
 }
 
-impl LoadShared {
-    /// Callers that go where the balancer says.
-    pub fn new(caller: StandinCaller, balancer: watch::Receiver<BalancerView>) -> LoadShared {
-        LoadShared { caller, balancer, tally: Arc::default(), lost: Arc::default() }
+impl LoadContext {
+    /// Creates the state of callers that follow a balancer.
+    pub fn new(caller: StandinCaller, balancer: watch::Receiver<BalancerView>) -> LoadContext {
+        LoadContext { caller, balancer, tally: Arc::default(), lost: Arc::default() }
     }
 
-    /// What callers saw so far.
+    /// Returns the results so far.
     pub fn tally(&self) -> LoadTally {
         self.tally.lock().clone()
     }
 
-    /// Calls that got nothing.
+    /// Returns the calls that got no response.
     pub fn lost(&self) -> Vec<LostCall> {
         self.lost.lock().clone()
     }
 
-    fn note(&self, kind: &KindLoad, plan: &CallPlan, report: &CallReport) {
+    /// Records the result of a call.
+    fn record(&self, kind: &KindLoad, plan: &CallPlan, report: &CallReport) {
         let mut tally = self.tally.lock();
         let tally = tally.entry(kind.path).or_default();
         *tally.outcomes.entry(report.outcome).or_default() += 1;
@@ -129,16 +130,16 @@
     }
 }
 
-/// Sends every kind until the end and waits for the last answers.
-pub async fn send(shared: LoadShared, kinds: &'static [KindLoad], length: Duration) {
+/// Sends requests of all kinds for a time and waits for the last answers.
+pub async fn send(context: LoadContext, kinds: &'static [KindLoad], length: Duration) {
     let mut sending = tokio::task::JoinSet::new();
     for (index, kind) in kinds.iter().enumerate() {
-        sending.spawn(send_kind(shared.clone(), kind, length, LOAD_SEED + index as u64));
+        sending.spawn(send_kind(context.clone(), kind, length, LOAD_SEED + index as u64));
     }
     while sending.join_next().await.is_some() {}
 }
 
-async fn send_kind(shared: LoadShared, kind: &'static KindLoad, length: Duration, seed: u64) {
+async fn send_kind(context: LoadContext, kind: &'static KindLoad, length: Duration, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let started = Instant::now();
     let mut next = started;
@@ -148,41 +149,43 @@
         tokio::time::sleep_until(next.into()).await;
         let work = exponential(&mut random, kind.work_ms / 1000.0);
         let pick: usize = random.random_range(0..usize::MAX);
-        calls.spawn(call(shared.clone(), kind, work, pick));
+        calls.spawn(call(context.clone(), kind, work, pick));
         while calls.try_join_next().is_some() {}
     }
     while calls.join_next().await.is_some() {}
 }
 
+/// Draws from the exponential distribution.
 fn exponential(random: &mut StdRng, mean_seconds: f64) -> Duration {
     let uniform: f64 = random.random_range(f64::EPSILON..1.0);
     Duration::from_secs_f64(-uniform.ln() * mean_seconds)
 }
 
-/// One request of a caller, sent again under the same name while it is told "not run".
-async fn call(shared: LoadShared, kind: &'static KindLoad, work: Duration, pick: usize) {
-    // The stand-in works in whole milliseconds.
+/// Makes a call and repeats it under the same token while the request does not run.
+async fn call(context: LoadContext, kind: &'static KindLoad, work: Duration, pick: usize) {
+    // The stand-in endpoint takes whole milliseconds.
     let work = Duration::from_millis(work.as_millis() as u64);
     let plan = match kind.once_only {
         true => CallPlan::once_only(kind.path, work),
         false => CallPlan::new(kind.path, work),
     };
-    for attempt in 1..=MAX_TRIES {
-        let Some(address) = choose(&shared.balancer, pick.wrapping_add(attempt as usize)) else {
+    for attempt in 1..=MAX_ATTEMPTS {
+        let Some(address) = choose_box(&context.balancer, pick.wrapping_add(attempt as usize))
+        else {
             return;
         };
-        let again = attempt < MAX_TRIES;
+        let will_retry = attempt < MAX_ATTEMPTS;
         let began = Instant::now();
-        let report = shared.caller.call(address, &plan, again).await;
-        if report.refused_connection && again {
-            // The balancer has not noticed yet; nothing was sent.
+        let report = context.caller.call(address, &plan, will_retry).await;
+        if report.refused_connection && will_retry {
+            // The box has ended and the balancer does not know yet. Nothing was sent.
             continue;
         }
-        shared.note(kind, &plan, &report);
+        context.record(kind, &plan, &report);
         if report.outcome == CallerOutcome::Nothing {
             let lost =
                 LostCall { began, lost: Instant::now(), address, reason: report.reason.clone() };
-            shared.lost.lock().push(lost);
+            context.lost.lock().push(lost);
         }
         if report.outcome != CallerOutcome::NotRun {
             return;
@@ -192,7 +195,8 @@
     }
 }
 
-fn choose(balancer: &watch::Receiver<BalancerView>, pick: usize) -> Option<SocketAddr> {
+/// Chooses one of the boxes that are ready.
+fn choose_box(balancer: &watch::Receiver<BalancerView>, pick: usize) -> Option<SocketAddr> {
     let view = balancer.borrow();
     let count = view.ready.len();
     (count > 0).then(|| view.ready[pick % count])
--- a/crates/sedgehill-standin/src/demo/mod.rs
+++ b/crates/sedgehill-standin/src/demo/mod.rs
@@ -1,9 +1,9 @@
-//! The demonstration: a whole cell with both deployments of the brief, under load and faults, with
-//! broken promises counted by the stand-ins.
+//! The demonstration: a whole cell with two example deployments, under load and faults, in which the stand-ins count
+//! violations of the safety rules.
 
 mod load;
 mod report;
-mod sample;
+mod sampling;
 mod scenario;
 
 use std::path::PathBuf;
@@ -17,17 +17,17 @@
 
 use crate::commands::{CommandResult, finish};
 
-pub use sample::process_usage;
+pub use sampling::process_usage;
 
-/// Halls of Haddad & Sons.
+/// Data halls of the organisation Haddad & Sons.
 const HADDAD_HALLS: [&str; 4] = ["abdali", "sweifieh", "marka", "tlaa-ali"];
-/// Halls of Inkaso Trójmiasto.
+/// Data halls of the organisation Inkaso Trójmiasto.
 const INKASO_HALLS: [&str; 3] = ["gdansk-hala-a", "gdynia-hala-b", "sopot-hala-c"];
 const DEFAULT_SECONDS: u64 = 20;
-/// Shorter runs would leave no time between the faults.
+/// Shorter runs would leave too little time between the faults.
 const MIN_SECONDS: u64 = 10;
 
-/// Runs the demonstration. Whatever it started ends with it.
+/// Runs the command `demo`. All processes that it starts end with it.
 pub async fn run(mut args: Arguments) -> CommandResult {
     let seconds = args.opt_value_from_str("--seconds").map_err(|error| error.to_string())?;
     let json: Option<PathBuf> =
@@ -37,7 +37,7 @@
     if seconds < MIN_SECONDS {
         return Err(format!("--seconds: expected at least {MIN_SECONDS}, found {seconds}"));
     }
-    let report = scenario::run(&brief_plan(), Duration::from_secs(seconds)).await;
+    let report = scenario::run(&example_plan(), Duration::from_secs(seconds)).await;
     print!("{}", report.render());
     if let Some(path) = json {
         let text = serde_json::to_string_pretty(&report).expect("our types serialize");
@@ -46,8 +46,8 @@
     Ok(if report.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// The two deployments of the brief in one cell, behind three boxes.
-fn brief_plan() -> ClusterPlan {
+/// Returns the two example deployments in one cell of three boxes.
+fn example_plan() -> ClusterPlan {
     ClusterPlan {
         boxes: vec!["abdali", "gdansk-hala-a", "sweifieh"],
         endpoints: vec![
@@ -78,13 +78,13 @@
     }
 }
 
-/// Says what is being done.
-fn progress(verb: &str, what: impl std::fmt::Display) {
-    eprintln!("{verb:>12} {what}");
+/// Prints a line of progress to the standard error.
+fn print_progress(verb: &str, object: impl std::fmt::Display) {
+    eprintln!("{verb:>12} {object}");
 }
 
-/// Publishes both examples through the command line.
+/// Publishes the configurations of both examples by the command line.
 async fn publish_examples(cluster: &TestCluster) {
-    progress("Publishing", "examples/haddad.json and examples/inkaso.json");
+    print_progress("Publishing", "examples/haddad.json and examples/inkaso.json");
     cluster.client_ok(&["publish", "examples/haddad.json", "examples/inkaso.json"]).await;
 }
--- a/crates/sedgehill-standin/src/demo/report.rs
+++ b/crates/sedgehill-standin/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The table at the end of the demonstration.
+//! The report of the demonstration, as a table and as JSON.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,10 +8,10 @@
 use sedgehill_standin::ledger::{CallerOutcome, RuleCount, SafetyRule};
 use serde::Serialize;
 
-use super::load::{KindTally, LoadShared};
-use super::sample::{BoxUsage, ConfigWatch, PackingSamples};
+use super::load::{KindTally, LoadContext};
+use super::sampling::{BoxUsage, ConfigMonitor, PackingSamples};
 
-/// What callers of one kind saw.
+/// Results of the calls of one kind.
 #[derive(Debug, Clone, Serialize)]
 pub struct KindReport {
     path: String,
@@ -27,11 +27,11 @@
 impl KindReport {
     fn new(path: &str, tally: &KindTally) -> KindReport {
         let count = |outcome| tally.outcomes.get(&outcome).copied().unwrap_or(0);
-        let millis = |quantile| tally.waiting.value_at_quantile(quantile) as f64 / 1000.0;
+        let quantile_ms = |quantile| tally.waiting.value_at_quantile(quantile) as f64 / 1000.0;
         KindReport {
             path: path.to_owned(),
-            waiting_p50_ms: millis(0.5),
-            waiting_p99_ms: millis(0.99),
+            waiting_p50_ms: quantile_ms(0.5),
+            waiting_p99_ms: quantile_ms(0.99),
             answered: count(CallerOutcome::Answered),
             not_run: count(CallerOutcome::NotRun),
             unknown: count(CallerOutcome::Unknown),
@@ -41,7 +41,7 @@
     }
 }
 
-/// Everything that the demonstration found.
+/// Results of the demonstration.
 #[derive(Debug, Clone, Serialize)]
 pub struct DemoReport {
     kinds: Vec<KindReport>,
@@ -56,55 +56,55 @@
     violations: Vec<(SafetyRule, RuleCount)>,
 }
 
-/// What a report is made from.
-pub struct DemoFindings<'r> {
-    /// The cell.
+/// Sources of a report.
+pub struct DemoResults<'r> {
+    /// The cluster.
     pub cluster: &'r TestCluster,
-    /// What callers saw.
-    pub shared: &'r LoadShared,
-    /// How long each box took to be ready.
+    /// Results of the calls.
+    pub load: &'r LoadContext,
+    /// Time that each box took to become ready.
     pub start_up: &'r [Duration],
-    /// How full workers were.
+    /// Samples of the use of workers.
     pub packing: &'r PackingSamples,
-    /// How configuration came into force.
-    pub configs: &'r ConfigWatch,
-    /// What each box used.
-    pub costs: &'r BTreeMap<String, BoxUsage>,
-    /// Jobs that were submitted.
+    /// Observations of the configuration of boxes.
+    pub configs: &'r ConfigMonitor,
+    /// Resources that each box used.
+    pub box_usage: &'r BTreeMap<String, BoxUsage>,
+    /// Number of jobs that were submitted.
     pub jobs: usize,
-    /// Jobs that did not end in time.
+    /// Number of jobs that did not end in time.
     pub unfinished_jobs: usize,
 }
 
-fn all_millis(times: &[Duration]) -> Vec<f64> {
+fn to_millis(times: &[Duration]) -> Vec<f64> {
     times.iter().map(|time| time.as_secs_f64() * 1000.0).collect()
 }
 
 impl DemoReport {
-    /// Gathers the findings.
-    pub fn new(findings: &DemoFindings<'_>) -> DemoReport {
-        let DemoFindings { cluster, shared, packing, configs, costs, .. } = findings;
-        let tally = shared.tally();
+    /// Builds the report.
+    pub fn new(results: &DemoResults<'_>) -> DemoReport {
+        let DemoResults { cluster, load, packing, configs, box_usage, .. } = results;
+        let tally = load.tally();
         DemoReport {
             kinds: tally.iter().map(|(path, tally)| KindReport::new(path, tally)).collect(),
-            start_up_ms: all_millis(findings.start_up),
+            start_up_ms: to_millis(results.start_up),
             packing: packing.share(),
-            in_force_ms: all_millis(&configs.took),
+            in_force_ms: to_millis(&configs.delays),
             task_starts: cluster.ledger.task_starts(),
-            jobs: findings.jobs,
-            unfinished_jobs: findings.unfinished_jobs,
+            jobs: results.jobs,
+            unfinished_jobs: results.unfinished_jobs,
             log_appends: cluster.log.append_count(),
-            boxes: (*costs).clone(),
+            boxes: (*box_usage).clone(),
             violations: cluster.ledger.violations(),
         }
     }
 
-    /// Whether every promise was kept and every job ended.
+    /// Returns whether no safety rule was violated and all jobs ended.
     pub fn passed(&self) -> bool {
         self.unfinished_jobs == 0 && self.violations.iter().all(|(_, count)| count.count == 0)
     }
 
-    /// The table.
+    /// Formats the report as a table.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
@@ -141,11 +141,11 @@
             "{} log appends; boxes ready after {:.0?} ms; changes in force after {:.0?} ms",
             self.log_appends, self.start_up_ms, self.in_force_ms
         );
-        for (name, cost) in &self.boxes {
+        for (name, usage) in &self.boxes {
             let _ = writeln!(
                 text,
                 "{name}: {:.1} s of processor time, {:.0} MiB resident",
-                cost.cpu_seconds, cost.resident_mib
+                usage.cpu_seconds, usage.resident_mib
             );
         }
         text.push_str("\nbroken promises, as counted by the stand-ins\n");
--- a/crates/sedgehill-standin/src/demo/scenario.rs
+++ b/crates/sedgehill-standin/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens when: load, a kill, a planned stop, a leaving endpoint, changes of configuration.
+//! The course of the demonstration: load with faults and changes at fixed shares of its duration.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,16 +9,17 @@
 use sedgehill_standin::ledger::SafetyRule;
 use tokio::sync::watch;
 
-use super::load::{BRIEF_LOAD, BalancerView, LoadShared, send};
-use super::report::{DemoFindings, DemoReport};
-use super::sample::{BoxUsage, ConfigWatch, PackingSamples, process_usage};
-use super::{progress, publish_examples};
+use super::load::{BalancerView, EXAMPLE_LOAD, LoadContext, send};
+use super::report::{DemoReport, DemoResults};
+use super::sampling::{BoxUsage, ConfigMonitor, PackingSamples, process_usage};
+use super::{print_progress, publish_examples};
 
-const TURN: Duration = Duration::from_millis(200);
-/// The key that is changed on the way.
+/// Interval at which the cluster is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
+/// The configuration key that is changed during the load.
 const CHANGED_KEY: &str = "parameters/inkaso/windyk";
-/// How long jobs may take to end after the load.
-const JOBS_LIMIT: Duration = Duration::from_secs(30);
+/// Time within which all jobs must end after the load.
+const JOBS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A planned stop of a box, from the signal to its end.
 #[derive(Debug, Clone, Copy)]
@@ -30,19 +31,19 @@
 
 struct DemoRun {
     cluster: TestCluster,
-    shared: LoadShared,
+    load: LoadContext,
     balancer: watch::Sender<BalancerView>,
     packing: PackingSamples,
-    configs: ConfigWatch,
-    costs: BTreeMap<String, BoxUsage>,
-    stop: Option<PlannedStop>,
+    configs: ConfigMonitor,
+    box_usage: BTreeMap<String, BoxUsage>,
+    planned_stop: Option<PlannedStop>,
 }
 
-/// Runs everything and reports.
+/// Runs the demonstration and returns its report.
 pub async fn run(plan: &ClusterPlan, length: Duration) -> DemoReport {
-    progress("Building", "sedgehilld and sedgehill");
+    print_progress("Building", "sedgehilld and sedgehill");
     let mut cluster = TestCluster::prepare(plan).await;
-    progress(
+    print_progress(
         "Starting",
         format!(
             "{} boxes, {} workers, {} endpoints",
@@ -58,53 +59,53 @@
     }
     publish_examples(&cluster).await;
     let (balancer, view) = watch::channel(BalancerView::default());
-    let shared = LoadShared::new(cluster.caller(), view);
+    let load = LoadContext::new(cluster.caller(), view);
     let mut run = DemoRun {
         cluster,
-        shared,
+        load,
         balancer,
         packing: PackingSamples::default(),
-        configs: ConfigWatch::default(),
-        costs: BTreeMap::new(),
-        stop: None,
+        configs: ConfigMonitor::default(),
+        box_usage: BTreeMap::new(),
+        planned_stop: None,
     };
-    run.look().await;
+    run.sample().await;
     let jobs = run.submit_jobs().await;
-    run.load(length).await;
+    run.send_load(length).await;
     let unfinished = run.finish_jobs(&jobs).await;
     run.check_lost_calls();
-    DemoReport::new(&DemoFindings {
+    DemoReport::new(&DemoResults {
         cluster: &run.cluster,
-        shared: &run.shared,
+        load: &run.load,
         start_up: &start_up,
         packing: &run.packing,
         configs: &run.configs,
-        costs: &run.costs,
+        box_usage: &run.box_usage,
         jobs: jobs.len(),
         unfinished_jobs: unfinished,
     })
 }
 
 impl DemoRun {
-    /// Sends the load and breaks things on the way, each at its share of the time.
-    async fn load(&mut self, length: Duration) {
-        progress("Sending", format!("load for {} s", length.as_secs()));
-        let sending = tokio::spawn(send(self.shared.clone(), &BRIEF_LOAD, length));
+    /// Sends the load and triggers each event at its share of the duration.
+    async fn send_load(&mut self, length: Duration) {
+        print_progress("Sending", format!("load for {} s", length.as_secs()));
+        let sending = tokio::spawn(send(self.load.clone(), &EXAMPLE_LOAD, length));
         let started = Instant::now();
-        let mut done = 0;
+        let mut triggered = 0;
         while !sending.is_finished() {
             let share = started.elapsed().as_secs_f64() / length.as_secs_f64();
-            while let Some((at, event)) = EVENTS.get(done).filter(|(at, _)| share >= *at) {
-                progress("At", format!("{:.0}%: {}", at * 100.0, event.name()));
-                self.cause(*event).await;
-                done += 1;
+            while let Some((at, event)) = EVENTS.get(triggered).filter(|(at, _)| share >= *at) {
+                print_progress("At", format!("{:.0}%: {}", at * 100.0, event.description()));
+                self.trigger(*event).await;
+                triggered += 1;
             }
-            self.look().await;
-            tokio::time::sleep(TURN).await;
+            self.sample().await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     }
 
-    async fn cause(&mut self, event: DemoEvent) {
+    async fn trigger(&mut self, event: DemoEvent) {
         match event {
             DemoEvent::LeaveEndpoints => {
                 for endpoint in self.cluster.endpoints.iter().step_by(10) {
@@ -113,13 +114,14 @@
                 }
             }
             DemoEvent::KillBox => self.cluster.boxes[0].kill(),
-            DemoEvent::ReplaceBox => self.cluster.start_box(0),
+            DemoEvent::RestartBox => self.cluster.start_box(0),
             DemoEvent::ChangeConfig => self.change_config().await,
             DemoEvent::StopBox => {
                 self.cluster.boxes[1].signal(Signal::SIGTERM);
-                self.stop = Some(PlannedStop { index: 1, began: Instant::now(), ended: None });
+                self.planned_stop =
+                    Some(PlannedStop { index: 1, began: Instant::now(), ended: None });
             }
-            DemoEvent::CutWorkers => {
+            DemoEvent::RestartWorkers => {
                 for worker in self.cluster.workers.iter().step_by(17) {
                     worker.restart();
                 }
@@ -131,25 +133,25 @@
         let path = self.cluster.directory().join("change.json");
         let text = r#"{ "parameters": [ { "organisation": "inkaso", "template": "windyk",
             "priority": 9, "queue": 3000 } ] }"#;
-        std::fs::write(&path, text).expect("a file can be written");
+        std::fs::write(&path, text).expect("the configuration file can be written");
         let args = ["--format", "json", "publish", path.to_str().expect("the path is text")];
         let output = self.cluster.client_ok(&args).await;
         let published: serde_json::Value =
             serde_json::from_str(&output).expect("the client prints JSON");
         let version = published[0]["version"].as_u64().expect("a version is a number");
-        self.configs.accepted(CHANGED_KEY, version);
+        self.configs.record_accepted(CHANGED_KEY, version);
     }
 
-    /// Looks at everything once, as the balancer and the operators would.
-    async fn look(&mut self) {
+    /// Samples processes, workers and boxes, and updates the boxes to which the balancer sends requests.
+    async fn sample(&mut self) {
         self.packing.take(&self.cluster);
         let mut ready = Vec::new();
         let mut statuses: Vec<BoxStatus> = Vec::new();
         for index in 0..self.cluster.boxes.len() {
-            self.look_after_stop(index);
+            self.restart_stopped(index);
             let process = &self.cluster.boxes[index];
-            let Some(cost) = process.pid().and_then(process_usage) else { continue };
-            self.costs.insert(process.id.to_string(), cost);
+            let Some(usage) = process.pid().and_then(process_usage) else { continue };
+            self.box_usage.insert(process.id.to_string(), usage);
             let address = process.addresses.traffic;
             let Some(health) = self.cluster.health(index).await else { continue };
             if health.health == BoxHealth::Ready {
@@ -161,10 +163,10 @@
         self.balancer.send_replace(BalancerView { ready });
     }
 
-    /// Starts a box again once its planned stop has ended.
-    fn look_after_stop(&mut self, index: usize) {
+    /// Starts a box again when its planned stop has ended, and checks its exit code.
+    fn restart_stopped(&mut self, index: usize) {
         let Some(stop) =
-            self.stop.as_mut().filter(|stop| stop.index == index && stop.ended.is_none())
+            self.planned_stop.as_mut().filter(|stop| stop.index == index && stop.ended.is_none())
         else {
             return;
         };
@@ -172,25 +174,26 @@
             stop.ended = Some(Instant::now());
             if code != Some(0) {
                 let example = format!("the stopping box ended with {code:?}");
-                self.cluster.ledger.break_rule(SafetyRule::PlannedStop, example);
+                self.cluster.ledger.record_violation(SafetyRule::PlannedStop, example);
             }
             self.cluster.start_box(index);
         }
     }
 
-    /// A call that was lost at a box during its planned stop was cut off by it.
+    /// Records a violation for each call that was lost at a box during its planned stop.
     fn check_lost_calls(&self) {
-        let Some(stop) = self.stop else { return };
+        let Some(stop) = self.planned_stop else { return };
         let address = self.cluster.boxes[stop.index].addresses.traffic;
-        let ended = stop.ended.unwrap_or_else(Instant::now) + TURN;
-        for lost in self.shared.lost() {
-            let during = lost.began <= ended && lost.lost >= stop.began;
-            if lost.address == address && during {
-                self.cluster.ledger.break_rule(SafetyRule::PlannedStop, lost.reason);
+        let ended = stop.ended.unwrap_or_else(Instant::now) + SAMPLE_INTERVAL;
+        for lost in self.load.lost() {
+            let is_during_stop = lost.began <= ended && lost.lost >= stop.began;
+            if lost.address == address && is_during_stop {
+                self.cluster.ledger.record_violation(SafetyRule::PlannedStop, lost.reason);
             }
         }
     }
 
+    /// Submits the jobs of the demonstration by the command line and returns their ids.
     async fn submit_jobs(&self) -> Vec<String> {
         const JOBS: [(&str, &str, &str); 8] = [
             ("inkaso", "arrears-rerun", "120"),
@@ -215,13 +218,13 @@
             ];
             ids.push(self.cluster.client_ok(&args).await.trim().to_owned());
         }
-        progress("Submitted", format!("{} jobs", ids.len()));
+        print_progress("Submitted", format!("{} jobs", ids.len()));
         ids
     }
 
-    /// Waits until the jobs have ended and returns how many have not.
+    /// Waits until the jobs have ended. Returns the number of those that have not ended in time.
     async fn finish_jobs(&mut self, ids: &[String]) -> usize {
-        progress("Waiting", "for the jobs to end");
+        print_progress("Waiting", "for the jobs to end");
         let started = Instant::now();
         loop {
             let text = self.cluster.client_ok(&["--format", "json", "jobs"]).await;
@@ -232,45 +235,45 @@
                 .filter(|listing| ids.contains(&listing.id.to_string()))
                 .filter(|listing| !listing.job.phase.is_final())
                 .count();
-            if open == 0 || started.elapsed() > JOBS_LIMIT {
+            if open == 0 || started.elapsed() > JOBS_TIMEOUT {
                 return open;
             }
-            self.look().await;
-            tokio::time::sleep(TURN).await;
+            self.sample().await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     }
 }
 
-/// What is caused on the way.
+/// A fault or change during the load.
 #[derive(Debug, Clone, Copy)]
 enum DemoEvent {
     LeaveEndpoints,
-    CutWorkers,
+    RestartWorkers,
     KillBox,
     ChangeConfig,
-    ReplaceBox,
+    RestartBox,
     StopBox,
 }
 
 impl DemoEvent {
-    fn name(self) -> &'static str {
+    fn description(self) -> &'static str {
         match self {
             DemoEvent::LeaveEndpoints => "every tenth endpoint is leaving",
-            DemoEvent::CutWorkers => "every seventeenth worker restarts",
+            DemoEvent::RestartWorkers => "every seventeenth worker restarts",
             DemoEvent::KillBox => "box-1 is killed",
             DemoEvent::ChangeConfig => "an operator publishes a change",
-            DemoEvent::ReplaceBox => "box-1 is replaced",
+            DemoEvent::RestartBox => "box-1 is replaced",
             DemoEvent::StopBox => "box-2 stops as planned, and is replaced",
         }
     }
 }
 
-/// The events, each with its share of the time.
+/// The events, each with the share of the duration at which it is triggered.
 const EVENTS: [(f64, DemoEvent); 6] = [
     (0.10, DemoEvent::LeaveEndpoints),
-    (0.20, DemoEvent::CutWorkers),
+    (0.20, DemoEvent::RestartWorkers),
     (0.30, DemoEvent::KillBox),
     (0.40, DemoEvent::ChangeConfig),
-    (0.50, DemoEvent::ReplaceBox),
+    (0.50, DemoEvent::RestartBox),
     (0.65, DemoEvent::StopBox),
 ];
--- a/crates/sedgehill-standin/src/ledger.rs
+++ b/crates/sedgehill-standin/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Counts broken promises from what workers, endpoints and callers themselves see.
+//! Records violations of the product's safety rules as workers, endpoints and callers observe them.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -9,33 +9,33 @@
 use sedgehill_core::ids::{AttemptId, EndpointId, TaskId, WorkerId};
 use serde::Serialize;
 
-/// Examples kept of each broken rule.
-const KEPT_EXAMPLES: usize = 5;
+/// Examples kept of each violated rule.
+const MAX_EXAMPLES: usize = 5;
 
-/// The eight promises of the product, in the order of its brief.
+/// The eight safety guarantees of the product.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SafetyRule {
-    /// No worker is given more than it has.
+    /// No worker gets more tasks than its resources suffice for.
     WorkerRoom,
-    /// No task or request runs in two places at once.
+    /// No task runs on two workers, and no request on two endpoints, at once.
     OnePlace,
     /// Every caller gets the whole answer to its own request.
     WholeAnswer,
-    /// What is reported as not run did not run.
+    /// A request that is reported as not run did not run.
     NotRun,
     /// A once-only request runs at most once.
     OnceOnly,
-    /// A leaving endpoint gets no new work.
+    /// An endpoint that is leaving gets no new requests.
     LeavingEndpoint,
-    /// A planned stop cuts off nothing.
+    /// A planned stop of a box cuts off no call.
     PlannedStop,
-    /// Accepted configuration is in force everywhere and never reverts.
+    /// An accepted configuration takes effect on all boxes and is never reverted.
     Configuration,
 }
 
 impl SafetyRule {
-    /// Every rule.
+    /// All rules, in the order of reports.
     pub const ALL: [SafetyRule; 8] = [
         SafetyRule::WorkerRoom,
         SafetyRule::OnePlace,
@@ -63,54 +63,60 @@
     }
 }
 
-/// What a caller was told of its request.
+/// What a caller learned of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallerOutcome {
-    /// It has an answer.
+    /// The request was answered.
     Answered,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Nothing: the connection to the box was lost.
+    /// Nothing was learned because the connection to the box failed.
     Nothing,
 }
 
-/// How often a rule was broken, with examples.
+/// Violations of one rule.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RuleCount {
-    /// How often.
+    /// The number of violations.
     pub count: u64,
-    /// The first few.
+    /// Descriptions of the first few violations.
     pub examples: Vec<String>,
 }
 
 #[derive(Debug, Default)]
 struct LedgerState {
-    broken: BTreeMap<SafetyRule, RuleCount>,
-    task_places: HashMap<TaskId, HashSet<WorkerId>>,
+    violations: BTreeMap<SafetyRule, RuleCount>,
+    /// Workers that run each task.
+    task_workers: HashMap<TaskId, HashSet<WorkerId>>,
+    /// Starts of each attempt.
     started: HashMap<AttemptId, u32>,
     task_starts: u64,
-    request_places: HashMap<String, u32>,
+    /// Number of endpoints that work on each request, by token.
+    running_requests: HashMap<String, u32>,
+    /// How often each request was begun, by token.
     request_runs: HashMap<String, u32>,
     once_only: HashSet<String>,
-    told_not_run: HashSet<String>,
+    /// Requests that callers learned did not run and will not send again.
+    reported_not_run: HashSet<String>,
+    /// When each endpoint began to leave.
     leaving: HashMap<EndpointId, Instant>,
-    told: BTreeMap<CallerOutcome, u64>,
+    outcome_counts: BTreeMap<CallerOutcome, u64>,
 }
 
 impl LedgerState {
-    fn break_rule(&mut self, rule: SafetyRule, example: String) {
-        let count = self.broken.entry(rule).or_default();
+    fn record_violation(&mut self, rule: SafetyRule, example: String) {
+        let count = self.violations.entry(rule).or_default();
         count.count += 1;
-        if count.examples.len() < KEPT_EXAMPLES {
+        if count.examples.len() < MAX_EXAMPLES {
             count.examples.push(example);
         }
     }
 }
 
-/// The ledger, shared by all stand-ins of a run.
+/// A record of violations, shared by all stand-ins of a run.
 #[derive(Debug, Clone)]
 pub struct RuleLedger {
     state: Arc<Mutex<LedgerState>>,
@@ -118,64 +124,67 @@
 }
 
 impl RuleLedger {
-    /// A ledger that allows a leaving endpoint new work for `leaving_grace`.
+    /// Creates a ledger that tolerates new requests at an endpoint for `leaving_grace` after it began to leave.
     pub fn new(leaving_grace: Duration) -> RuleLedger {
         RuleLedger { state: Arc::default(), leaving_grace }
     }
 
-    /// Notes a broken rule that a stand-in found itself.
-    pub fn break_rule(&self, rule: SafetyRule, example: impl Into<String>) {
-        self.state.lock().break_rule(rule, example.into());
+    /// Records a violation that a stand-in has detected itself.
+    pub fn record_violation(&self, rule: SafetyRule, example: impl Into<String>) {
+        self.state.lock().record_violation(rule, example.into());
     }
 
-    /// Notes that a worker started a task.
+    /// Records that a worker has started a task. Violates [`SafetyRule::OnePlace`] if another one runs it.
     pub fn task_started(&self, attempt: AttemptId, worker: &WorkerId) {
         let mut state = self.state.lock();
         state.task_starts += 1;
         *state.started.entry(attempt).or_default() += 1;
-        let places = state.task_places.entry(attempt.task).or_default();
-        places.insert(worker.clone());
-        if places.len() > 1 {
-            let example = format!("{attempt} at {places:?}");
-            state.break_rule(SafetyRule::OnePlace, example);
+        let workers = state.task_workers.entry(attempt.task).or_default();
+        workers.insert(worker.clone());
+        if workers.len() > 1 {
+            let example = format!("{attempt} at {workers:?}");
+            state.record_violation(SafetyRule::OnePlace, example);
         }
     }
 
-    /// Notes that a task runs at a worker no more.
+    /// Records that a task does not run on a worker any more.
     pub fn task_ended(&self, attempt: AttemptId, worker: &WorkerId) {
         let mut state = self.state.lock();
-        if let Some(places) = state.task_places.get_mut(&attempt.task) {
-            places.remove(worker);
+        if let Some(workers) = state.task_workers.get_mut(&attempt.task) {
+            workers.remove(worker);
         }
     }
 
-    /// Task starts so far.
+    /// Returns the number of task starts so far.
     pub fn task_starts(&self) -> u64 {
         self.state.lock().task_starts
     }
 
-    /// Notes a request that must run at most once.
+    /// Records that a request must run at most once.
     pub fn mark_once_only(&self, token: &str) {
         self.state.lock().once_only.insert(token.to_owned());
     }
 
-    /// Notes that an endpoint began a request.
+    /// Records that an endpoint has begun to work on a request, and checks the rules for that.
     pub fn request_began(&self, token: &str, endpoint: &EndpointId) {
         let mut state = self.state.lock();
-        let running = state.request_places.entry(token.to_owned()).or_default();
+        let running = state.running_requests.entry(token.to_owned()).or_default();
         *running += 1;
         let running = *running;
         let runs = state.request_runs.entry(token.to_owned()).or_default();
         *runs += 1;
         let runs = *runs;
         if running > 1 {
-            state.break_rule(SafetyRule::OnePlace, format!("request {token} at {endpoint}"));
+            state.record_violation(SafetyRule::OnePlace, format!("request {token} at {endpoint}"));
         }
         if runs > 1 && state.once_only.contains(token) {
-            state.break_rule(SafetyRule::OnceOnly, format!("request {token} ran {runs} times"));
+            state.record_violation(
+                SafetyRule::OnceOnly,
+                format!("request {token} ran {runs} times"),
+            );
         }
-        if state.told_not_run.contains(token) {
-            state.break_rule(
+        if state.reported_not_run.contains(token) {
+            state.record_violation(
                 SafetyRule::NotRun,
                 format!("request {token} ran at {endpoint} after all"),
             );
@@ -184,58 +193,61 @@
         if let Some(since) = since.filter(|since| *since > self.leaving_grace) {
             let example =
                 format!("{endpoint} got request {token} {} ms after leaving", since.as_millis());
-            state.break_rule(SafetyRule::LeavingEndpoint, example);
+            state.record_violation(SafetyRule::LeavingEndpoint, example);
         }
     }
 
-    /// Notes that an endpoint is done with a request.
+    /// Records that an endpoint has finished a request.
     pub fn request_ended(&self, token: &str) {
         let mut state = self.state.lock();
-        if let Some(running) = state.request_places.get_mut(token) {
+        if let Some(running) = state.running_requests.get_mut(token) {
             *running = running.saturating_sub(1);
         }
     }
 
-    /// How often a request was begun.
+    /// Returns how often endpoints have begun a request.
     pub fn request_runs(&self, token: &str) -> u32 {
         self.state.lock().request_runs.get(token).copied().unwrap_or(0)
     }
 
-    /// Notes what a caller was told. A request told as not run may be sent again under the same
-    /// token; `again` says that the caller will.
-    pub fn record_outcome(&self, token: &str, outcome: CallerOutcome, again: bool) {
+    /// Records what a caller learned of a request. A request that did not run may be sent again under the same
+    /// token; `will_retry` says that the caller may do so.
+    pub fn record_outcome(&self, token: &str, outcome: CallerOutcome, will_retry: bool) {
         let mut state = self.state.lock();
-        *state.told.entry(outcome).or_default() += 1;
+        *state.outcome_counts.entry(outcome).or_default() += 1;
         if outcome != CallerOutcome::NotRun {
             return;
         }
-        let ran = state.request_runs.get(token).copied().unwrap_or(0);
-        if ran > 0 {
-            state.break_rule(SafetyRule::NotRun, format!("request {token} had run {ran} times"));
+        let runs = state.request_runs.get(token).copied().unwrap_or(0);
+        if runs > 0 {
+            state.record_violation(
+                SafetyRule::NotRun,
+                format!("request {token} had run {runs} times"),
+            );
         }
-        if !again {
-            state.told_not_run.insert(token.to_owned());
+        if !will_retry {
+            state.reported_not_run.insert(token.to_owned());
         }
     }
 
-    /// Notes that an endpoint is leaving since now.
+    /// Records that an endpoint begins to leave now.
     pub fn endpoint_leaving(&self, endpoint: &EndpointId) {
         self.state.lock().leaving.insert(endpoint.clone(), Instant::now());
     }
 
-    /// What callers were told, by outcome.
+    /// Returns the number of calls by outcome.
     pub fn outcome_counts(&self) -> BTreeMap<CallerOutcome, u64> {
-        self.state.lock().told.clone()
+        self.state.lock().outcome_counts.clone()
     }
 
-    /// How often each rule was broken; every rule is listed.
+    /// Returns the violations of every rule, including rules without violations.
     pub fn violations(&self) -> Vec<(SafetyRule, RuleCount)> {
         let state = self.state.lock();
-        let count = |rule: &SafetyRule| state.broken.get(rule).cloned().unwrap_or_default();
+        let count = |rule: &SafetyRule| state.violations.get(rule).cloned().unwrap_or_default();
         SafetyRule::ALL.iter().map(|rule| (*rule, count(rule))).collect()
     }
 
-    /// How often any rule was broken.
+    /// Returns the number of violations of all rules.
     pub fn total_violations(&self) -> u64 {
         self.violations().iter().map(|(_, count)| count.count).sum()
     }
--- a/crates/sedgehill-standin/src/worker.rs
+++ b/crates/sedgehill-standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker. Without guards it starts whatever it is sent, as the platform's do.
+//! A stand-in for a worker. Like the platform's workers, it starts every task that it is sent without checks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,18 +17,19 @@
 use crate::http_server::{self, JsonResponse, ServerGuard, read_json, status};
 use crate::ledger::{RuleLedger, SafetyRule};
 
-const TURN: Duration = Duration::from_millis(20);
-/// How soon a task ends on a worker that fails everything.
-const FAIL_AFTER: Duration = Duration::from_millis(30);
+/// Interval at which ended tasks are looked for.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which a task ends on a worker with [`WorkerFaults::fails_all`].
+const FAILURE_DELAY: Duration = Duration::from_millis(30);
 
-/// What is wrong with a worker.
+/// Faults of a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerFaults {
-    /// It answers nothing, while its tasks run on.
+    /// It answers no calls and does not execute them. Its tasks go on.
     pub silent: bool,
-    /// It does what it is told and its answers are lost.
+    /// It executes calls, but their answers are lost.
     pub lost_answers: bool,
-    /// Every task fails at once.
+    /// Every task that it starts fails at once.
     pub fails_all: bool,
 }
 
@@ -41,68 +42,69 @@
 }
 
 #[derive(Debug)]
-struct WorkerStore {
+struct WorkerState {
     incarnation: Incarnation,
     faults: WorkerFaults,
     running: HashMap<AttemptId, RunningTask>,
+    /// Ended attempts, which are reported until a sync says to forget them.
     ended: HashMap<AttemptId, (ResourceSet, TaskOutcome)>,
 }
 
-/// A worker, shared by its server and by whoever makes it fail.
+/// A worker. Clones share its state, so that a test can set faults while it serves.
 #[derive(Debug, Clone)]
 pub struct StandinWorker {
     id: WorkerId,
     total: ResourceSet,
     ledger: RuleLedger,
-    store: Arc<Mutex<WorkerStore>>,
+    state: Arc<Mutex<WorkerState>>,
 }
 
 impl StandinWorker {
-    /// A worker with nothing to do.
+    /// Creates a worker without tasks.
     pub fn new(id: WorkerId, total: ResourceSet, ledger: RuleLedger) -> StandinWorker {
-        let store = WorkerStore {
+        let state = WorkerState {
             incarnation: new_incarnation(),
             faults: WorkerFaults::default(),
             running: HashMap::new(),
             ended: HashMap::new(),
         };
-        StandinWorker { id, total, ledger, store: Arc::new(Mutex::new(store)) }
+        StandinWorker { id, total, ledger, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Its name.
+    /// Returns the id of the worker.
     pub fn id(&self) -> &WorkerId {
         &self.id
     }
 
-    /// Makes it fail, or heal.
+    /// Sets the faults of the worker.
     pub fn set_faults(&self, faults: WorkerFaults) {
-        self.store.lock().faults = faults;
+        self.state.lock().faults = faults;
     }
 
-    /// Dies and comes back: every task is gone.
+    /// Restarts the worker: all its tasks are lost, and its incarnation changes.
     pub fn restart(&self) {
-        let mut store = self.store.lock();
-        for (attempt, _) in store.running.drain() {
+        let mut state = self.state.lock();
+        for (attempt, _) in state.running.drain() {
             self.ledger.task_ended(attempt, &self.id);
         }
-        store.ended.clear();
-        store.incarnation = new_incarnation();
+        state.ended.clear();
+        state.incarnation = new_incarnation();
     }
 
-    /// Attempts that run now.
+    /// Returns the attempts that run now.
     pub fn running(&self) -> Vec<AttemptId> {
-        self.store.lock().running.keys().copied().collect()
+        self.state.lock().running.keys().copied().collect()
     }
 
-    /// What is in use now, and what the worker has.
+    /// Returns the resources in use and the total resources.
     pub fn usage(&self) -> (ResourceSet, ResourceSet) {
-        (used(&self.store.lock()), self.total)
+        (used(&self.state.lock()), self.total)
     }
 
-    /// Listens on `address`.
+    /// Starts a server on `address`, and ends tasks in time while it runs.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<ServerGuard> {
         let worker = self.clone();
-        let clock = self.clone();
+        let ticking = self.clone();
         let server = http_server::serve(address, move |request| {
             let worker = worker.clone();
             async move { worker.answer(request).await }
@@ -110,39 +112,39 @@
         .await?;
         let address = server.address;
         let task = tokio::spawn(async move {
-            let turns = async {
+            let ticks = async {
                 loop {
-                    clock.turn(Instant::now());
-                    tokio::time::sleep(TURN).await;
+                    ticking.end_finished_tasks(Instant::now());
+                    tokio::time::sleep(TICK_INTERVAL).await;
                 }
             };
             tokio::select! {
-                () = turns => {}
+                () = ticks => {}
                 () = server.wait() => {}
             }
         });
         Ok(ServerGuard::new(address, task))
     }
 
-    /// Ends tasks that are done or whose leases have lapsed.
-    fn turn(&self, now: Instant) {
-        let mut store = self.store.lock();
-        let over: Vec<AttemptId> = store
+    /// Ends tasks that are done or whose leases have expired.
+    fn end_finished_tasks(&self, now: Instant) {
+        let mut state = self.state.lock();
+        let finished: Vec<AttemptId> = state
             .running
             .iter()
             .filter(|(_, task)| task.ends_at <= now || task.lease_until <= now)
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in over {
-            let Some(task) = store.running.remove(&attempt) else { continue };
+        for attempt in finished {
+            let Some(task) = state.running.remove(&attempt) else { continue };
             self.ledger.task_ended(attempt, &self.id);
             let outcome = if task.ends_at <= now { task.outcome } else { TaskOutcome::Lost };
-            store.ended.insert(attempt, (task.resources, outcome));
+            state.ended.insert(attempt, (task.resources, outcome));
         }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> JsonResponse {
-        let faults = self.store.lock().faults;
+        let faults = self.state.lock().faults;
         if faults.silent {
             std::future::pending::<()>().await;
         }
@@ -165,63 +167,65 @@
 
     fn start(&self, start: &TaskStart) -> StartAnswer {
         let now = Instant::now();
-        let mut store = self.store.lock();
-        let fails = store.faults.fails_all;
+        let mut state = self.state.lock();
+        let fails = state.faults.fails_all;
         let run_time = Duration::from_millis(start.run_time.as_millis());
         let task = RunningTask {
             resources: start.resources,
             lease_until: now + Duration::from_millis(start.lease.as_millis()),
-            ends_at: now + if fails { FAIL_AFTER } else { run_time },
+            ends_at: now + if fails { FAILURE_DELAY } else { run_time },
             outcome: if fails { TaskOutcome::Failed } else { TaskOutcome::Done },
         };
-        store.running.insert(start.attempt, task);
+        state.running.insert(start.attempt, task);
         self.ledger.task_started(start.attempt, &self.id);
-        let used = used(&store);
+        let used = used(&state);
         if !self.total.fits(&used) {
             let example = format!("{} has {}, runs {used}", self.id, self.total);
-            self.ledger.break_rule(SafetyRule::WorkerRoom, example);
+            self.ledger.record_violation(SafetyRule::WorkerRoom, example);
         }
         StartAnswer { started: true }
     }
 
     fn sync(&self, sync: &WorkerSync) -> WorkerInventory {
         let now = Instant::now();
-        let mut store = self.store.lock();
+        let mut state = self.state.lock();
         for attempt in &sync.stop {
-            if store.running.remove(attempt).is_some() {
+            if state.running.remove(attempt).is_some() {
                 self.ledger.task_ended(*attempt, &self.id);
             }
         }
         for attempt in &sync.forget {
-            store.ended.remove(attempt);
+            state.ended.remove(attempt);
         }
         for attempt in &sync.renew {
-            if let Some(task) = store.running.get_mut(attempt) {
+            if let Some(task) = state.running.get_mut(attempt) {
                 task.lease_until = now + Duration::from_millis(sync.lease.as_millis());
             }
         }
-        inventory(&store)
+        inventory(&state)
     }
 }
 
-fn used(store: &WorkerStore) -> ResourceSet {
-    store.running.values().fold(ResourceSet::default(), |sum, task| sum.plus(&task.resources))
+/// Returns the resources of all running tasks.
+fn used(state: &WorkerState) -> ResourceSet {
+    state.running.values().fold(ResourceSet::default(), |sum, task| sum.plus(&task.resources))
 }
 
-fn inventory(store: &WorkerStore) -> WorkerInventory {
-    let running = store.running.iter().map(|(attempt, task)| TaskReport {
+fn inventory(state: &WorkerState) -> WorkerInventory {
+    let running = state.running.iter().map(|(attempt, task)| TaskReport {
         attempt: *attempt,
         resources: task.resources,
         outcome: None,
     });
-    let ended = store.ended.iter().map(|(attempt, (resources, outcome))| TaskReport {
+    let ended = state.ended.iter().map(|(attempt, (resources, outcome))| TaskReport {
         attempt: *attempt,
         resources: *resources,
         outcome: Some(*outcome),
     });
-    WorkerInventory { incarnation: store.incarnation, tasks: running.chain(ended).collect() }
+    WorkerInventory { incarnation: state.incarnation, tasks: running.chain(ended).collect() }
 }
 
+/// Returns the current time in microseconds as an incarnation, so that later ones are greater.
 fn new_incarnation() -> Incarnation {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_micros() as u64);
     Incarnation(now)
--- a/crates/sedgehill-standin/tests/testsuite/ledger.rs
+++ b/crates/sedgehill-standin/tests/testsuite/ledger.rs
@@ -117,8 +117,8 @@
 fn every_rule_is_listed_even_when_it_holds() {
     let ledger = ledger();
     assert_eq!(ledger.violations().len(), SafetyRule::ALL.len());
-    ledger.break_rule(SafetyRule::PlannedStop, "an example");
-    ledger.break_rule(SafetyRule::Configuration, "an example");
+    ledger.record_violation(SafetyRule::PlannedStop, "an example");
+    ledger.record_violation(SafetyRule::Configuration, "an example");
     assert_eq!(ledger.total_violations(), 2);
     let _: WorkerId = "w1".parse().expect("a valid name");
 }
