--- a/crates/sedgehill-standin/src/binaries.rs
+++ b/crates/sedgehill-standin/src/binaries.rs
@@ -1,44 +1,44 @@
-//! The shipped programs, built for the tools and tests that start them.
+//! Builds the shipped programs for the tools and tests that start them.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The built programs.
+/// Paths of the built programs.
 #[derive(Debug, Clone)]
 pub struct BuiltBinaries {
-    /// The daemon.
+    /// `sedgehilld`, the daemon.
     pub daemon: PathBuf,
-    /// The command line.
+    /// `sedgehill`, the command line.
     pub client: PathBuf,
 }
 
-/// Builds the two shipped programs in the profile of this one, once in a process.
+/// Builds the shipped programs in the profile of the running program. Only the first call in a process builds.
 pub fn build_binaries() -> BuiltBinaries {
     static BINARIES: OnceLock<BuiltBinaries> = OnceLock::new();
-    BINARIES.get_or_init(build_now).clone()
+    BINARIES.get_or_init(run_cargo_build).clone()
 }
 
-fn build_now() -> BuiltBinaries {
-    let own = std::env::current_exe().expect("a process knows its program");
-    let mut directory = own.parent().expect("a program is in a directory");
+fn run_cargo_build() -> BuiltBinaries {
+    let program = std::env::current_exe().expect("the path of the running program is known");
+    let mut directory = program.parent().expect("a program is in a directory");
     if directory.ends_with("deps") {
         directory = directory.parent().expect("deps is in a directory");
     }
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".to_owned());
     let mut command = Command::new(cargo);
-    // The whole workspace, as everything else builds it: with fewer packages, dependencies would be
-    // built again with other features.
+    // Builds the whole workspace as other builds do: with fewer packages, Cargo would unify the features of
+    // dependencies differently and build them again.
     command.args(["build", "--quiet", "--locked", "--workspace", "--bins"]);
     if directory.ends_with("release") {
         command.arg("--release");
     }
     let status = command.current_dir(workspace_root()).status().expect("cargo can be started");
-    assert!(status.success(), "the programs could not be built");
+    assert!(status.success(), "cannot build the shipped programs");
     BuiltBinaries { daemon: directory.join("sedgehilld"), client: directory.join("sedgehill") }
 }
 
-/// The root of the workspace.
+/// Returns the root directory of the workspace.
 pub fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
