--- a/crates/sedgehill-standin/src/box_process.rs
+++ b/crates/sedgehill-standin/src/box_process.rs
@@ -1,4 +1,4 @@
-//! A box in a process of its own.
+//! A daemon of a box as a child process.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 
 use crate::binaries::BuiltBinaries;
 
-/// Where one box listens.
+/// Addresses on which a box listens.
 #[derive(Debug, Clone, Copy)]
 pub struct BoxAddresses {
     /// For callers.
@@ -22,12 +22,12 @@
     pub peer: SocketAddr,
 }
 
-/// A box in a process of its own, killed when dropped.
+/// The daemon of a box as a child process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct BoxProcess {
-    /// Its name.
+    /// The id of the box.
     pub id: BoxId,
-    /// Where it listens.
+    /// Addresses on which the box listens.
     pub addresses: BoxAddresses,
     settings: PathBuf,
     log: PathBuf,
@@ -35,7 +35,7 @@
 }
 
 impl BoxProcess {
-    /// Writes the settings of a box into a directory; the process is not started yet.
+    /// Writes the settings file of a box into a directory. Does not start the process.
     pub fn write(
         directory: &Path,
         id: BoxId,
@@ -43,24 +43,24 @@
         settings: &Value,
     ) -> BoxProcess {
         let path = directory.join(format!("{id}.json"));
-        let text = serde_json::to_string_pretty(settings).expect("JSON serializes");
-        std::fs::write(&path, text).expect("settings can be written");
+        let text = serde_json::to_string_pretty(settings).expect("settings serialize");
+        std::fs::write(&path, text).expect("the settings file can be written");
         let log = directory.join(format!("{id}.log"));
         BoxProcess { id, addresses, settings: path, log, child: None }
     }
 
-    /// The process id, while it runs.
+    /// Returns the process id while the process runs.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Starts the process, its log going to a file.
+    /// Starts the process and appends its log to a file.
     pub fn start(&mut self, binaries: &BuiltBinaries) {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
         self.start_logging_to(binaries, log.expect("the log file can be opened").into());
     }
 
-    /// Starts the process with a log that nobody reads, so that the pipe is soon full.
+    /// Starts the process with its log on a pipe that nobody reads, which soon fills.
     pub fn start_with_unread_log(&mut self, binaries: &BuiltBinaries) {
         self.start_logging_to(binaries, Stdio::piped());
     }
@@ -76,7 +76,7 @@
         self.child = Some(child.expect("the daemon can be started"));
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process if it runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
             let _ = kill(Pid::from_raw(pid as i32), signal);
@@ -95,14 +95,14 @@
         child.wait().ok()?.code()
     }
 
-    /// The exit code, if the process has ended.
+    /// Returns the exit code if the process has ended. The inner value is `None` if a signal ended it.
     pub fn try_wait(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status.code())
     }
 
-    /// What the process has logged.
+    /// Returns the log so far.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -110,7 +110,7 @@
 
 impl Drop for BoxProcess {
     fn drop(&mut self) {
-        // A stopped process must run to be killed.
+        // Resumes a process that a test has stopped by SIGSTOP.
         self.signal(Signal::SIGCONT);
         self.kill();
     }
