--- a/crates/sedgehill-standin/src/cell_process.rs
+++ b/crates/sedgehill-standin/src/cell_process.rs
@@ -1,4 +1,4 @@
-//! Boxes in cell mode as separate processes.
+//! Daemons in cell mode as child processes, and HTTP calls to them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -15,29 +15,32 @@
 use crate::cell_platform::CellPlatform;
 use crate::network::free_addresses;
 
-/// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a box listens and what it meets. A box that is started again keeps all of it.
+/// The configuration of a box in cell mode: its own addresses and those of the systems it talks to.
+///
+/// A box that is started again from it has the same addresses.
 #[derive(Debug, Clone)]
 pub struct CellBoxConfig {
-    /// Its name.
+    /// The name of the box.
     pub name: String,
-    /// Where it takes callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
     peers: SocketAddr,
     metrics: SocketAddr,
     store: SocketAddr,
     advice: SocketAddr,
     cores: String,
-    /// What its link carries; the default if none.
+    /// The `link_mbps` setting, if it is not left at its default.
     link_mbps: Option<String>,
 }
 
 impl CellBoxConfig {
-    /// A site on free ports of loopback. The box reaches the store at `store`.
+    /// Creates the configuration of a box on free loopback ports. `store` is the address at which the box reaches the
+    /// store, and `cores` its `cores` setting.
     pub fn new(
         name: &str,
         platform: &CellPlatform,
@@ -58,19 +61,19 @@
         }
     }
 
-    /// The same site with a link that carries so much.
+    /// Sets the `link_mbps` setting.
     pub fn with_link_mbps(mut self, link_mbps: &str) -> CellBoxConfig {
         self.link_mbps = Some(link_mbps.to_owned());
         self
     }
 
-    /// The same site with a way of its own to the advice service.
+    /// Sets the address of the advice service for this box; see [`CellPlatform::add_advice_address`].
     pub fn with_advice(mut self, advice: SocketAddr) -> CellBoxConfig {
         self.advice = advice;
         self
     }
 
-    /// Starts the box. Its settings and its log lie in `directory`; the log is appended to.
+    /// Writes the settings file into `directory` and starts the box, which appends its log to a file there.
     pub fn start(&self, directory: &Path) -> std::io::Result<CellProcess> {
         let mut settings = json!({
             "box": self.name,
@@ -100,43 +103,43 @@
         Ok(CellProcess { child, callers: self.callers, ready: self.ready, log })
     }
 
-    /// Where the log lies.
+    /// Returns the path of the log file.
     pub fn log_path(&self, directory: &Path) -> PathBuf {
         directory.join(format!("{}.log", self.name))
     }
 }
 
-/// A box in cell mode, killed when dropped.
+/// The process of a box in cell mode, which is killed when this is dropped.
 pub struct CellProcess {
     child: Child,
-    /// Where it takes callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
     log: PathBuf,
 }
 
 impl CellProcess {
-    /// The last lines of its log, to tell why something did not come.
+    /// Returns the last lines of the log, for messages of failed tests.
     pub fn log_tail(&self) -> String {
-        const LINES: usize = 12;
+        const MAX_LINES: usize = 12;
         let Ok(text) = std::fs::read_to_string(&self.log) else { return "no log".to_owned() };
         let lines: Vec<&str> = text.lines().collect();
-        lines[lines.len().saturating_sub(LINES)..].join("\n")
+        lines[lines.len().saturating_sub(MAX_LINES)..].join("\n")
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        // The process may have ended meanwhile.
+        // Fails if the process has ended, which callers detect themselves.
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Waits for the end; the exit code, if it ended by itself.
+    /// Waits for the end of the process. Returns the exit code, or `None` if a signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().ok()?.code()
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
@@ -144,13 +147,13 @@
 
 impl Drop for CellProcess {
     fn drop(&mut self) {
-        // It may have ended, which is what is wanted.
+        // Fails if the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// One call on a connection of its own: the status and the body; none without a whole answer.
+/// Makes a call on a new connection. Returns the status and the body, or `None` unless a whole answer comes in time.
 pub async fn call(
     address: SocketAddr,
     method: &str,
@@ -160,7 +163,7 @@
     call_with_key(address, method, path, body, None).await
 }
 
-/// The same with a key.
+/// Like [`call`], with the key of an organisation.
 pub async fn call_with_key(
     address: SocketAddr,
     method: &str,
@@ -183,5 +186,5 @@
         let body = answer.split_once("\r\n\r\n")?.1.to_owned();
         Some((status, body))
     };
-    tokio::time::timeout(CALL_LIMIT, exchange).await.ok()?
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await.ok()?
 }
