--- a/crates/sedgehill-standin/src/certificates.rs
+++ b/crates/sedgehill-standin/src/certificates.rs
@@ -6,43 +6,43 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
 quick_error! {
-    /// Why certificates could not be made.
+    /// Error of issuing certificates.
     #[derive(Debug)]
     pub enum CertificateError {
-        /// The library refused.
+        /// A key or a certificate could not be generated.
         Make(cause: rcgen::Error) {
             from()
-            display("could not make a certificate")
+            display("cannot generate a certificate")
             source(cause)
         }
         /// A file could not be written.
         Write(cause: std::io::Error) {
             from()
-            display("could not write a certificate")
+            display("cannot write a certificate file")
             source(cause)
         }
     }
 }
 
-/// An authority that signs the certificates of the boxes of one cluster.
+/// A certificate authority that signs the certificates of the boxes of one cluster.
 pub struct TestAuthority {
     certificate: String,
     issuer: Issuer<'static, KeyPair>,
 }
 
-/// The files of one box's identity.
+/// Files with the TLS identity of a box.
 #[derive(Debug, Clone)]
 pub struct IdentityFiles {
     /// The certificate.
     pub certificate: PathBuf,
-    /// Its key.
+    /// The private key of the certificate.
     pub key: PathBuf,
-    /// The authority.
+    /// The certificate of the authority.
     pub authority: PathBuf,
 }
 
 impl TestAuthority {
-    /// A new authority.
+    /// Creates an authority with a new key.
     pub fn new() -> Result<TestAuthority, CertificateError> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
@@ -51,7 +51,7 @@
         Ok(TestAuthority { certificate, issuer: Issuer::new(params, key) })
     }
 
-    /// Writes the identity of a box into a directory.
+    /// Issues a certificate for a box and writes its files into a directory.
     pub fn issue(&self, name: &str, directory: &Path) -> Result<IdentityFiles, CertificateError> {
         let key = KeyPair::generate()?;
         let params = CertificateParams::new(vec![name.to_owned()])?;
