--- a/crates/sedgehill-standin/src/cluster.rs
+++ b/crates/sedgehill-standin/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole cell on loopback: the stand-ins in this process, the boxes in processes of their own.
+//! A cluster on loopback addresses: the stand-ins run in this process, the boxes as child processes.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -26,57 +26,57 @@
 use crate::network::LoopbackNetwork;
 use crate::worker::StandinWorker;
 
-/// How long an operation on a cluster may take before the run is given up.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+/// Time after which a wait for a condition panics.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One group of endpoints.
+/// Endpoints of one service.
 #[derive(Debug, Clone)]
 pub struct EndpointGroup {
-    /// The service that they answer for.
+    /// The service that the endpoints belong to.
     pub service: &'static str,
-    /// The halls over which they are spread.
+    /// The data halls over which the endpoints are spread evenly.
     pub halls: Vec<&'static str>,
-    /// How many.
+    /// The number of endpoints.
     pub count: usize,
-    /// Requests that each serves at once.
+    /// Requests that each endpoint serves at once.
     pub slots: u32,
 }
 
-/// One group of workers.
+/// Workers of the same size.
 #[derive(Debug, Clone)]
 pub struct WorkerGroup {
-    /// The halls over which they are spread.
+    /// The data halls over which the workers are spread evenly.
     pub halls: Vec<&'static str>,
-    /// How many.
+    /// The number of workers.
     pub count: usize,
-    /// Workers to a rack.
+    /// Workers in each rack.
     pub per_rack: usize,
-    /// What each has.
+    /// The resources of each worker.
     pub total: ResourceSet,
 }
 
-/// What a cluster is made of.
+/// The boxes, endpoints and workers of a cluster, and settings.
 #[derive(Debug, Clone)]
 pub struct ClusterPlan {
-    /// The hall of each box.
+    /// The data hall of each box.
     pub boxes: Vec<&'static str>,
     /// The endpoints.
     pub endpoints: Vec<EndpointGroup>,
     /// The workers.
     pub workers: Vec<WorkerGroup>,
-    /// How far the platform's list lags.
+    /// Time after which a change of the platform's list becomes visible.
     pub list_lag: Duration,
-    /// Settings of the boxes beside their addresses.
+    /// Settings of all boxes, without addresses and names.
     pub settings: Value,
 }
 
-/// What most workers of the brief have.
+/// Returns the resources of the workers that tests, demonstrations and measurements use by default.
 pub fn standard_worker() -> ResourceSet {
     ResourceSet { cores: CoreCount(16_000), memory: MemorySize(64 << 30), accelerators: 0 }
 }
 
-/// Settings with short times, for tests.
+/// Returns settings with short intervals and timeouts, so that tests run quickly.
 pub fn quick_settings() -> Value {
     json!({
         "heartbeat_every": "200ms",
@@ -88,21 +88,21 @@
     })
 }
 
-/// A whole cell.
+/// A running cluster.
 pub struct TestCluster {
-    /// The programs.
+    /// Paths of the shipped programs.
     pub binaries: BuiltBinaries,
-    /// What broke.
+    /// Collects violations of the safety rules.
     pub ledger: RuleLedger,
-    /// The log.
+    /// The platform's log.
     pub log: StandinLog,
-    /// The list.
+    /// The platform's list.
     pub list: StandinList,
-    /// The workers.
+    /// All workers.
     pub workers: Vec<StandinWorker>,
-    /// The endpoints.
+    /// All endpoints.
     pub endpoints: Vec<StandinEndpoint>,
-    /// The boxes, in order of name.
+    /// The processes of the boxes, in the order of [`ClusterPlan::boxes`].
     pub boxes: Vec<BoxProcess>,
     admin: JsonCaller,
     endpoint_servers: BTreeMap<String, ServerGuard>,
@@ -123,12 +123,12 @@
         cluster
     }
 
-    /// Starts the stand-ins and writes the settings of the boxes.
+    /// Starts the stand-ins and writes the settings files of the boxes, without starting these.
     pub async fn prepare(plan: &ClusterPlan) -> TestCluster {
         const LEAVING_GRACE: Duration = Duration::from_secs(2);
         let binaries = build_binaries();
         let net = LoopbackNetwork::new();
-        let directory = tempfile::tempdir().expect("a directory can be made");
+        let directory = tempfile::tempdir().expect("a temporary directory can be created");
         let ledger = RuleLedger::new(LEAVING_GRACE + plan.list_lag);
         let mut servers = Vec::new();
         let (endpoints, endpoint_servers, endpoint_listings) =
@@ -136,7 +136,7 @@
         let (workers, worker_views) = start_workers(plan, &net, &ledger, &mut servers).await;
         let boxes = plan.boxes.iter().enumerate();
         let boxes: Vec<(BoxId, HallName, BoxAddresses)> = boxes
-            .map(|(index, hall)| (box_name(index), name(hall), net.box_addresses(index)))
+            .map(|(index, hall)| (box_name(index), parse_name(hall), net.box_addresses(index)))
             .collect();
         let listings = boxes.iter().map(|(id, hall, addresses)| BoxListing {
             id: id.clone(),
@@ -158,10 +158,11 @@
             "list": list_server.address.to_string(),
         });
         servers.extend([log_server, list_server]);
-        let authority = TestAuthority::new().expect("an authority can be made");
+        let authority = TestAuthority::new().expect("a certificate authority can be created");
         let processes = boxes.into_iter().map(|(id, hall, addresses)| {
-            let identity =
-                authority.issue(id.as_str(), directory.path()).expect("files can be written");
+            let identity = authority
+                .issue(id.as_str(), directory.path())
+                .expect("a certificate can be issued");
             let settings = box_settings(plan, &id, &hall, &addresses, &platform, &identity);
             BoxProcess::write(directory.path(), id, addresses, &settings)
         });
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Where files of the run may be kept.
+    /// Returns the temporary directory of the cluster.
     pub fn directory(&self) -> &Path {
         self.directory.path()
     }
@@ -191,7 +192,7 @@
         self.boxes[index].start(&binaries);
     }
 
-    /// What a box says of its health.
+    /// Returns the health report of a box. Reads it also from the error answer of a box that is not ready.
     pub async fn health(&self, index: usize) -> Option<HealthReport> {
         let limit = Duration::from_millis(500);
         let reply = self.admin.get(self.boxes[index].addresses.admin, "/health", limit).await;
@@ -205,20 +206,20 @@
         }
     }
 
-    /// What a box says at a glance.
+    /// Returns the status of a box.
     pub async fn status(&self, index: usize) -> Option<BoxStatus> {
         let limit = Duration::from_secs(2);
         self.admin.get(self.boxes[index].addresses.admin, "/v1/status", limit).await.ok()
     }
 
-    /// The value of a metric without labels at a box.
+    /// Returns the value of a metric without labels of a box.
     pub async fn metric(&self, index: usize, name: &str) -> Option<f64> {
         let page = self.metrics(index).await;
         let value = page.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         value?.parse().ok()
     }
 
-    /// The metrics page of a box.
+    /// Returns the metrics page of a box, which is empty if it cannot be read.
     pub async fn metrics(&self, index: usize) -> String {
         let address = self.boxes[index].addresses.admin;
         let uri = format!("http://{address}/metrics").parse().expect("a valid address");
@@ -231,35 +232,35 @@
         body.map(|body| String::from_utf8_lossy(&body.to_bytes()).into_owned()).unwrap_or_default()
     }
 
-    /// Waits until a box is ready and returns how long that took.
+    /// Waits until a box is ready. Returns how long that took.
     pub async fn wait_ready(&self, index: usize) -> Duration {
         let started = Instant::now();
         let mut last = None;
         while !last.as_ref().is_some_and(is_ready) {
             let process = &self.boxes[index];
             assert!(
-                started.elapsed() < SETTLE_LIMIT,
+                started.elapsed() < WAIT_TIMEOUT,
                 "waited too long for {} to be ready: {last:?}, log: {}",
                 process.id,
                 process.log_text()
             );
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             last = self.health(index).await;
         }
         started.elapsed()
     }
 
-    /// Waits until all boxes have the same configuration, and one.
+    /// Waits until all boxes have the same configuration and it is not empty.
     pub async fn wait_same_configs(&self) {
         wait_for("all boxes to have the configuration", async || {
-            let mut seen: Option<serde_json::Value> = None;
+            let mut first_configs: Option<serde_json::Value> = None;
             for process in &self.boxes {
                 let limit = Duration::from_millis(500);
                 let reply = self.admin.get(process.addresses.admin, "/v1/configs", limit).await;
                 let Ok(configs) = reply else { return false };
-                let first = seen.get_or_insert_with(|| serde_json::Value::clone(&configs));
-                let is_none = configs.as_array().is_some_and(Vec::is_empty);
-                if is_none || *first != configs {
+                let first = first_configs.get_or_insert_with(|| serde_json::Value::clone(&configs));
+                let is_empty = configs.as_array().is_some_and(Vec::is_empty);
+                if is_empty || *first != configs {
                     return false;
                 }
             }
@@ -268,27 +269,27 @@
         .await;
     }
 
-    /// The admin addresses of all boxes, as the command line takes them.
+    /// Returns the admin addresses of all boxes in the form of the command line's `--boxes`.
     pub fn admin_list(&self) -> String {
         let addresses = self.boxes.iter().map(|process| process.addresses.admin.to_string());
         addresses.collect::<Vec<_>>().join(",")
     }
 
-    /// Runs the command line against all boxes. Does not block the stand-ins.
+    /// Runs the command line against all boxes, on a blocking thread so that the stand-ins go on.
     pub async fn client(&self, args: &[&str]) -> Output {
         let boxes = self.admin_list();
         self.client_at(&boxes, args).await
     }
 
-    /// Runs the command line against some boxes.
+    /// Runs the command line against the boxes at the admin addresses in `boxes`, separated by commas.
     pub async fn client_at(&self, boxes: &str, args: &[&str]) -> Output {
         let mut command = Command::new(&self.binaries.client);
         command.args(["--boxes", boxes]).args(args).current_dir(workspace_root());
         let run = tokio::task::spawn_blocking(move || command.output());
-        run.await.expect("the task ends").expect("the client can be started")
+        run.await.expect("the task ends").expect("the command line can be started")
     }
 
-    /// Runs the command line, which must succeed, and returns what it printed.
+    /// Runs the command line and returns its output. Panics if it fails.
     pub async fn client_ok(&self, args: &[&str]) -> String {
         let output = self.client(args).await;
         assert!(
@@ -299,12 +300,12 @@
         String::from_utf8(output.stdout).expect("the client prints text")
     }
 
-    /// A caller that checks what it is told.
+    /// Creates a caller that reports violations to the ledger of this cluster.
     pub fn caller(&self) -> StandinCaller {
         StandinCaller::new(self.ledger.clone())
     }
 
-    /// Takes an endpoint's server away, cutting every connection to it.
+    /// Stops the server of an endpoint, which cuts every connection to it.
     pub async fn stop_endpoint(&mut self, index: usize) {
         let server = self.endpoint_servers.remove(self.endpoints[index].id().as_str());
         if let Some(server) = server {
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Panics with what broke, if anything did.
+    /// Panics if a safety rule was violated.
     pub fn assert_no_violation(&self) {
         let broken: Vec<_> =
             self.ledger.violations().into_iter().filter(|(_, count)| count.count > 0).collect();
@@ -320,12 +321,12 @@
     }
 }
 
-/// Polls until something holds; panics if it takes too long.
-pub async fn wait_for(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Polls until a condition holds. Panics if it takes too long, with `subject` in the message.
+pub async fn wait_for(subject: &str, mut condition: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
-    while !holds().await {
-        assert!(started.elapsed() < SETTLE_LIMIT, "waited too long for {what}");
-        tokio::time::sleep(POLL).await;
+    while !condition().await {
+        assert!(started.elapsed() < WAIT_TIMEOUT, "waited too long for {subject}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -334,10 +335,10 @@
 }
 
 fn box_name(index: usize) -> BoxId {
-    name(&format!("box-{}", index + 1))
+    parse_name(&format!("box-{}", index + 1))
 }
 
-fn name<T: std::str::FromStr>(text: &str) -> T
+fn parse_name<T: std::str::FromStr>(text: &str) -> T
 where
     T::Err: std::fmt::Debug,
 {
@@ -353,15 +354,15 @@
     let mut servers = BTreeMap::new();
     let mut listings = Vec::new();
     for group in &plan.endpoints {
-        let service: TemplateName = name(group.service);
+        let service: TemplateName = parse_name(group.service);
         for index in 0..group.count {
-            let id = name(&format!("{service}-{index:03}"));
+            let id = parse_name(&format!("{service}-{index:03}"));
             let endpoint = StandinEndpoint::new(id, group.slots, ledger.clone());
             let server = endpoint.serve(net.address(4)).await.expect("an endpoint can listen");
             listings.push(EndpointListing {
                 id: endpoint.id().clone(),
                 service: service.clone(),
-                hall: name(group.halls[index % group.halls.len()]),
+                hall: parse_name(group.halls[index % group.halls.len()]),
                 address: server.address,
                 leaving: false,
             });
@@ -383,17 +384,17 @@
     for group in &plan.workers {
         for index in 0..group.count {
             let hall = group.halls[index % group.halls.len()];
-            let place = index / group.halls.len();
+            let index_in_hall = index / group.halls.len();
             let worker = StandinWorker::new(
-                name(&format!("{hall}-w{place:02}")),
+                parse_name(&format!("{hall}-w{index_in_hall:02}")),
                 group.total,
                 ledger.clone(),
             );
             let server = worker.serve(net.address(5)).await.expect("a worker can listen");
             views.push(WorkerView {
                 id: worker.id().clone(),
-                hall: name(hall),
-                rack: name(&format!("{hall}-r{}", place / group.per_rack)),
+                hall: parse_name(hall),
+                rack: parse_name(&format!("{hall}-r{}", index_in_hall / group.per_rack)),
                 address: Some(server.address),
                 total: group.total,
                 leaving: false,
