--- a/crates/sedgehill-standin/src/commands.rs
+++ b/crates/sedgehill-standin/src/commands.rs
@@ -1,4 +1,4 @@
-//! Each stand-in as a command of its own.
+//! The commands that run a single stand-in.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,17 +16,17 @@
 use sedgehill_standin::log_server::StandinLog;
 use sedgehill_standin::worker::StandinWorker;
 
-/// What a command ends with.
+/// The result of a command: its exit code, or a message about wrong usage or a failure.
 pub type CommandResult = Result<ExitCode, String>;
 
-/// How long a leaving endpoint may get new work.
+/// Time for which an endpoint that is leaving may still get new requests.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
 fn text(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
 
-/// Refuses arguments that are left over.
+/// Returns an error if arguments are left over.
 pub fn finish(args: Arguments) -> Result<(), String> {
     match args.finish().first() {
         Some(extra) => Err(format!("unexpected argument `{}`", extra.to_string_lossy())),
@@ -41,14 +41,14 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `log`
+/// Runs `log`, the append-only log.
 pub async fn log(mut args: Arguments) -> CommandResult {
     let listen: SocketAddr = args.value_from_str("--listen").map_err(text)?;
     finish(args)?;
     serve(StandinLog::default().serve(listen).await).await
 }
 
-/// `list`
+/// Runs `list`, the platform's list.
 pub async fn list(mut args: Arguments) -> CommandResult {
     let listen: SocketAddr = args.value_from_str("--listen").map_err(text)?;
     let file: PathBuf = args.value_from_str("--file").map_err(text)?;
@@ -59,7 +59,7 @@
     serve(StandinList::new(list, Duration::ZERO).serve(listen).await).await
 }
 
-/// `worker`
+/// Runs `worker`.
 pub async fn worker(mut args: Arguments) -> CommandResult {
     let listen: SocketAddr = args.value_from_str("--listen").map_err(text)?;
     let id = args.value_from_str("--id").map_err(text)?;
@@ -76,7 +76,7 @@
     serve(worker.serve(listen).await).await
 }
 
-/// `endpoint`
+/// Runs `endpoint`.
 pub async fn endpoint(mut args: Arguments) -> CommandResult {
     let listen: SocketAddr = args.value_from_str("--listen").map_err(text)?;
     let id = args.value_from_str("--id").map_err(text)?;
@@ -86,7 +86,7 @@
     serve(endpoint.serve(listen).await).await
 }
 
-/// `certificates`
+/// Runs `certificates`, which issues certificates for boxes.
 pub fn certificates(mut args: Arguments) -> CommandResult {
     let directory: PathBuf = args.value_from_str("--directory").map_err(text)?;
     let names: Vec<String> = args.values_from_str("--box").map_err(text)?;
@@ -100,7 +100,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `call`
+/// Runs `call`, which sends requests to a box and prints the outcomes.
 pub async fn call(mut args: Arguments) -> CommandResult {
     let address: SocketAddr = args.value_from_str("--box").map_err(text)?;
     let path: String = args.value_from_str("--path").map_err(text)?;
