--- a/crates/sedgehill-standin/src/endpoint.rs
+++ b/crates/sedgehill-standin/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an endpoint: it works for as long as the request says and answers with bytes that
-//! its caller can check.
+//! A stand-in for an endpoint, which works for as long as the request says and answers with bytes that
+//! the caller can check.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,38 +22,38 @@
 use crate::http_server::{ServerGuard, query_value};
 use crate::ledger::RuleLedger;
 
-/// The header in which a caller names its request.
+/// Header with the token that identifies a request of a caller.
 pub const TOKEN_HEADER: &str = "x-caller-token";
-/// The header by which an endpoint says that it did not begin a request.
+/// Header by which an endpoint says that it did not begin to work on a request.
 const REFUSED_HEADER: &str = "sedgehill-refused";
-/// What an answer is filled with where no size is asked for, in bytes.
-const DEFAULT_SIZE: usize = 64;
-/// Between the first half of a cut answer and the cut.
-const CUT_PAUSE: Duration = Duration::from_millis(20);
+/// Size of the generated part of an answer if the request does not set one.
+const DEFAULT_ANSWER_BYTES: usize = 64;
+/// Time between the first half of a cut answer and the end of its connection.
+const CUT_DELAY: Duration = Duration::from_millis(20);
 
-/// What is wrong with an endpoint.
+/// A fault of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses each request by the documented sign.
+    /// It refuses each request with status 503 and the documented header.
     Refuses,
-    /// It answers each request with an error at once.
+    /// It answers each request with status 500 at once.
     FailsFast,
-    /// It begins and never answers.
+    /// It works on each request and never answers.
     Hangs,
-    /// It cuts each answer short.
+    /// It closes the connection after half of each answer.
     CutsAnswers,
-    /// It begins and closes the connection without an answer.
+    /// It works on each request and closes the connection without an answer.
     Closes,
-    /// It answers with bytes that are no HTTP.
+    /// It answers with bytes that are not HTTP.
     Garbage,
 }
 
 type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// An endpoint, shared by its server and by whoever makes it fail.
+/// An endpoint. Clones share its state, so that a test can set faults while it serves.
 #[derive(Debug, Clone)]
 pub struct StandinEndpoint {
     id: EndpointId,
@@ -64,26 +64,27 @@
 }
 
 impl StandinEndpoint {
-    /// An endpoint that serves `slots` requests at once and refuses more.
+    /// Creates an endpoint that serves `slots` requests at once and refuses more.
     pub fn new(id: EndpointId, slots: u32, ledger: RuleLedger) -> StandinEndpoint {
         StandinEndpoint { id, slots, ledger, fault: Arc::default(), busy: Arc::default() }
     }
 
-    /// Its name.
+    /// Returns the id of the endpoint.
     pub fn id(&self) -> &EndpointId {
         &self.id
     }
 
-    /// Makes it fail, or heal.
+    /// Sets the fault of the endpoint.
     pub fn set_fault(&self, fault: EndpointFault) {
         *self.fault.lock() = fault;
     }
 
-    /// Listens on `address`.
+    /// Starts a server on `address`.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<ServerGuard> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let endpoint = self.clone();
+        // Each connection holds a clone until it is closed.
         let open = Arc::new(());
         let sockets = Arc::downgrade(&open);
         let task = tokio::spawn(async move {
@@ -120,8 +121,8 @@
         request: Request<Incoming>,
     ) -> Result<Response<AnswerBody>, std::io::Error> {
         let fault = *self.fault.lock();
-        let slot = SlotGuard::take(&self.busy);
-        if slot.taken > self.slots || fault == EndpointFault::Refuses {
+        let slot = SlotGuard::acquire(&self.busy);
+        if slot.used_slots > self.slots || fault == EndpointFault::Refuses {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
             response.headers_mut().insert(REFUSED_HEADER, http::HeaderValue::from_static("true"));
             return Ok(response);
@@ -132,10 +133,10 @@
         let token = request.headers().get(TOKEN_HEADER).and_then(|value| value.to_str().ok());
         let token = token.unwrap_or_default().to_owned();
         let work: u64 = query_value(&request, "work_ms").unwrap_or(0);
-        let size: usize = query_value(&request, "size").unwrap_or(DEFAULT_SIZE);
+        let size: usize = query_value(&request, "size").unwrap_or(DEFAULT_ANSWER_BYTES);
         let body = request.into_body().collect().await.map_err(std::io::Error::other)?.to_bytes();
         let run = RunGuard::begin(&self.ledger, &token, &self.id);
-        // The work goes on when its caller is gone, as it does on a real endpoint.
+        // The work goes on after the caller has disconnected, as it does on a real endpoint.
         let working = tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(work)).await;
             drop((run, slot));
@@ -145,22 +146,23 @@
         match fault {
             EndpointFault::Hangs => std::future::pending().await,
             EndpointFault::Closes => Err(std::io::Error::other("closed on purpose")),
-            EndpointFault::CutsAnswers => Ok(cut(answer)),
+            EndpointFault::CutsAnswers => Ok(cut_response(answer)),
             _ => Ok(plain(StatusCode::OK, answer)),
         }
     }
 }
 
-/// Counts a request as being served while it lives.
+/// Occupies a slot of an endpoint until it is dropped.
 struct SlotGuard {
     busy: Arc<AtomicU32>,
-    taken: u32,
+    /// Slots in use, including this one.
+    used_slots: u32,
 }
 
 impl SlotGuard {
-    fn take(busy: &Arc<AtomicU32>) -> SlotGuard {
-        let taken = busy.fetch_add(1, Ordering::SeqCst) + 1;
-        SlotGuard { busy: busy.clone(), taken }
+    fn acquire(busy: &Arc<AtomicU32>) -> SlotGuard {
+        let used_slots = busy.fetch_add(1, Ordering::SeqCst) + 1;
+        SlotGuard { busy: busy.clone(), used_slots }
     }
 }
 
@@ -170,7 +172,7 @@
     }
 }
 
-/// Notes in the ledger that a request runs while it lives.
+/// Records in the ledger that a request runs until this is dropped.
 struct RunGuard {
     ledger: RuleLedger,
     token: String,
@@ -189,7 +191,8 @@
     }
 }
 
-/// The bytes that a request with this token and body is answered with.
+/// Returns the answer to a request with this token and body: the token, the length of the body, and `size` bytes
+/// that depend on both.
 pub fn expected_answer(token: &str, body: &[u8], size: usize) -> Bytes {
     let mut answer = format!("{token}:{}:", body.len()).into_bytes();
     let seed: u64 = token
@@ -207,22 +210,24 @@
     response
 }
 
-/// An answer that promises all bytes, sends half and fails.
-fn cut(answer: Bytes) -> Response<AnswerBody> {
+/// Returns a response that announces the whole answer, sends half of it and fails.
+fn cut_response(answer: Bytes) -> Response<AnswerBody> {
     let half = answer.slice(..answer.len() / 2);
     let (mut sender, body) = http_body_util::channel::Channel::new(1);
     tokio::spawn(async move {
         let _ = sender.send_data(half).await;
-        // What was sent so far leaves before the connection is closed.
-        tokio::time::sleep(CUT_PAUSE).await;
+        // Lets the first half be sent before the connection is closed.
+        tokio::time::sleep(CUT_DELAY).await;
         sender.abort(std::io::Error::other("cut on purpose"));
     });
     let mut response = Response::new(body.boxed_unsync());
-    let length = http::HeaderValue::from_str(&answer.len().to_string()).expect("digits");
+    let length = http::HeaderValue::from_str(&answer.len().to_string())
+        .expect("digits are a valid header value");
     response.headers_mut().insert(http::header::CONTENT_LENGTH, length);
     response
 }
 
+/// Answers the first bytes of a connection with bytes that are not HTTP.
 async fn answer_garbage(mut stream: tokio::net::TcpStream) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut buffer = [0; 4096];
