--- a/crates/sedgehill-standin/src/http_server.rs
+++ b/crates/sedgehill-standin/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins.
+//! A small HTTP/1.1 server for the stand-ins.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,45 +17,45 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// What a handler answers.
+/// The response of a handler.
 pub type JsonResponse = Response<Full<Bytes>>;
 
-/// A server that stops when dropped.
+/// A running server, which stops when this is dropped.
 #[derive(Debug)]
 pub struct ServerGuard {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
-    /// Held by each open connection of a server that was made to tell.
+    /// Has a strong count of the connections that are open. Unused unless set by [`ServerGuard::with_sockets`].
     sockets: Weak<()>,
 }
 
-/// Time between two looks at what is still open.
-const STOP_TURN: Duration = Duration::from_millis(2);
+/// Interval at which a stopping server checks for open connections.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl ServerGuard {
-    /// Wraps the task of a server.
+    /// Creates a guard of a server that runs in `task`.
     pub fn new(address: SocketAddr, task: JoinHandle<()>) -> ServerGuard {
         ServerGuard { address, task, sockets: Weak::new() }
     }
 
-    /// The same, with what each open connection holds.
+    /// Sets the reference by which open connections are counted: each one holds a strong reference.
     pub fn with_sockets(mut self, sockets: Weak<()>) -> ServerGuard {
         self.sockets = sockets;
         self
     }
 
-    /// Stops the server and waits until all its sockets are closed.
+    /// Stops the server and waits until the connections that are counted are closed.
     pub async fn stop(mut self) {
         self.task.abort();
-        // The task was cancelled, which is what was wanted.
+        // Returns the error of the cancelled task.
         let _ = (&mut self.task).await;
         while self.sockets.strong_count() > 0 {
-            tokio::time::sleep(STOP_TURN).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the server ends, which it does not by itself.
+    /// Waits until the task of the server ends, which happens only if it panics or is cancelled.
     pub async fn wait(mut self) {
         let _ = (&mut self.task).await;
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Listens on `address` and answers each request with `handler`.
+/// Starts a server on `address` that answers each request by `handler`.
 pub async fn serve<H, F>(address: SocketAddr, handler: H) -> std::io::Result<ServerGuard>
 where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
@@ -77,7 +77,7 @@
     let address = listener.local_addr()?;
     let handler = Arc::new(handler);
     let task = tokio::spawn(async move {
-        // Connections end with the server.
+        // Connections end when the task is cancelled, because the set is dropped with it.
         let mut connections = tokio::task::JoinSet::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
@@ -95,26 +95,26 @@
     Ok(ServerGuard::new(address, task))
 }
 
-/// Reads the body of a request as JSON.
+/// Reads the body of a request as JSON. Returns `None` if it is not valid.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     let bytes = request.into_body().collect().await.ok()?.to_bytes();
     serde_json::from_slice(&bytes).ok()
 }
 
-/// An answer of JSON.
+/// Returns a response with a JSON body.
 pub fn json<T: Serialize>(value: &T) -> JsonResponse {
     let bytes = serde_json::to_vec(value).expect("our types serialize");
     Response::new(Full::new(Bytes::from(bytes)))
 }
 
-/// An answer of a status alone.
+/// Returns a response with a status and without a body.
 pub fn status(status: StatusCode) -> JsonResponse {
     let mut response = Response::new(Full::new(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// A value from the query of a request.
+/// Returns a parameter of the query of a request, if it is there and valid.
 pub fn query_value<T: std::str::FromStr>(request: &Request<Incoming>, name: &str) -> Option<T> {
     let query = request.uri().query()?;
     let pair = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))?;
