--- a/crates/sedgehill-standin/src/keep_alive_caller.rs
+++ b/crates/sedgehill-standin/src/keep_alive_caller.rs
@@ -1,5 +1,5 @@
-//! A caller that keeps its connection, pauses between calls, and tells a call that was cut off from a connection that
-//! ended between two calls.
+//! A caller that reuses its connection, pauses between calls, and distinguishes a call that was cut off from a
+//! connection that was closed between two calls.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -11,17 +11,18 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How one call on a kept connection ended.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeepAliveOutcome {
-    /// A whole answer came, with this status.
+    /// A whole response with this status.
     Answered(u16),
-    /// No connection could be made: nothing was sent.
+    /// No connection could be opened, so that nothing was sent.
     Refused,
-    /// The connection ended after something of the call was sent and before the whole answer came.
+    /// The connection ended, or the call timed out, after a part of the request was sent and before the whole response
+    /// came. Holds a description.
     Cut(String),
 }
 
@@ -30,19 +31,20 @@
     address: SocketAddr,
     request: Arc<str>,
     stream: Option<TcpStream>,
+    /// Calls on the present connection.
     calls: usize,
 }
 
 impl KeepAliveCaller {
-    /// A caller that sends `request`, a whole HTTP/1.1 request, to `address`.
+    /// Creates a caller that sends `request`, a whole HTTP/1.1 request, to `address`.
     pub fn new(address: SocketAddr, request: Arc<str>) -> KeepAliveCaller {
         KeepAliveCaller { address, request, stream: None, calls: 0 }
     }
 
-    /// Makes one call, on the kept connection if that has not ended.
+    /// Makes a call, on the connection of the last one if that is still open.
     pub async fn call(&mut self) -> KeepAliveOutcome {
-        let kept = self.stream.take().filter(is_open);
-        let mut stream = match kept {
+        let open_stream = self.stream.take().filter(is_open);
+        let mut stream = match open_stream {
             Some(stream) => stream,
             None => {
                 self.calls = 0;
@@ -54,9 +56,9 @@
         };
         self.calls += 1;
         let exchange = exchange(&mut stream, &self.request);
-        match tokio::time::timeout(CALL_LIMIT, exchange).await {
-            Ok(Ok((status, goes_on))) => {
-                self.stream = goes_on.then_some(stream);
+        match tokio::time::timeout(CALL_TIMEOUT, exchange).await {
+            Ok(Ok((status, keeps_open))) => {
+                self.stream = keeps_open.then_some(stream);
                 KeepAliveOutcome::Answered(status)
             }
             Ok(Err(error)) => {
@@ -67,12 +69,13 @@
     }
 }
 
+/// Returns whether a connection is open and has no unread bytes.
 fn is_open(stream: &TcpStream) -> bool {
-    let nothing = stream.try_read(&mut [0; 1]);
-    matches!(nothing, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
+    let read = stream.try_read(&mut [0; 1]);
+    matches!(read, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Sends a request and reads its answer: the status, and whether the connection goes on.
+/// Sends a request and reads the response. Returns the status, and whether the connection stays open.
 async fn exchange(stream: &mut TcpStream, request: &str) -> std::io::Result<(u16, bool)> {
     let ended = |at: &str| std::io::Error::other(format!("ended {at}"));
     stream.write_all(request.as_bytes()).await?;
@@ -100,18 +103,18 @@
     Ok((status, header("connection").as_deref() != Some("close")))
 }
 
-/// What callers met until a box took no connection any more.
+/// Outcomes of the calls of [`call_until_refused`].
 #[derive(Debug, Default)]
 pub struct StopTally {
-    /// Calls.
+    /// Number of calls.
     pub calls: usize,
-    /// Calls that were cut off: when, counted from `begun`, and how.
+    /// Calls that were cut off: the time since the first call began, and a description.
     pub cut: Vec<(Duration, String)>,
-    /// Whole answers that are neither 200 nor one that the test expects of a running box.
+    /// Number of responses with status 503.
     pub refused: usize,
 }
 
-/// Has callers go on at one address until it takes no connection.
+/// Lets `callers` callers repeat a request to an address, with random pauses, until it refuses connections.
 pub async fn call_until_refused(
     address: SocketAddr,
     request: &str,
@@ -119,7 +122,7 @@
     pauses_ms: RangeInclusive<u64>,
 ) -> StopTally {
     let request: Arc<str> = request.into();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut tasks = JoinSet::new();
     for _ in 0..callers {
         let (mut caller, pauses_ms) =
@@ -132,7 +135,9 @@
                     KeepAliveOutcome::Answered(status) => {
                         tally.refused += usize::from(status == 503)
                     }
-                    KeepAliveOutcome::Cut(how) => tally.cut.push((begun.elapsed(), how)),
+                    KeepAliveOutcome::Cut(description) => {
+                        tally.cut.push((started.elapsed(), description))
+                    }
                 }
                 tally.calls += 1;
                 let pause = rand::rng().random_range(pauses_ms.clone());
@@ -142,11 +147,11 @@
             }
         });
     }
-    let mut sum = StopTally::default();
+    let mut total = StopTally::default();
     for tally in tasks.join_all().await {
-        sum.calls += tally.calls;
-        sum.refused += tally.refused;
-        sum.cut.extend(tally.cut);
+        total.calls += tally.calls;
+        total.refused += tally.refused;
+        total.cut.extend(tally.cut);
     }
-    sum
+    total
 }
