--- a/crates/sedgehill-standin/src/list_server.rs
+++ b/crates/sedgehill-standin/src/list_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's lagging list.
+//! A stand-in for the platform's list of boxes, endpoints and workers, which shows changes with a delay.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,35 +12,35 @@
 use crate::http_server::{self, ServerGuard, read_json, status};
 
 #[derive(Debug)]
-struct ListStore {
+struct ListState {
     lag: Duration,
-    /// Past lists, the newest last, each with the time from which it holds.
+    /// All versions of the list, the newest one last, each with the time of the change.
     versions: Vec<(Instant, PlatformList)>,
     down: bool,
 }
 
-/// The list, shared by its server and by whoever changes it.
+/// The list. Clones share its state, so that a test can change it while it is served.
 #[derive(Debug, Clone)]
 pub struct StandinList {
-    store: Arc<Mutex<ListStore>>,
+    state: Arc<Mutex<ListState>>,
 }
 
 impl StandinList {
-    /// A list whose changes show after `lag`.
+    /// Creates a list whose changes become visible after `lag`.
     pub fn new(list: PlatformList, lag: Duration) -> StandinList {
-        let store = ListStore { lag, versions: vec![(Instant::now() - lag, list)], down: false };
-        StandinList { store: Arc::new(Mutex::new(store)) }
+        let state = ListState { lag, versions: vec![(Instant::now() - lag, list)], down: false };
+        StandinList { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Changes the list.
+    /// Changes the newest version of the list.
     pub fn change(&self, change: impl FnOnce(&mut PlatformList)) {
-        let mut store = self.store.lock();
-        let mut list = store.versions.last().expect("there is a first list").1.clone();
+        let mut state = self.state.lock();
+        let mut list = state.versions.last().expect("the list has a first version").1.clone();
         change(&mut list);
-        store.versions.push((Instant::now(), list));
+        state.versions.push((Instant::now(), list));
     }
 
-    /// Says that an endpoint is leaving, or back.
+    /// Sets whether an endpoint is listed as leaving.
     pub fn set_endpoint_leaving(&self, id: &EndpointId, leaving: bool) {
         self.change(|list| {
             for endpoint in list.endpoints.iter_mut().filter(|endpoint| endpoint.id == *id) {
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Says that a worker is leaving, or back.
+    /// Sets whether a worker is listed as leaving.
     pub fn set_worker_leaving(&self, id: &WorkerId, leaving: bool) {
         self.change(|list| {
             for worker in list.workers.iter_mut().filter(|worker| worker.id == *id) {
@@ -58,27 +58,27 @@
         });
     }
 
-    /// Makes the list unreachable, or reachable again.
+    /// Sets whether requests for the list fail with status 503.
     pub fn set_down(&self, down: bool) {
-        self.store.lock().down = down;
+        self.state.lock().down = down;
     }
 
-    /// The list as it shows now.
+    /// Returns the version of the list that is visible now.
     pub fn visible_list(&self) -> PlatformList {
-        let store = self.store.lock();
+        let state = self.state.lock();
         let now = Instant::now();
-        let shows = |(since, _): &&(Instant, PlatformList)| now >= *since + store.lag;
-        let version = store.versions.iter().rev().find(shows);
+        let is_visible = |(since, _): &&(Instant, PlatformList)| now >= *since + state.lag;
+        let version = state.versions.iter().rev().find(is_visible);
         version.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Listens on `address`.
+    /// Starts a server on `address`.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<ServerGuard> {
         let list = self.clone();
         http_server::serve(address, move |request| {
             let list = list.clone();
             async move {
-                if list.store.lock().down {
+                if list.state.lock().down {
                     return status(StatusCode::SERVICE_UNAVAILABLE);
                 }
                 match (request.method().clone(), request.uri().path()) {
