--- a/crates/sedgehill-standin/src/log_server.rs
+++ b/crates/sedgehill-standin/src/log_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's append-only log, with outages, lost answers and retention.
+//! A stand-in for the platform's append-only log, with injected outages, delays, lost answers and limited retention.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,44 +15,46 @@
 
 use crate::http_server::{self, JsonResponse, ServerGuard, query_value, read_json, status};
 
-/// The most entries in one answer.
-const MAX_READ: usize = 1_000;
+/// Maximum number of entries in one answer.
+const MAX_READ_ENTRIES: usize = 1_000;
 
-/// What is wrong with the log.
+/// Faults of the log.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Nothing is answered but errors, and nothing is appended.
+    /// All requests fail with status 503, and nothing is appended.
     pub down: bool,
-    /// Each answer comes this much later.
+    /// Delay of each request in milliseconds.
     pub slow_ms: u64,
-    /// The share of appends, in percent, that take effect without an answer.
+    /// Percentage of appends that take effect and are answered with status 504.
     pub lost_answers: u32,
-    /// Entries kept; none for all.
+    /// Number of entries to keep; `None` keeps all.
     pub retention: Option<usize>,
 }
 
 #[derive(Debug, Default)]
-struct LogStore {
+struct LogState {
+    /// Offset of the first entry that is kept.
     first: u64,
     entries: VecDeque<Value>,
     faults: LogFaults,
-    appends: u64,
+    append_count: u64,
 }
 
-impl LogStore {
+impl LogState {
+    /// Returns the offset of the next entry.
     fn next(&self) -> u64 {
         self.first + self.entries.len() as u64
     }
 
     fn append(&mut self, batch: Value) -> u64 {
         let offset = self.next();
-        self.appends += 1;
+        self.append_count += 1;
         let at_ms =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_millis() as u64);
         self.entries.push_back(json!({ "offset": offset, "at_ms": at_ms, "batch": batch }));
-        let kept = self.faults.retention.unwrap_or(usize::MAX);
-        while self.entries.len() > kept {
+        let max_entries = self.faults.retention.unwrap_or(usize::MAX);
+        while self.entries.len() > max_entries {
             self.entries.pop_front();
             self.first += 1;
         }
@@ -61,20 +63,20 @@
 
     fn read(&self, from: u64) -> Value {
         let skip = from.saturating_sub(self.first) as usize;
-        let entries: Vec<&Value> = self.entries.iter().skip(skip).take(MAX_READ).collect();
+        let entries: Vec<&Value> = self.entries.iter().skip(skip).take(MAX_READ_ENTRIES).collect();
         json!({ "first": self.first, "next": self.next(), "entries": entries })
     }
 }
 
-/// The log, shared by its server and by whoever makes it fail.
+/// The log. Clones share its state, so that a test can set faults while it is served.
 #[derive(Debug, Clone, Default)]
 pub struct StandinLog {
-    store: Arc<Mutex<LogStore>>,
+    state: Arc<Mutex<LogState>>,
     appended: Arc<Notify>,
 }
 
 impl StandinLog {
-    /// Listens on `address`.
+    /// Starts a server on `address`.
     pub async fn serve(&self, address: SocketAddr) -> std::io::Result<ServerGuard> {
         let log = self.clone();
         http_server::serve(address, move |request| {
@@ -84,26 +86,26 @@
         .await
     }
 
-    /// Makes the log fail, or heal.
+    /// Sets the faults of the log.
     pub fn set_faults(&self, faults: LogFaults) {
-        self.store.lock().faults = faults;
+        self.state.lock().faults = faults;
     }
 
-    /// Appends so far.
+    /// Returns the number of appends so far.
     pub fn append_count(&self) -> u64 {
-        self.store.lock().appends
+        self.state.lock().append_count
     }
 
-    /// Every entry that is kept, as JSON.
+    /// Returns all entries that are kept, as JSON.
     pub fn entries(&self) -> Vec<Value> {
-        self.store.lock().entries.iter().cloned().collect()
+        self.state.lock().entries.iter().cloned().collect()
     }
 
     async fn answer(&self, request: Request<Incoming>) -> JsonResponse {
         if request.uri().path() == "/fault" {
             return self.change_faults(request).await;
         }
-        let faults = self.store.lock().faults.clone();
+        let faults = self.state.lock().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
         if faults.down {
             return status(StatusCode::SERVICE_UNAVAILABLE);
@@ -129,7 +131,7 @@
         let Some(batch) = read_json::<Value>(request).await else {
             return status(StatusCode::BAD_REQUEST);
         };
-        let offset = self.store.lock().append(batch);
+        let offset = self.state.lock().append(batch);
         self.appended.notify_waiters();
         if rand::rng().random_range(0..100) < faults.lost_answers {
             return status(StatusCode::GATEWAY_TIMEOUT);
@@ -143,17 +145,17 @@
         let waiting = async {
             loop {
                 let appended = self.appended.notified();
-                if self.store.lock().next() > from {
+                if self.state.lock().next() > from {
                     return;
                 }
                 appended.await;
             }
         };
         let _ = tokio::time::timeout(Duration::from_millis(wait), waiting).await;
-        let store = self.store.lock();
-        match store.faults.down {
+        let state = self.state.lock();
+        match state.faults.down {
             true => status(StatusCode::SERVICE_UNAVAILABLE),
-            false => http_server::json(&store.read(from)),
+            false => http_server::json(&state.read(from)),
         }
     }
 }
