--- a/crates/sedgehill-standin/src/lib.rs
+++ b/crates/sedgehill-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform, endpoints and callers, with faults, for tests and demonstrations.
+//! Stand-ins for the platform, endpoints and callers, with fault injection, for tests and demonstrations.
 //!
-//! Nothing here is linked into the shipped programs. What the stand-ins see is counted by a
-//! [`ledger::RuleLedger`] of their own, so that a broken promise is found without asking the system.
+//! Nothing here is linked into the shipped programs. The stand-ins record violations of the product's safety rules in a
+//! [`ledger::RuleLedger`] of their own, so that these are found without relying on the boxes under test.
 
 pub mod binaries;
 pub mod box_process;
