--- a/crates/sedgehill-standin/src/main.rs
+++ b/crates/sedgehill-standin/src/main.rs
@@ -1,6 +1,6 @@
-//! `sedgehill-standin`: the stand-ins as commands, and the demonstration of the whole path.
+//! `sedgehill-standin`: commands that run stand-ins, demonstrations, measurements and soaks.
 //!
-//! A tool for tests and demonstrations; it is not shipped.
+//! A tool for development; it is not shipped.
 
 mod commands;
 mod demo;
@@ -15,18 +15,19 @@
 usage: sedgehill-standin COMMAND [OPTIONS]
 
 commands:
-    demo         bring up a whole cell, send load, break things and count broken promises
+    demo         start a whole cell, send load, inject faults and count broken promises
                  [--seconds N] [--json FILE]
     measure      path|capacity|organisations|stops [--json FILE] [--stops N]
-                 path: what a box adds to a request, against the direct way
+                 path: latency that a box adds to a request, compared with a direct call
                  capacity: state, messages, time and memory at growing sizes
-                 stops: calls that planned stops cut off, N stops a row
-    soak         boxes in cell mode under random faults, their promises checked
+                 stops: calls that planned stops cut off, N stops for each row
+    soak         run boxes in cell mode under random faults and check their promises
                  [--seed N] [--seeds COUNT] [--seconds N] [--boxes N] [--workers N] [--keep DIR]
                  [--wide] [--calm]
-                 --seed is drawn where it is left out; COUNT seeds from it on are run; the logs of
-                 a run that breaks a promise stay in DIR; --wide: larger workers, gangs as wide as half
-                 of the cell, dear advice, and a watch that no job is stalled; --calm: no faults but of advice
+                 --seed: the first seed, random by default; --seeds: number of seeds to run from it on;
+                 --keep: copy the logs of runs that break a promise to DIR; --wide: larger workers,
+                 gangs as wide as half of the cell, slow advice, and a check that no job stalls;
+                 --calm: no faults except of advice
     log          --listen ADDRESS
     list         --listen ADDRESS --file LIST.json
     worker       --listen ADDRESS --id NAME [--cores N] [--memory SIZE] [--accelerators N]
@@ -45,11 +46,11 @@
     }
     let command = args.subcommand().ok().flatten().unwrap_or_default();
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        // The other half of the machine is for the boxes.
+        // Leaves the other half of the cores to the boxes.
         .worker_threads(half_of_cores())
         .enable_all()
         .build()
-        .expect("threads can be started");
+        .expect("the runtime can be started");
     let result = runtime.block_on(async {
         tokio::select! {
             result = run_command(&command, args) => result,
@@ -68,6 +69,7 @@
     }
 }
 
+/// Returns half of the cores of the machine, rounded up.
 fn half_of_cores() -> usize {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     cores.div_ceil(2)
@@ -88,8 +90,7 @@
     }
 }
 
-/// Resolves when the user or the system asks the program to end. Dropping the command then ends the
-/// processes that it started.
+/// Resolves when the program gets SIGINT or SIGTERM. Dropping the command then ends the processes that it started.
 async fn interrupted() {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate()).expect("signals can be listened to");
