--- a/crates/sedgehill-standin/src/soak_command.rs
+++ b/crates/sedgehill-standin/src/soak_command.rs
@@ -1,4 +1,4 @@
-//! `soak`: random faults, one seed after the other.
+//! The command `soak`, which runs soaks with random faults, one seed after the other.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,15 +8,16 @@
 
 use crate::commands::{CommandResult, finish};
 
-/// Seconds of load of one seed where none are named.
-const SECONDS: u64 = 10;
+/// Default duration of the load of one seed.
+const DEFAULT_SECONDS: u64 = 10;
 
 /// Runs the command.
 pub async fn run(mut args: Arguments) -> CommandResult {
     let text = |error: pico_args::Error| error.to_string();
     let first: Option<u64> = args.opt_value_from_str("--seed").map_err(text)?;
     let count: u64 = args.opt_value_from_str("--seeds").map_err(text)?.unwrap_or(1);
-    let seconds: u64 = args.opt_value_from_str("--seconds").map_err(text)?.unwrap_or(SECONDS);
+    let seconds: u64 =
+        args.opt_value_from_str("--seconds").map_err(text)?.unwrap_or(DEFAULT_SECONDS);
     let keep: Option<PathBuf> = args.opt_value_from_str("--keep").map_err(text)?;
     let mut size = SoakSize::default();
     size.boxes = args.opt_value_from_str("--boxes").map_err(text)?.unwrap_or(size.boxes);
@@ -29,7 +30,7 @@
     }
     size.faults = !args.contains("--calm");
     finish(args)?;
-    // Seeds are short, so that they can be typed again.
+    // Drawn from 32 bits, so that a seed is short enough to type.
     let first = first.unwrap_or_else(|| u64::from(rand::random::<u32>()));
     let mut failed = 0;
     for seed in first..first + count {
@@ -39,6 +40,7 @@
     Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
+/// Runs a soak and prints its report. Returns whether no guarantee was violated.
 async fn run_seed(
     seed: u64,
     seconds: u64,
@@ -71,24 +73,25 @@
     if report.broken.is_empty() {
         return Ok(true);
     }
-    let broken = directory.path().join("broken.txt");
-    std::fs::write(broken, report.broken.join("\n")).map_err(|error| error.to_string())?;
+    let broken_path = directory.path().join("broken.txt");
+    std::fs::write(broken_path, report.broken.join("\n")).map_err(|error| error.to_string())?;
     keep_logs(seed, directory.path(), keep)?;
     Ok(false)
 }
 
+/// Copies the files of a run into a directory of its seed under `keep`.
 fn keep_logs(seed: u64, directory: &Path, keep: Option<&Path>) -> Result<(), String> {
     let Some(keep) = keep else { return Ok(()) };
-    let kept = keep.join(format!("seed-{seed}"));
+    let target = keep.join(format!("seed-{seed}"));
     let copy = || {
-        std::fs::create_dir_all(&kept)?;
+        std::fs::create_dir_all(&target)?;
         for entry in std::fs::read_dir(directory)? {
             let entry = entry?;
-            std::fs::copy(entry.path(), kept.join(entry.file_name()))?;
+            std::fs::copy(entry.path(), target.join(entry.file_name()))?;
         }
         Ok::<(), std::io::Error>(())
     };
-    copy().map_err(|error| format!("{}: {error}", kept.display()))?;
-    eprintln!("{:>12} the logs in {}", "Kept", kept.display());
+    copy().map_err(|error| format!("{}: {error}", target.display()))?;
+    eprintln!("{:>12} the logs in {}", "Kept", target.display());
     Ok(())
 }
