--- a/crates/sedgehilld/src/filters/answer.rs
+++ b/crates/sedgehilld/src/filters/answer.rs
@@ -1,4 +1,4 @@
-//! What the caller is told.
+//! Builds the response to the caller from the outcome of a request.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -6,34 +6,38 @@
 use hyper::{Response, StatusCode};
 use sedgehill_core::ids::RequestId;
 
-use super::forward::{REFUSED_HEADER, REQUEST_ID_HEADER, end_to_end};
+use super::forward::{REFUSED_HEADER, REQUEST_ID_HEADER, end_to_end_headers};
 use super::outcome::RequestOutcome;
 
-/// The header that says how a request ended: `answered`, `not-run` or `unknown`.
+/// Header that carries the outcome of a request: `answered`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "sedgehill-outcome";
-/// The header that says why it was not answered.
+/// Header that carries the reason why a request was not answered.
 pub const REASON_HEADER: &str = "sedgehill-reason";
 
-/// Builds the answer to the caller. A draining box asks its callers to connect elsewhere.
-pub fn build(id: RequestId, outcome: RequestOutcome, draining: bool) -> Response<Full<Bytes>> {
+/// Builds the response to the caller. A draining box closes the connection, so that the caller connects to another box.
+pub fn build_answer(
+    id: RequestId,
+    outcome: RequestOutcome,
+    draining: bool,
+) -> Response<Full<Bytes>> {
     let (name, reason) = (outcome.name(), outcome.reason());
     let mut response = match outcome {
-        RequestOutcome::Answered(answer) => pass_on(*answer),
+        RequestOutcome::Answered(answer) => forward_answer(*answer),
         RequestOutcome::NotRun(not_run) => {
-            let mut response = explain(not_run.status(), name, reason);
+            let mut response = build_error(not_run.status(), name, reason);
             if let Some(seconds) = not_run.retry_after() {
                 response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
             }
             response
         }
-        RequestOutcome::Unknown(unknown) => explain(unknown.status(), name, reason),
+        RequestOutcome::Unknown(unknown) => build_error(unknown.status(), name, reason),
     };
     let headers = response.headers_mut();
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static(name));
     if !reason.is_empty() {
         headers.insert(REASON_HEADER, HeaderValue::from_static(reason));
     }
-    let id = HeaderValue::from_str(&id.to_string()).expect("an id is valid in a header");
+    let id = HeaderValue::from_str(&id.to_string()).expect("a request id is a valid header value");
     headers.insert(REQUEST_ID_HEADER, id);
     if draining {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -41,18 +45,20 @@
     response
 }
 
-fn pass_on(answer: Response<Bytes>) -> Response<Full<Bytes>> {
+/// Converts the answer of an endpoint. The headers of the connection and of a refusal are not forwarded.
+fn forward_answer(answer: Response<Bytes>) -> Response<Full<Bytes>> {
     let (mut parts, body) = answer.into_parts();
-    parts.headers = end_to_end(&parts.headers);
+    parts.headers = end_to_end_headers(&parts.headers);
     parts.headers.remove(REFUSED_HEADER);
     parts.version = hyper::Version::HTTP_11;
     Response::from_parts(parts, Full::new(body))
 }
 
-fn explain(status: u16, outcome: &'static str, reason: &'static str) -> Response<Full<Bytes>> {
+fn build_error(status: u16, outcome: &'static str, reason: &'static str) -> Response<Full<Bytes>> {
     let body = format!("{{\"outcome\":\"{outcome}\",\"reason\":\"{reason}\"}}\n");
     let mut response = Response::new(Full::new(Bytes::from(body)));
-    *response.status_mut() = StatusCode::from_u16(status).expect("statuses are listed in range");
+    *response.status_mut() =
+        StatusCode::from_u16(status).expect("the status of each reason is valid");
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
--- a/crates/sedgehilld/src/filters/mod.rs
+++ b/crates/sedgehilld/src/filters/mod.rs
@@ -1,5 +1,5 @@
-//! The filters that each request passes, in order: identify, limit, claim, dispatch and forward,
-//! answer. Each ends the request with a [`RequestOutcome`] or hands it on.
+//! The filters through which each request passes, in this order: identify, limit, claim, dispatch, forward, answer.
+//! Each filter ends the request with a [`RequestOutcome`] or passes it on to the next.
 
 mod answer;
 mod claim;
@@ -31,45 +31,45 @@
 use outcome::RequestRecord;
 use pool::EndpointPool;
 
-pub use answer::build as build_answer;
+pub use answer::build_answer;
 pub use outcome::{RequestOutcome, UnknownReason};
 
-/// What the filters of one box share.
+/// The state that the filters of a box share.
 pub struct FilterChain {
     shared: Arc<SharedState>,
     handle: ControlHandle,
     pool: EndpointPool,
-    budget: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     metrics: RequestMetrics,
 }
 
 impl FilterChain {
-    /// The filters of a box.
+    /// Creates the filters of a box.
     pub fn new(shared: Arc<SharedState>, handle: ControlHandle) -> FilterChain {
         FilterChain {
             shared,
             handle,
             pool: EndpointPool::default(),
-            budget: Mutex::default(),
+            retry_budget: Mutex::default(),
             metrics: RequestMetrics::new(),
         }
     }
 }
 
-/// Runs one request through the filters and answers it.
+/// Runs a request through the filters and returns the response.
 pub async fn run_chain(
     chain: Arc<FilterChain>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let _guard = chain.shared.enter();
+    let _in_flight = chain.shared.track_in_flight();
     let id = RequestId(Uuid::now_v7());
     let mut record = RequestRecord::default();
     let path = request.uri().path().to_owned();
     let outcome = match run_filters(&chain, id, request, &mut record).await {
         Ok(outcome) | Err(outcome) => outcome,
     };
-    note_outcome(&chain, id, &path, &record, &outcome);
-    answer::build(id, outcome, chain.shared.is_draining())
+    record_outcome(&chain, id, &path, &record, &outcome);
+    answer::build_answer(id, outcome, chain.shared.is_draining())
 }
 
 async fn run_filters(
@@ -83,17 +83,18 @@
     let (context, claim) = match admit(chain, id, arrived, request).await {
         Ok(admitted) => admitted,
         Err(outcome) => {
-            return Err(claim::check_refusal(&chain.handle, key, arrived, outcome).await);
+            return Err(claim::check_key_of_refused(&chain.handle, key, arrived, outcome).await);
         }
     };
-    let outcome = run_attempts(chain, &context, record).await;
+    let outcome = send_with_retries(chain, &context, record).await;
     if let Some(claim) = claim {
-        claim::settle(&chain.handle, &context, claim, &outcome);
+        claim::release_if_not_run(&chain.handle, &context, claim, &outcome);
     }
     Ok(outcome)
 }
 
-/// Everything before a request may go to an endpoint. Nothing of a refused one was claimed.
+/// Runs the filters that come before a request may be sent to an endpoint. A request that it refuses holds no claim on
+/// its key.
 async fn admit(
     chain: &FilterChain,
     id: RequestId,
@@ -106,21 +107,21 @@
     Ok((context, claim))
 }
 
-async fn run_attempts(
+async fn send_with_retries(
     chain: &FilterChain,
     context: &RequestContext,
     record: &mut RequestRecord,
 ) -> RequestOutcome {
-    chain.budget.lock().record_request();
+    chain.retry_budget.lock().record_request();
     let started = Instant::now();
-    let mut avoid = Vec::new();
+    let mut failed_endpoints = Vec::new();
     loop {
-        let slot = match dispatch::dispatch(&chain.shared, context, &avoid).await {
+        let slot = match dispatch::dispatch(&chain.shared, context, &failed_endpoints).await {
             Ok(slot) => slot,
             Err(outcome) => return outcome,
         };
-        chain.metrics.note_wait(started.elapsed().as_secs_f64());
-        record.note_attempt(slot.choice(), started.elapsed());
+        chain.metrics.record_wait(started.elapsed().as_secs_f64());
+        record.record_attempt(slot.choice(), started.elapsed());
         let endpoint = slot.choice().endpoint.clone();
         let result = forward::forward(chain, context, slot).await;
         match result {
@@ -129,7 +130,7 @@
                 Some(outcome) => return outcome,
                 None => {
                     telemetry::count_retry();
-                    avoid.push(endpoint);
+                    failed_endpoints.push(endpoint);
                     forward::back_off().await;
                 }
             },
@@ -137,7 +138,8 @@
     }
 }
 
-fn note_outcome(
+/// Counts and logs a finished request, and keeps its trace.
+fn record_outcome(
     chain: &FilterChain,
     id: RequestId,
     path: &str,
@@ -158,12 +160,12 @@
             "outcome" => name,
             "reason" => reason,
             "applied" => applied.0,
-            "view_age_ms" => clock::now().since(chain.shared.proven_at()).0,
+            "view_age_ms" => clock::now().since(chain.shared.current_as_of()).0,
         );
     }
-    chain.shared.remember(RequestTrace {
+    chain.shared.record_trace(RequestTrace {
         id,
-        at_ms: clock::unix_ms(),
+        ended_at_ms: clock::unix_ms(),
         endpoint: record.endpoint.clone(),
         candidates: record.candidates,
         outcome: name,
