--- a/crates/sedgehill-platform/src/admin.rs
+++ b/crates/sedgehill-platform/src/admin.rs
@@ -209,7 +209,7 @@
 
 /// Where a task is now, as its lead knows it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TaskPlace {
+pub struct TaskPlacement {
     /// The task.
     pub task: String,
     /// The worker that it holds room on.
@@ -228,7 +228,7 @@
     /// The job, if it is one or a task of one.
     pub job: Option<JobListing>,
     /// Where its tasks are, if the box leads the hall.
-    pub places: Vec<TaskPlace>,
+    pub places: Vec<TaskPlacement>,
     /// Decisions that the box remembers, the oldest first.
     pub decisions: Vec<DecisionRecord>,
 }
--- a/crates/sedgehill-platform/src/caller.rs
+++ b/crates/sedgehill-platform/src/client.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::fence::{FencedConnector, WritePermit, always};
+use crate::fence::{FencedConnector, WritePermit, permit_always};
 
 /// The largest answer that is read, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
@@ -34,7 +34,7 @@
             display("refused with {status}: {body}")
         }
         /// The call was sent and its effect is not known.
-        NoAnswer(cause: String) {
+        Unknown(cause: String) {
             display("no answer: {cause}")
         }
     }
@@ -42,31 +42,31 @@
 
 impl CallError {
     /// Whether the call surely had no effect.
-    pub fn is_certain(&self) -> bool {
-        !matches!(self, CallError::NoAnswer(_))
+    pub fn is_not_done(&self) -> bool {
+        !matches!(self, CallError::Unknown(_))
     }
 }
 
 /// Makes calls, reusing connections.
 #[derive(Debug, Clone)]
-pub struct JsonCaller {
+pub struct JsonClient {
     client: Client<FencedConnector, Full<Bytes>>,
 }
 
-impl Default for JsonCaller {
+impl Default for JsonClient {
     fn default() -> Self {
-        JsonCaller::new()
+        JsonClient::new()
     }
 }
 
-impl JsonCaller {
+impl JsonClient {
     /// A caller without connections.
-    pub fn new() -> JsonCaller {
-        JsonCaller::fenced(always())
+    pub fn new() -> JsonClient {
+        JsonClient::fenced(permit_always())
     }
 
     /// A caller that asks a permit right before each write.
-    pub fn fenced(permit: WritePermit) -> JsonCaller {
+    pub fn fenced(permit: WritePermit) -> JsonClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
@@ -77,7 +77,7 @@
             // A call that may have been sent is never sent again behind our back.
             .retry_canceled_requests(false)
             .build(FencedConnector::new(connector, permit));
-        JsonCaller { client }
+        JsonClient { client }
     }
 
     /// Sends a request and reads a JSON answer of status 200.
@@ -102,7 +102,7 @@
             .expect("the parts are valid");
         match tokio::time::timeout(limit, self.exchange(request, address)).await {
             Ok(result) => result,
-            Err(_) => Err(CallError::NoAnswer("timed out".to_owned())),
+            Err(_) => Err(CallError::Unknown("timed out".to_owned())),
         }
     }
 
@@ -111,7 +111,7 @@
         request: Request<Full<Bytes>>,
         address: SocketAddr,
     ) -> Result<R, CallError> {
-        let no_answer = |error: &dyn std::fmt::Display| CallError::NoAnswer(error.to_string());
+        let no_answer = |error: &dyn std::fmt::Display| CallError::Unknown(error.to_string());
         let response =
             self.client.request(request).await.map_err(|error| match error.is_connect() {
                 true => CallError::NotConnected(address),
@@ -126,7 +126,7 @@
         let text = String::from_utf8_lossy(&bytes).into_owned();
         match status.is_client_error() {
             true => Err(CallError::Refused(status, text)),
-            false => Err(CallError::NoAnswer(format!("{status}: {text}"))),
+            false => Err(CallError::Unknown(format!("{status}: {text}"))),
         }
     }
 
--- a/crates/sedgehill-platform/src/fence.rs
+++ b/crates/sedgehill-platform/src/fence.rs
@@ -20,7 +20,7 @@
 pub type WritePermit = Arc<dyn Fn() -> bool + Send + Sync>;
 
 /// A permit for what may be written at any time.
-pub fn always() -> WritePermit {
+pub fn permit_always() -> WritePermit {
     Arc::new(|| true)
 }
 
--- a/crates/sedgehill-platform/src/lib.rs
+++ b/crates/sedgehill-platform/src/lib.rs
@@ -4,7 +4,7 @@
 //! platform touches the module of that service alone.
 
 pub mod admin;
-pub mod caller;
+pub mod client;
 pub mod fence;
 pub mod list;
 pub mod log;
--- a/crates/sedgehill-platform/src/list.rs
+++ b/crates/sedgehill-platform/src/list.rs
@@ -7,9 +7,9 @@
 use sedgehill_core::placement::WorkerView;
 use serde::{Deserialize, Serialize};
 
-use crate::caller::{CallError, JsonCaller};
+use crate::client::{CallError, JsonClient};
 
-const LIST_LIMIT: Duration = Duration::from_secs(2);
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An entry box as listed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,18 +53,18 @@
 /// A client of the list.
 #[derive(Debug, Clone)]
 pub struct ListClient {
-    caller: JsonCaller,
+    client: JsonClient,
     address: SocketAddr,
 }
 
 impl ListClient {
     /// A client of the list at `address`.
-    pub fn new(caller: JsonCaller, address: SocketAddr) -> ListClient {
-        ListClient { caller, address }
+    pub fn new(client: JsonClient, address: SocketAddr) -> ListClient {
+        ListClient { client, address }
     }
 
     /// Reads the whole list.
     pub async fn fetch(&self) -> Result<PlatformList, CallError> {
-        self.caller.get(self.address, "/v1/list", LIST_LIMIT).await
+        self.client.get(self.address, "/v1/list", LIST_TIMEOUT).await
     }
 }
--- a/crates/sedgehill-platform/src/log.rs
+++ b/crates/sedgehill-platform/src/log.rs
@@ -7,12 +7,12 @@
 use sedgehill_core::record::{LogEntry, RecordBatch};
 use serde::{Deserialize, Serialize};
 
-use crate::caller::{CallError, JsonCaller};
+use crate::client::{CallError, JsonClient};
 
 /// How long an append may take before its effect counts as unknown.
-const APPEND_LIMIT: Duration = Duration::from_secs(2);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// What a read may take beyond the time that the log was asked to wait.
-const READ_SLACK: Duration = Duration::from_secs(2);
+const READ_MARGIN: Duration = Duration::from_secs(2);
 
 /// The answer to an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -35,26 +35,26 @@
 /// A client of the log.
 #[derive(Debug, Clone)]
 pub struct LogClient {
-    caller: JsonCaller,
+    client: JsonClient,
     address: SocketAddr,
 }
 
 impl LogClient {
     /// A client of the log at `address`.
-    pub fn new(caller: JsonCaller, address: SocketAddr) -> LogClient {
-        LogClient { caller, address }
+    pub fn new(client: JsonClient, address: SocketAddr) -> LogClient {
+        LogClient { client, address }
     }
 
     /// Appends a batch as one entry.
     pub async fn append(&self, batch: &RecordBatch) -> Result<Offset, CallError> {
         let reply: AppendReply =
-            self.caller.post(self.address, "/v1/append", batch, APPEND_LIMIT).await?;
+            self.client.post(self.address, "/v1/append", batch, APPEND_TIMEOUT).await?;
         Ok(reply.offset)
     }
 
     /// Reads from `from`, waiting up to `wait` for something to be there.
     pub async fn read(&self, from: Offset, wait: Duration) -> Result<ReadReply, CallError> {
         let path = format!("/v1/read?from={from}&wait_ms={}", wait.as_millis());
-        self.caller.get(self.address, &path, wait + READ_SLACK).await
+        self.client.get(self.address, &path, wait + READ_MARGIN).await
     }
 }
--- a/crates/sedgehill-platform/src/worker.rs
+++ b/crates/sedgehill-platform/src/worker.rs
@@ -6,10 +6,10 @@
 use sedgehill_core::placement::{StartReply, TaskStart, WorkerInventory, WorkerSync};
 use serde::{Deserialize, Serialize};
 
-use crate::caller::{CallError, JsonCaller};
+use crate::client::{CallError, JsonClient};
 
 /// How long a worker may take to answer.
-pub const WORKER_LIMIT: Duration = Duration::from_secs(1);
+pub const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The answer to a start order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -21,22 +21,22 @@
 /// A client of the workers.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerClient {
-    caller: JsonCaller,
+    client: JsonClient,
 }
 
 impl WorkerClient {
     /// A client that makes its calls through `caller`.
-    pub fn new(caller: JsonCaller) -> WorkerClient {
-        WorkerClient { caller }
+    pub fn new(client: JsonClient) -> WorkerClient {
+        WorkerClient { client }
     }
 
     /// Orders a worker to start a task.
     pub async fn start(&self, address: SocketAddr, start: &TaskStart) -> StartReply {
-        let answer = self.caller.post(address, "/v1/start", start, WORKER_LIMIT).await;
+        let answer = self.client.post(address, "/v1/start", start, WORKER_TIMEOUT).await;
         match answer {
             Ok(StartAnswer { started: true }) => StartReply::Started,
             Ok(StartAnswer { started: false }) => StartReply::Refused,
-            Err(error) if error.is_certain() => StartReply::Refused,
+            Err(error) if error.is_not_done() => StartReply::Refused,
             Err(_) => StartReply::Unknown,
         }
     }
@@ -47,6 +47,6 @@
         address: SocketAddr,
         sync: &WorkerSync,
     ) -> Result<WorkerInventory, CallError> {
-        self.caller.post(address, "/v1/sync", sync, WORKER_LIMIT).await
+        self.client.post(address, "/v1/sync", sync, WORKER_TIMEOUT).await
     }
 }
--- a/crates/sedgehill-standin/src/cluster.rs
+++ b/crates/sedgehill-standin/src/cluster.rs
@@ -9,7 +9,7 @@
 use sedgehill_core::placement::WorkerView;
 use sedgehill_core::units::{CoreCount, MemorySize, ResourceSet};
 use sedgehill_platform::admin::{BoxHealth, BoxStatus, HealthReport};
-use sedgehill_platform::caller::{CallError, JsonCaller};
+use sedgehill_platform::client::{CallError, JsonClient};
 use sedgehill_platform::list::{BoxListing, EndpointListing, PlatformList};
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -104,7 +104,7 @@
     pub endpoints: Vec<StandinEndpoint>,
     /// The boxes, in order of name.
     pub boxes: Vec<BoxProcess>,
-    admin: JsonCaller,
+    admin: JsonClient,
     endpoint_servers: BTreeMap<String, ServerGuard>,
     _servers: Vec<ServerGuard>,
     directory: TempDir,
@@ -173,7 +173,7 @@
             list,
             workers,
             endpoints,
-            admin: JsonCaller::new(),
+            admin: JsonClient::new(),
             endpoint_servers,
             _servers: servers,
             directory,
@@ -197,7 +197,7 @@
         let reply = self.admin.get(self.boxes[index].addresses.admin, "/health", limit).await;
         match reply {
             Ok(report) => Some(report),
-            Err(CallError::NoAnswer(text)) => {
+            Err(CallError::Unknown(text)) => {
                 let start = text.find('{')?;
                 serde_json::from_str(&text[start..]).ok()
             }
--- a/crates/sedgehill-standin/tests/testsuite/ledger.rs
+++ b/crates/sedgehill-standin/tests/testsuite/ledger.rs
@@ -5,7 +5,7 @@
 use sedgehill_core::ids::{AttemptId, EndpointId, WorkerId};
 use sedgehill_core::placement::TaskStart;
 use sedgehill_core::units::{ResourceSet, TimeSpan};
-use sedgehill_platform::caller::JsonCaller;
+use sedgehill_platform::client::JsonClient;
 use sedgehill_platform::worker::WorkerClient;
 use sedgehill_standin::caller::{CallPlan, StandinCaller};
 use sedgehill_standin::cluster::usual_worker;
@@ -39,7 +39,7 @@
 #[tokio::test]
 async fn an_overfilled_worker_and_a_task_in_two_places_are_counted() {
     let ledger = ledger();
-    let client = WorkerClient::new(JsonCaller::new());
+    let client = WorkerClient::new(JsonClient::new());
     let any = "127.0.0.1:0".parse().expect("a valid address");
     let task = attempt();
     let mut guards = Vec::new();
--- a/crates/sedgehill/src/client.rs
+++ b/crates/sedgehill/src/client.rs
@@ -9,7 +9,7 @@
     BoxStatus, ChangeBody, ChangeReply, ChangeRequest, ConfigHistory, ConfigListing, ExplainReport,
     JobListing,
 };
-use sedgehill_platform::caller::{CallError, JsonCaller};
+use sedgehill_platform::client::{CallError, JsonClient};
 use serde::de::DeserializeOwned;
 use uuid::Uuid;
 
@@ -20,14 +20,14 @@
 
 /// Calls boxes, the next if one does not answer.
 pub struct AdminClient {
-    caller: JsonCaller,
+    caller: JsonClient,
     boxes: Vec<SocketAddr>,
 }
 
 impl AdminClient {
     /// A client of the boxes with these admin addresses.
     pub fn new(boxes: Vec<SocketAddr>) -> AdminClient {
-        AdminClient { caller: JsonCaller::new(), boxes }
+        AdminClient { caller: JsonClient::new(), boxes }
     }
 
     async fn read<R: DeserializeOwned>(&self, path: &str) -> Result<R, CliError> {
@@ -50,7 +50,7 @@
         for address in &self.boxes {
             match self.caller.post(*address, "/v1/change", &request, CHANGE_LIMIT).await {
                 Ok(reply) => return Ok((id, reply)),
-                Err(error) if error.is_certain() => last = Some(error),
+                Err(error) if error.is_not_done() => last = Some(error),
                 Err(_) => return Ok((id, ChangeReply::Unknown)),
             }
         }
--- a/crates/sedgehill/src/commands/explain.rs
+++ b/crates/sedgehill/src/commands/explain.rs
@@ -1,7 +1,7 @@
 //! `sedgehill explain`: says where a job, task or request went and why, or why it waits.
 
 use pico_args::Arguments;
-use sedgehill_platform::admin::{DecisionRecord, ExplainReport, TaskPlace};
+use sedgehill_platform::admin::{DecisionRecord, ExplainReport, TaskPlacement};
 
 use super::{CommandContext, jobs, one_argument};
 use crate::error::CliError;
@@ -34,7 +34,7 @@
     text
 }
 
-fn place_line(place: &TaskPlace) -> Option<String> {
+fn place_line(place: &TaskPlacement) -> Option<String> {
     if let Some(worker) = &place.worker {
         let seconds = place.for_ms.unwrap_or_default() / 1000;
         return Some(format!(
--- a/crates/sedgehill/src/error.rs
+++ b/crates/sedgehill/src/error.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 use sedgehill_core::fields::{ManifestErrors, suggest};
 use sedgehill_core::ids::Version;
-use sedgehill_platform::caller::CallError;
+use sedgehill_platform::client::CallError;
 
 quick_error! {
     /// Why a command failed.
--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -25,7 +25,7 @@
 
 /// Reads for as long as the box runs.
 pub async fn run(context: ControlContext) {
-    let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
+    let client = LogClient::new(context.client.clone(), context.shared.settings.platform.log);
     loop {
         let from = context.state.borrow().fold.next();
         // Before there is a state the log is not asked to wait: an empty one may stay so for long.
--- a/crates/sedgehilld/src/controllers/log_writer.rs
+++ b/crates/sedgehilld/src/controllers/log_writer.rs
@@ -11,7 +11,7 @@
 use sedgehill_core::record::{LogRecord, RecordBatch, RecordBody};
 use sedgehill_core::state::RecordVerdict;
 use sedgehill_core::units::{Moment, TimeSpan};
-use sedgehill_platform::caller::CallError;
+use sedgehill_platform::client::CallError;
 use sedgehill_platform::log::LogClient;
 use tokio::sync::oneshot;
 use uuid::Uuid;
@@ -161,7 +161,7 @@
 
 /// Appends for as long as the box runs.
 pub async fn run(context: ControlContext) {
-    let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
+    let client = LogClient::new(context.client.clone(), context.shared.settings.platform.log);
     let every = Duration::from_millis(context.shared.settings.log.append_every.as_millis());
     let mut pause = FIRST_PAUSE_MS;
     loop {
@@ -196,7 +196,7 @@
 }
 
 fn note_failure(context: &ControlContext, batch: &RecordBatch, error: &CallError, sent: Moment) {
-    match error.is_certain() {
+    match error.is_not_done() {
         true => {
             telemetry::count_append("refused");
             context.state.borrow_mut().writer.unsend(batch, sent);
--- a/crates/sedgehilld/src/controllers/members.rs
+++ b/crates/sedgehilld/src/controllers/members.rs
@@ -17,7 +17,7 @@
 
 /// Reads the platform's list for as long as the box runs.
 pub async fn read_list(context: ControlContext) {
-    let client = ListClient::new(context.caller.clone(), context.shared.settings.platform.list);
+    let client = ListClient::new(context.client.clone(), context.shared.settings.platform.list);
     let every = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     loop {
         let began = clock::now();
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -25,7 +25,7 @@
 use sedgehill_core::units::{Moment, TimeSpan};
 use sedgehill_peer::{ClaimStatus, PeerLink, PeerRequest};
 use sedgehill_platform::admin::{ChangeReply, ChangeRequest, DecisionRecord};
-use sedgehill_platform::caller::JsonCaller;
+use sedgehill_platform::client::JsonClient;
 use sedgehill_platform::list::PlatformList;
 use tokio::sync::{Notify, Semaphore, mpsc, oneshot};
 
@@ -274,7 +274,7 @@
     state: Rc<RefCell<ControlState>>,
     shared: Arc<SharedState>,
     link: PeerLink,
-    caller: JsonCaller,
+    client: JsonClient,
     /// Wakes the log writer.
     write_wanted: Rc<Notify>,
     /// Wakes the placement controller.
@@ -296,7 +296,7 @@
         state: Rc::new(RefCell::new(ControlState::new(shared.clone()))),
         shared,
         link,
-        caller: JsonCaller::new(),
+        client: JsonClient::new(),
         write_wanted: Rc::default(),
         place_wanted: Rc::default(),
         proof_wanted: Rc::default(),
--- a/crates/sedgehilld/src/controllers/placement.rs
+++ b/crates/sedgehilld/src/controllers/placement.rs
@@ -13,7 +13,7 @@
 use sedgehill_core::record::RecordBody;
 use sedgehill_core::units::Moment;
 use sedgehill_platform::admin::DecisionRecord;
-use sedgehill_platform::caller::JsonCaller;
+use sedgehill_platform::client::JsonClient;
 use sedgehill_platform::worker::WorkerClient;
 use slog::info;
 
@@ -37,7 +37,7 @@
         let until = Arc::new(AtomicU64::new(0));
         let limit = until.clone();
         let permit = Arc::new(move || clock::now() < Moment(limit.load(Ordering::SeqCst)));
-        OrderLine { epoch, until, client: WorkerClient::new(JsonCaller::fenced(permit)) }
+        OrderLine { epoch, until, client: WorkerClient::new(JsonClient::fenced(permit)) }
     }
 }
 
--- a/crates/sedgehilld/src/controllers/proof.rs
+++ b/crates/sedgehilld/src/controllers/proof.rs
@@ -32,7 +32,7 @@
 
 /// Reads the log to its end whenever a proof is wanted. Requests that come during a read share the next one.
 pub async fn run(context: ControlContext) {
-    let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
+    let client = LogClient::new(context.client.clone(), context.shared.settings.platform.log);
     loop {
         let waiting = std::mem::take(&mut context.state.borrow_mut().proofs.waiting);
         if waiting.is_empty() {
--- a/crates/sedgehilld/src/controllers/reports.rs
+++ b/crates/sedgehilld/src/controllers/reports.rs
@@ -4,7 +4,7 @@
 use sedgehill_core::spec::ConfigKey;
 use sedgehill_platform::admin::{
     BoxStatus, ConfigHistory, ConfigListing, DecisionRecord, ExplainReport, HallStatus, JobListing,
-    PeerStatus, ServiceStatus, TaskPlace,
+    PeerStatus, ServiceStatus, TaskPlacement,
 };
 
 use super::{ControlState, members};
@@ -133,7 +133,7 @@
                 continue;
             }
             let place = placer.placement(&id);
-            report.places.push(TaskPlace {
+            report.places.push(TaskPlacement {
                 task: id.to_string(),
                 worker: place.map(|(worker, _)| worker.clone()),
                 for_ms: place.map(|(_, since)| now.since(since).as_millis()),
