--- a/crates/sedgehill-platform/src/admin.rs
+++ b/crates/sedgehill-platform/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a box, and what it answers. Shared by the daemon and the command line.
+//! Requests and responses of a box's admin interface, shared by the daemon and the command line.
 
 use sedgehill_core::ids::{
     BoxId, EndpointId, Epoch, HallName, JobId, Offset, RecordId, TemplateName, Version, WorkerId,
@@ -11,224 +11,225 @@
 use sedgehill_core::units::ResourceSet;
 use serde::{Deserialize, Serialize};
 
-/// A change that an operator asks for.
+/// A change requested by an operator.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "kebab-case")]
 pub enum ChangeBody {
-    /// Publish a new version.
+    /// Publish a new version of a template or of parameters.
     Publish {
-        /// The version that was edited; none for the first.
+        /// The version that the new one is based on; `None` if it is the first.
         base: Option<Version>,
-        /// The content.
+        /// Content of the new version.
         spec: ConfigSpec,
     },
     /// Submit a job.
     Submit {
-        /// The job.
+        /// The job to submit.
         request: JobRequest,
-        /// The hall to place it in; chosen by the box if none is named.
+        /// The data hall to place it in; `None` lets the box choose one.
         hall: Option<HallName>,
     },
     /// Cancel a job.
     Cancel {
-        /// The job.
+        /// The job to cancel.
         job: JobId,
     },
-    /// Drain a box, or take it back into service.
+    /// Drain a box, or return it to service.
     Drain {
-        /// The box.
+        /// The box to drain or return.
         target: BoxId,
-        /// Whether to drain.
+        /// Whether to drain the box; `false` returns it to service.
         drain: bool,
     },
 }
 
-/// A change with the id that it keeps if it is asked for again.
+/// A change and its id, which stays the same if the request is repeated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// The id of the record that the change becomes.
+    /// Id of the log record that holds the change.
     pub id: RecordId,
-    /// The change.
+    /// The requested change.
     pub body: ChangeBody,
 }
 
-/// What became of a change.
+/// Outcome of a change request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum ChangeReply {
-    /// The log was read as far as the record.
+    /// The record was appended and read back from the log.
     Settled {
-        /// The verdict.
+        /// Whether the record took effect.
         verdict: RecordVerdict,
     },
-    /// The record was not read back in time; it may take effect yet.
+    /// The record was not read back in time. It may still take effect.
     Unknown,
-    /// The box surely did not append it.
+    /// The record was certainly not appended.
     NotTaken {
-        /// Why.
+        /// Why the box did not append it.
         reason: String,
     },
 }
 
-/// The versions of one key, the newest last.
+/// The kept versions of one key.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ConfigHistory {
-    /// The versions.
+    /// The versions, the newest last.
     pub versions: Vec<ConfigVersion>,
 }
 
-/// One key and its version in force.
+/// A key and the number of its current version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConfigListing {
-    /// The key.
+    /// The key of a template or of parameters, as text.
     pub key: String,
-    /// The version in force.
+    /// Number of the current version.
     pub version: Version,
 }
 
-/// A job and its id.
+/// A job with its id.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobListing {
-    /// The id.
+    /// Id of the job.
     pub id: JobId,
-    /// The job.
+    /// State of the job.
     pub job: JobState,
 }
 
-/// Whether a box takes requests.
+/// Whether a box accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BoxHealth {
-    /// It does.
+    /// The box accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The box is draining or stopping: it only finishes the requests in flight.
     Draining,
-    /// It does not.
+    /// The box accepts no requests.
     NotReady,
 }
 
-/// What the health page says.
+/// Response of the health page.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Whether the box takes requests.
+    /// Whether the box accepts new requests.
     pub health: BoxHealth,
-    /// Why, if it does not.
+    /// Why the box does not accept requests; empty if it does.
     pub reason: String,
 }
 
-/// A peer as a box sees it.
+/// State of a peer according to the answering box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// The peer.
+    /// Id of the peer.
     pub id: BoxId,
-    /// Whether it is heard of.
+    /// Liveness of the peer, from its heartbeats.
     pub state: MemberState,
-    /// The next offset that it will apply.
+    /// Offset of the next log entry that it will apply.
     pub applied: Offset,
 }
 
-/// A hall as a box sees it.
+/// State of a data hall according to the answering box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HallStatus {
-    /// The hall.
+    /// Name of the data hall.
     pub hall: HallName,
-    /// The box that leads it, if any does.
+    /// The box that holds the lead according to the log; `None` if no box does.
     pub lead: Option<BoxId>,
-    /// The term.
+    /// Epoch of the current or last lead; `None` if the hall never had a lead.
     pub epoch: Option<Epoch>,
-    /// Whether the answering box holds the lead and may act.
+    /// Whether the answering box holds the lead now and may start and stop tasks.
     pub held_here: bool,
-    /// What its workers have, where the lead answers.
+    /// Total resources of the hall's known workers, without draining ones; `None` unless the
+    /// answering box is the lead.
     pub total: Option<ResourceSet>,
-    /// What is free, where the lead answers.
+    /// Free resources of these workers; `None` unless the answering box is the lead.
     pub free: Option<ResourceSet>,
-    /// Tasks placed, where the lead answers.
+    /// Number of placed tasks; `None` unless the answering box is the lead.
     pub placed: Option<usize>,
 }
 
-/// A service as a box sees it.
+/// State of a service according to the answering box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// The template.
+    /// Name of the service's template.
     pub service: TemplateName,
-    /// Endpoints that take work.
+    /// Number of listed endpoints that are not leaving.
     pub endpoints: usize,
-    /// Endpoints that are leaving.
+    /// Listed endpoints that are leaving.
     pub leaving: Vec<EndpointId>,
-    /// Requests waiting at this box.
+    /// Number of requests that wait at the answering box for an endpoint.
     pub waiting: usize,
-    /// Requests of this box under way at endpoints.
+    /// Number of requests that the answering box has in flight at endpoints.
     pub under_way: u32,
 }
 
-/// A box at a glance.
+/// Summary of the state of a box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
-    /// Its data hall.
+    /// The data hall that the box is in.
     pub hall: HallName,
-    /// Its version.
+    /// Version of the daemon.
     pub version: String,
-    /// Whether it takes requests.
+    /// Health of the box.
     pub health: HealthReport,
-    /// The next offset that it will apply.
+    /// Offset of the next log entry that it will apply.
     pub applied: Offset,
-    /// How long ago it last heard from the log, in milliseconds.
+    /// Time since the last successful read of the log, in milliseconds.
     pub log_silent_ms: u64,
-    /// Its peers.
+    /// Every peer from which the box ever received a heartbeat.
     pub peers: Vec<PeerStatus>,
-    /// The halls.
+    /// The data halls that the box knows.
     pub halls: Vec<HallStatus>,
-    /// The services.
+    /// The services that the box routes requests to.
     pub services: Vec<ServiceStatus>,
-    /// The configuration in force.
+    /// The current version of each template and of parameters.
     pub configs: Vec<ConfigListing>,
 }
 
-/// One decision, as read back.
+/// A decision about one task or request, and why it was made.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// When, in milliseconds of Unix time.
+    /// Time of the decision, in milliseconds of Unix time.
     pub at_ms: u64,
-    /// The box that decided.
+    /// The box that made the decision.
     pub decided_by: BoxId,
-    /// The job, task or request.
+    /// Id of the task or request, as text.
     pub subject: String,
-    /// What was decided.
+    /// Text of the decision.
     pub decision: String,
-    /// Why.
+    /// Why the decision was made.
     pub reason: String,
-    /// How many could have been chosen.
+    /// Number of workers or endpoints that could have been chosen.
     pub candidates: usize,
-    /// The offset up to which the log was in force.
+    /// Offset of the next log entry to apply when the box decided: its state covered all before it.
     pub applied: Offset,
-    /// The term, for placements.
+    /// Epoch of the lead that made a placement; `None` for requests.
     pub epoch: Option<Epoch>,
 }
 
-/// Where a task is now, as its lead knows it.
+/// Where a task is placed, or why it waits, according to the lead of its data hall.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskPlacement {
-    /// The task.
+    /// Id of the task, as text.
     pub task: String,
-    /// The worker that it holds room on.
+    /// The worker on which the task is placed; `None` if it is not placed.
     pub worker: Option<WorkerId>,
-    /// For how long, in milliseconds.
+    /// Time since the task was placed there, in milliseconds.
     pub for_ms: Option<u64>,
-    /// Why it waits.
+    /// Why the task waits; `None` if no reason is known.
     pub waits_for: Option<WaitReason>,
-    /// The term of the lead.
+    /// Epoch of the lead.
     pub epoch: Epoch,
 }
 
-/// What a box can tell of a job, task or request.
+/// What the answering box knows about a job, a task or a request.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ExplainReport {
-    /// The job, if it is one or a task of one.
+    /// The job of that id, or the job of the task.
     pub job: Option<JobListing>,
-    /// Where its tasks are, if the box leads the hall.
+    /// Placements of the job's tasks, or of the one task; empty unless the box leads the job's hall.
     pub places: Vec<TaskPlacement>,
-    /// Decisions that the box remembers, the oldest first.
+    /// Decisions that the box keeps in memory, the oldest first.
     pub decisions: Vec<DecisionRecord>,
 }
--- a/crates/sedgehill-platform/src/client.rs
+++ b/crates/sedgehill-platform/src/client.rs
@@ -1,4 +1,5 @@
-//! JSON over HTTP with a time limit, and an error that says whether the call may have had effect.
+//! A client for JSON over HTTP. Each call has a time-out, and its error says whether the call may
+//! have been executed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,25 +16,26 @@
 
 use crate::fence::{FencedConnector, WritePermit, permit_always};
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Connections kept to each address while nothing is under way.
-const MAX_IDLE: usize = 1;
+/// Maximum number of idle connections that are kept open to one address.
+const MAX_IDLE_CONNECTIONS: usize = 1;
 
 quick_error! {
-    /// Why a call has no answer.
+    /// Why a call failed, and whether it may have been executed nevertheless.
     #[derive(Debug)]
     pub enum CallError {
-        /// No connection came about, so the call had no effect.
+        /// No connection could be made, so the call was not executed.
         NotConnected(address: SocketAddr) {
             display("could not connect to {address}")
         }
-        /// The other side said no, so the call had no effect.
+        /// The server answered with a status of 4xx and did not execute the call.
         Refused(status: StatusCode, body: String) {
             display("refused with {status}: {body}")
         }
-        /// The call was sent and its effect is not known.
+        /// The call may have been executed, or may still be: it timed out, its connection broke, or the
+        /// response has another status or cannot be decoded.
         Unknown(cause: String) {
             display("no answer: {cause}")
         }
@@ -41,13 +43,13 @@
 }
 
 impl CallError {
-    /// Whether the call surely had no effect.
+    /// Returns whether the call was certainly not executed.
     pub fn is_not_done(&self) -> bool {
         !matches!(self, CallError::Unknown(_))
     }
 }
 
-/// Makes calls, reusing connections.
+/// An HTTP client that sends and receives JSON and reuses its connections.
 #[derive(Debug, Clone)]
 pub struct JsonClient {
     client: Client<FencedConnector, Full<Bytes>>,
@@ -60,37 +62,37 @@
 }
 
 impl JsonClient {
-    /// A caller without connections.
+    /// Creates a client without a restriction on writes.
     pub fn new() -> JsonClient {
         JsonClient::fenced(permit_always())
     }
 
-    /// A caller that asks a permit right before each write.
+    /// Creates a client that checks `permit` immediately before each write to a connection.
     pub fn fenced(permit: WritePermit) -> JsonClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
         let client = Client::builder(TokioExecutor::new())
-            // A burst of starts would leave many connections to each worker behind.
-            .pool_max_idle_per_host(MAX_IDLE)
+            // Without this limit, a burst of starts would leave many idle connections to each worker.
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .pool_idle_timeout(Duration::from_secs(30))
-            // A call that may have been sent is never sent again behind our back.
+            // The HTTP library must not resend a call that may have been executed already.
             .retry_canceled_requests(false)
             .build(FencedConnector::new(connector, permit));
         JsonClient { client }
     }
 
-    /// Sends a request and reads a JSON answer of status 200.
-    pub async fn call<A, R>(
+    /// Sends a request and decodes the JSON body of its response, which must have a status of 2xx.
+    pub async fn call<B, R>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
-        body: Option<&A>,
-        limit: Duration,
+        body: Option<&B>,
+        timeout: Duration,
     ) -> Result<R, CallError>
     where
-        A: Serialize,
+        B: Serialize,
         R: DeserializeOwned,
     {
         let bytes = body.map(|body| serde_json::to_vec(body).expect("our types serialize"));
@@ -100,7 +102,7 @@
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(bytes.unwrap_or_default())))
             .expect("the parts are valid");
-        match tokio::time::timeout(limit, self.exchange(request, address)).await {
+        match tokio::time::timeout(timeout, self.exchange(request, address)).await {
             Ok(result) => result,
             Err(_) => Err(CallError::Unknown("timed out".to_owned())),
         }
@@ -111,17 +113,17 @@
         request: Request<Full<Bytes>>,
         address: SocketAddr,
     ) -> Result<R, CallError> {
-        let no_answer = |error: &dyn std::fmt::Display| CallError::Unknown(error.to_string());
+        let unknown = |error: &dyn std::fmt::Display| CallError::Unknown(error.to_string());
         let response =
             self.client.request(request).await.map_err(|error| match error.is_connect() {
                 true => CallError::NotConnected(address),
-                false => no_answer(&error),
+                false => unknown(&error),
             })?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
-        let bytes = body.collect().await.map_err(|error| no_answer(&error))?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
+        let bytes = body.collect().await.map_err(|error| unknown(&error))?.to_bytes();
         if status.is_success() {
-            return serde_json::from_slice(&bytes).map_err(|error| no_answer(&error));
+            return serde_json::from_slice(&bytes).map_err(|error| unknown(&error));
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
         match status.is_client_error() {
@@ -130,24 +132,24 @@
         }
     }
 
-    /// Reads a JSON answer to a GET.
+    /// Sends a GET request and decodes the JSON body of its response.
     pub async fn get<R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<R, CallError> {
-        self.call::<(), R>(Method::GET, address, path, None, limit).await
+        self.call::<(), R>(Method::GET, address, path, None, timeout).await
     }
 
-    /// Reads a JSON answer to a POST.
-    pub async fn post<A: Serialize, R: DeserializeOwned>(
+    /// Sends a POST request with a JSON body and decodes the JSON body of its response.
+    pub async fn post<B: Serialize, R: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        body: &A,
-        limit: Duration,
+        body: &B,
+        timeout: Duration,
     ) -> Result<R, CallError> {
-        self.call(Method::POST, address, path, Some(body), limit).await
+        self.call(Method::POST, address, path, Some(body), timeout).await
     }
 }
--- a/crates/sedgehill-platform/src/fence.rs
+++ b/crates/sedgehill-platform/src/fence.rs
@@ -1,8 +1,9 @@
-//! Connections that ask, right before each write, whether they may still write.
+//! Connections that check a permit immediately before each write.
 //!
-//! A lead that is stopped between its look at the clock and the write of an order would write it
-//! when it goes on, however much later that is. A connection is made in between, so that time is not
-//! short. The look therefore stands right before the system call.
+//! If the process of a lead is paused between the check of its lease and the write of an order, it
+//! would send the order when it resumes, however long ago the lease ended. The window is not short,
+//! since a connection may have to be established in it. The permit is therefore checked immediately
+//! before the system call that writes.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,15 +17,15 @@
 use tokio::net::TcpStream;
 use tower_service::Service;
 
-/// Says whether a write may be made now.
+/// Returns whether a write is allowed now.
 pub type WritePermit = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// A permit for what may be written at any time.
+/// Returns a permit that allows every write.
 pub fn permit_always() -> WritePermit {
     Arc::new(|| true)
 }
 
-/// Makes connections that ask a permit before each write.
+/// A connector whose connections check a permit before each write.
 #[derive(Clone)]
 pub struct FencedConnector {
     inner: HttpConnector,
@@ -32,42 +33,42 @@
 }
 
 impl FencedConnector {
-    /// Fences the connections that `inner` makes.
+    /// Wraps `inner`, so that its connections check `permit` before each write.
     pub fn new(inner: HttpConnector, permit: WritePermit) -> FencedConnector {
         FencedConnector { inner, permit }
     }
 }
 
-type Connecting = Pin<Box<dyn Future<Output = Result<FencedStream, ConnectFailure>> + Send>>;
-type ConnectFailure = <HttpConnector as Service<Uri>>::Error;
+type ConnectFuture = Pin<Box<dyn Future<Output = Result<FencedStream, ConnectError>> + Send>>;
+type ConnectError = <HttpConnector as Service<Uri>>::Error;
 
 impl Service<Uri> for FencedConnector {
     type Response = FencedStream;
-    type Error = ConnectFailure;
-    type Future = Connecting;
+    type Error = ConnectError;
+    type Future = ConnectFuture;
 
-    fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), ConnectFailure>> {
+    fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), ConnectError>> {
         self.inner.poll_ready(context)
     }
 
-    fn call(&mut self, uri: Uri) -> Connecting {
+    fn call(&mut self, uri: Uri) -> ConnectFuture {
         let connecting = self.inner.call(uri);
         let permit = self.permit.clone();
         Box::pin(async move { Ok(FencedStream { inner: connecting.await?, permit }) })
     }
 }
 
-/// A connection that asks a permit before each write.
+/// A connection that checks a permit before each write. A write without the permit fails.
 pub struct FencedStream {
     inner: TokioIo<TcpStream>,
     permit: WritePermit,
 }
 
 impl FencedStream {
-    fn check(&self) -> std::io::Result<()> {
+    fn check_permit(&self) -> std::io::Result<()> {
         match (self.permit)() {
             true => Ok(()),
-            false => Err(std::io::Error::other("the permit to write has ended")),
+            false => Err(std::io::Error::other("the permit to write has expired")),
         }
     }
 }
@@ -94,7 +95,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        self.check()?;
+        self.check_permit()?;
         Pin::new(&mut self.inner).poll_write(context, bytes)
     }
 
@@ -103,7 +104,7 @@
         context: &mut Context<'_>,
         slices: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
-        self.check()?;
+        self.check_permit()?;
         Pin::new(&mut self.inner).poll_write_vectored(context, slices)
     }
 
--- a/crates/sedgehill-platform/src/list.rs
+++ b/crates/sedgehill-platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of boxes, endpoints and workers.
+//! The platform's list of boxes, endpoints and workers. It lags behind their actual state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,48 +9,49 @@
 
 use crate::client::{CallError, JsonClient};
 
+/// Time-out for reading the list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An entry box as listed.
+/// Entry of a box in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxListing {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
-    /// Its data hall.
+    /// The data hall that it is in.
     pub hall: HallName,
-    /// Where its peers reach it.
+    /// Address on which the box listens for its peers.
     pub peer_address: SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// An endpoint as listed.
+/// Entry of an endpoint in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointListing {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// The service that it answers for.
+    /// The service whose requests it serves.
     pub service: TemplateName,
-    /// Its data hall.
+    /// The data hall that it is in.
     pub hall: HallName,
-    /// Where it listens.
+    /// Address on which it listens for requests.
     pub address: SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// Everything that the platform lists.
+/// The whole list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformList {
-    /// Entry boxes.
+    /// The listed boxes.
     pub boxes: Vec<BoxListing>,
-    /// Endpoints.
+    /// The listed endpoints.
     pub endpoints: Vec<EndpointListing>,
-    /// Workers.
+    /// The listed workers.
     pub workers: Vec<WorkerView>,
 }
 
-/// A client of the list.
+/// A client of the platform's list.
 #[derive(Debug, Clone)]
 pub struct ListClient {
     client: JsonClient,
@@ -58,12 +59,12 @@
 }
 
 impl ListClient {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`.
     pub fn new(client: JsonClient, address: SocketAddr) -> ListClient {
         ListClient { client, address }
     }
 
-    /// Reads the whole list.
+    /// Reads the list.
     pub async fn fetch(&self) -> Result<PlatformList, CallError> {
         self.client.get(self.address, "/v1/list", LIST_TIMEOUT).await
     }
--- a/crates/sedgehill-platform/src/log.rs
+++ b/crates/sedgehill-platform/src/log.rs
@@ -9,30 +9,30 @@
 
 use crate::client::{CallError, JsonClient};
 
-/// How long an append may take before its effect counts as unknown.
+/// Time-out of an append. The outcome of an append that times out is unknown.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// What a read may take beyond the time that the log was asked to wait.
+/// Added to the time that the log may wait for entries, for the time-out of a read.
 const READ_MARGIN: Duration = Duration::from_secs(2);
 
-/// The answer to an append.
+/// Response to an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// Where the batch stands.
+    /// Offset of the entry that holds the batch.
     pub offset: Offset,
 }
 
-/// The answer to a read.
+/// Response to a read.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// The oldest offset that the log still has.
+    /// Oldest offset that the log retains.
     pub first: Offset,
-    /// The offset that the next append will get.
+    /// Offset of the next append.
     pub next: Offset,
-    /// Entries from the offset asked for, or from `first` if that is later.
+    /// Entries from the requested offset, or from `first` if that is later.
     pub entries: Vec<LogEntry>,
 }
 
-/// A client of the log.
+/// A client of the platform's log.
 #[derive(Debug, Clone)]
 pub struct LogClient {
     client: JsonClient,
@@ -40,19 +40,19 @@
 }
 
 impl LogClient {
-    /// A client of the log at `address`.
+    /// Creates a client of the log at `address`.
     pub fn new(client: JsonClient, address: SocketAddr) -> LogClient {
         LogClient { client, address }
     }
 
-    /// Appends a batch as one entry.
+    /// Appends a batch as one entry and returns its offset.
     pub async fn append(&self, batch: &RecordBatch) -> Result<Offset, CallError> {
         let reply: AppendReply =
             self.client.post(self.address, "/v1/append", batch, APPEND_TIMEOUT).await?;
         Ok(reply.offset)
     }
 
-    /// Reads from `from`, waiting up to `wait` for something to be there.
+    /// Reads entries from offset `from` on. If there are none, the log waits up to `wait` for one.
     pub async fn read(&self, from: Offset, wait: Duration) -> Result<ReadReply, CallError> {
         let path = format!("/v1/read?from={from}&wait_ms={}", wait.as_millis());
         self.client.get(self.address, &path, wait + READ_MARGIN).await
--- a/crates/sedgehill-platform/src/worker.rs
+++ b/crates/sedgehill-platform/src/worker.rs
@@ -1,4 +1,4 @@
-//! The platform's workers.
+//! The interface of the platform's workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 
 use crate::client::{CallError, JsonClient};
 
-/// How long a worker may take to answer.
+/// Time-out of a call to a worker.
 pub const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The answer to a start order.
+/// Response body of a start order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StartAnswer {
-    /// Whether the task runs.
+    /// Whether the worker started the task.
     pub started: bool,
 }
 
-/// A client of the workers.
+/// A client of every worker.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerClient {
     client: JsonClient,
 }
 
 impl WorkerClient {
-    /// A client that makes its calls through `caller`.
+    /// Creates a client that makes its calls with `client`.
     pub fn new(client: JsonClient) -> WorkerClient {
         WorkerClient { client }
     }
 
-    /// Orders a worker to start a task.
+    /// Orders the worker at `address` to start a task.
     pub async fn start(&self, address: SocketAddr, start: &TaskStart) -> StartReply {
         let answer = self.client.post(address, "/v1/start", start, WORKER_TIMEOUT).await;
         match answer {
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Renews leases, stops tasks and reads the inventory.
+    /// Has the worker at `address` renew leases, stop attempts and forget ended ones, and returns its
+    /// inventory.
     pub async fn sync(
         &self,
         address: SocketAddr,
