--- a/crates/sedgehill-platform/src/admin.rs
+++ b/crates/sedgehill-platform/src/admin.rs
@@ -228,7 +228,8 @@
 pub struct ExplainReport {
     /// The job of that id, or the job of the task.
     pub job: Option<JobListing>,
-    /// Placements of the job's tasks, or of the one task; empty unless the box leads the job's hall.
+    /// Placements of the job's tasks, or of the one task; empty unless the box leads the job's
+    /// hall.
     pub places: Vec<TaskPlacement>,
     /// Decisions that the box keeps in memory, the oldest first.
     pub decisions: Vec<DecisionRecord>,
--- a/crates/sedgehill-platform/src/client.rs
+++ b/crates/sedgehill-platform/src/client.rs
@@ -34,8 +34,8 @@
         Refused(status: StatusCode, body: String) {
             display("refused with {status}: {body}")
         }
-        /// The call may have been executed, or may still be: it timed out, its connection broke, or the
-        /// response has another status or cannot be decoded.
+        /// The call may have been executed, or may still be: it timed out, its connection broke, or
+        /// the response has another status or cannot be decoded.
         Unknown(cause: String) {
             display("no answer: {cause}")
         }
@@ -73,7 +73,8 @@
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
         let client = Client::builder(TokioExecutor::new())
-            // Without this limit, a burst of starts would leave many idle connections to each worker.
+            // Without this limit, a burst of starts would leave many idle connections to each
+            // worker.
             .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .pool_idle_timeout(Duration::from_secs(30))
             // The HTTP library must not resend a call that may have been executed already.
--- a/crates/sedgehill-platform/src/worker.rs
+++ b/crates/sedgehill-platform/src/worker.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Has the worker at `address` renew leases, stop attempts and forget ended ones, and returns its
-    /// inventory.
+    /// Has the worker at `address` renew leases, stop attempts and forget ended ones, and returns
+    /// its inventory.
     pub async fn sync(
         &self,
         address: SocketAddr,
--- a/crates/sedgehill/src/client.rs
+++ b/crates/sedgehill/src/client.rs
@@ -1,4 +1,4 @@
-//! The operations of operators, each a call to one box.
+//! A client of the admin interface of the boxes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,88 +15,96 @@
 
 use crate::error::CliError;
 
-const READ_LIMIT: Duration = Duration::from_secs(5);
-const CHANGE_LIMIT: Duration = Duration::from_secs(10);
+/// Time-out of a read from one box.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time-out of a change at one box. The box itself gives up a change earlier.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls boxes, the next if one does not answer.
+/// A client of a list of boxes. Most operations use the first box that answers; `explain` and
+/// `statuses` ask every box.
 pub struct AdminClient {
-    caller: JsonClient,
+    client: JsonClient,
     boxes: Vec<SocketAddr>,
 }
 
 impl AdminClient {
-    /// A client of the boxes with these admin addresses.
+    /// Creates a client of the boxes with these admin addresses.
     pub fn new(boxes: Vec<SocketAddr>) -> AdminClient {
-        AdminClient { caller: JsonClient::new(), boxes }
+        AdminClient { client: JsonClient::new(), boxes }
     }
 
+    /// Reads from the first box that answers.
     async fn read<R: DeserializeOwned>(&self, path: &str) -> Result<R, CliError> {
-        let mut last = None;
+        let mut last_error = None;
         for address in &self.boxes {
-            match self.caller.get(*address, path, READ_LIMIT).await {
+            match self.client.get(*address, path, READ_TIMEOUT).await {
                 Ok(value) => return Ok(value),
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(no_box(last))
+        Err(no_box_error(last_error))
     }
 
-    /// Makes a change. A box that may have made it is not followed by another: the change keeps its
-    /// id, but a second box could only report on it, not undo it.
+    /// Requests a change and returns its id and its outcome. The next box is tried only if the
+    /// change was certainly not made. Otherwise the outcome is unknown: another box could only
+    /// report on the change, not undo it.
     pub async fn change(&self, body: ChangeBody) -> Result<(RecordId, ChangeReply), CliError> {
         let id = RecordId(Uuid::now_v7());
         let request = ChangeRequest { id, body };
-        let mut last = None;
+        let mut last_error = None;
         for address in &self.boxes {
-            match self.caller.post(*address, "/v1/change", &request, CHANGE_LIMIT).await {
+            match self.client.post(*address, "/v1/change", &request, CHANGE_TIMEOUT).await {
                 Ok(reply) => return Ok((id, reply)),
-                Err(error) if error.is_not_done() => last = Some(error),
+                Err(error) if error.is_not_done() => last_error = Some(error),
                 Err(_) => return Ok((id, ChangeReply::Unknown)),
             }
         }
-        Err(no_box(last))
+        Err(no_box_error(last_error))
     }
 
-    /// The versions kept under a key.
+    /// Returns the kept versions of a key.
     pub async fn history(&self, key: &ConfigKey) -> Result<ConfigHistory, CliError> {
         self.read(&format!("/v1/history?key={key}")).await
     }
 
-    /// Every key and its version in force.
+    /// Returns every key with its current version.
     pub async fn configs(&self) -> Result<Vec<ConfigListing>, CliError> {
         self.read("/v1/configs").await
     }
 
-    /// Every job.
+    /// Returns the jobs that the answering box knows.
     pub async fn jobs(&self) -> Result<Vec<JobListing>, CliError> {
         self.read("/v1/jobs").await
     }
 
-    /// What each box that answers can tell of a job, task or request.
+    /// Returns what each box that answers knows about a job, a task or a request.
     pub async fn explain(&self, subject: &str) -> Result<Vec<ExplainReport>, CliError> {
         self.read_all(&format!("/v1/explain/{subject}")).await
     }
 
-    /// Each box that answers, at a glance.
+    /// Returns the status of each box that answers.
     pub async fn statuses(&self) -> Result<Vec<BoxStatus>, CliError> {
         self.read_all("/v1/status").await
     }
 
+    /// Reads from every box, and fails only if none answers.
     async fn read_all<R: DeserializeOwned>(&self, path: &str) -> Result<Vec<R>, CliError> {
         let mut answers = Vec::new();
-        let mut last = None;
+        let mut last_error = None;
         for address in &self.boxes {
-            match self.caller.get(*address, path, READ_LIMIT).await {
+            match self.client.get(*address, path, READ_TIMEOUT).await {
                 Ok(answer) => answers.push(answer),
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        if answers.is_empty() { Err(no_box(last)) } else { Ok(answers) }
+        if answers.is_empty() { Err(no_box_error(last_error)) } else { Ok(answers) }
     }
 }
 
-fn no_box(last: Option<CallError>) -> CliError {
-    match last {
+/// Returns the error for an operation that no box answered. If `last_error` is `None`, the list of
+/// boxes is empty.
+fn no_box_error(last_error: Option<CallError>) -> CliError {
+    match last_error {
         Some(error) => CliError::NoBox(error),
         None => CliError::Usage("no box given: use --boxes or set SEDGEHILL_BOXES".to_owned()),
     }
--- a/crates/sedgehill/src/commands/cancel.rs
+++ b/crates/sedgehill/src/commands/cancel.rs
@@ -4,15 +4,15 @@
 use sedgehill_core::ids::JobId;
 use sedgehill_platform::admin::ChangeBody;
 
-use super::{CommandContext, one_argument};
+use super::{CommandContext, single_argument};
 use crate::error::CliError;
-use crate::output::{print_result, status};
+use crate::output::{print_result, print_status};
 
-/// Cancels a job. Its tasks are stopped by the lead of its hall.
+/// Cancels a job. The lead of the job's data hall then stops the tasks.
 pub fn run(context: &CommandContext, args: Arguments) -> Result<(), CliError> {
-    let job: JobId = one_argument(args)?;
+    let job: JobId = single_argument(args)?;
     context.change(&format!("job {job}"), ChangeBody::Cancel { job })?;
-    status("Cancelled", job);
+    print_status("Cancelled", job);
     print_result(context.format, &job, |job| format!("{job}\n"));
     Ok(())
 }
--- a/crates/sedgehill/src/commands/diff.rs
+++ b/crates/sedgehill/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `sedgehill diff`: compares two versions.
+//! `sedgehill diff`: compares two versions of a template or of parameters.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,11 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use super::{CommandContext, no_more_arguments};
+use super::{CommandContext, expect_no_arguments};
 use crate::error::CliError;
 use crate::output::print_result;
 
+/// A field whose value differs between two versions.
 #[derive(Debug, Serialize)]
 struct ChangedField {
     path: String,
@@ -20,25 +21,26 @@
     new: Option<Value>,
 }
 
-/// Compares two versions of a key; without versions, the last two.
+/// Compares two versions of a key. Without `OLD` and `NEW`, compares the last two versions.
 pub fn run(context: &CommandContext, mut args: Arguments) -> Result<(), CliError> {
     let key: ConfigKey = args.free_from_str()?;
     let old: Option<Version> = args.opt_free_from_str()?;
     let new: Option<Version> = args.opt_free_from_str()?;
-    no_more_arguments(args)?;
+    expect_no_arguments(args)?;
     let history = context.block_on(context.client.history(&key))?;
-    let find = |wanted: Option<Version>, from_end: usize| -> Result<&ConfigVersion, CliError> {
-        let found = match wanted {
+    let find = |requested: Option<Version>, from_end: usize| -> Result<&ConfigVersion, CliError> {
+        let found = match requested {
             Some(version) => history.versions.iter().find(|entry| entry.version == version),
             None => history.versions.iter().rev().nth(from_end),
         };
         found.ok_or_else(|| CliError::Missing(format!("such version of {key}")))
     };
     let changes = compare(find(old, 1)?, find(new, 0)?);
-    print_result(context.format, &changes, |changes| changes.iter().map(line).collect());
+    print_result(context.format, &changes, |changes| changes.iter().map(change_line).collect());
     Ok(())
 }
 
+/// Returns the fields that differ, sorted by path.
 fn compare(old: &ConfigVersion, new: &ConfigVersion) -> Vec<ChangedField> {
     let old = flatten(old);
     let new = flatten(new);
@@ -56,6 +58,7 @@
         .collect()
 }
 
+/// Returns the fields of a version by their dotted paths. Arrays are values of one field.
 fn flatten(version: &ConfigVersion) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
     let value = serde_json::to_value(&version.spec).expect("our types serialize");
@@ -67,8 +70,8 @@
     match value {
         Value::Object(entries) => {
             for (key, value) in entries {
-                let below = if path.is_empty() { key } else { format!("{path}.{key}") };
-                flatten_into(below, value, fields);
+                let child_path = if path.is_empty() { key } else { format!("{path}.{key}") };
+                flatten_into(child_path, value, fields);
             }
         }
         other => {
@@ -77,7 +80,7 @@
     }
 }
 
-fn line(change: &ChangedField) -> String {
-    let show = |value: &Option<Value>| value.as_ref().map_or("absent".to_owned(), Value::to_string);
-    format!("{}: {} -> {}\n", change.path, show(&change.old), show(&change.new))
+fn change_line(change: &ChangedField) -> String {
+    let text = |value: &Option<Value>| value.as_ref().map_or("absent".to_owned(), Value::to_string);
+    format!("{}: {} -> {}\n", change.path, text(&change.old), text(&change.new))
 }
--- a/crates/sedgehill/src/commands/history.rs
+++ b/crates/sedgehill/src/commands/history.rs
@@ -1,25 +1,27 @@
-//! `sedgehill history`: lists the versions kept of a template or of parameters.
+//! `sedgehill history`: lists the kept versions of a template or of parameters.
 
 use pico_args::Arguments;
 use sedgehill_core::spec::ConfigKey;
 use sedgehill_core::state::ConfigVersion;
 
-use super::{CommandContext, one_argument};
+use super::{CommandContext, single_argument};
 use crate::error::CliError;
 use crate::output::print_result;
 
-/// Lists the versions kept under a key, the newest last.
+/// Lists the kept versions of a key, the newest last.
 pub fn run(context: &CommandContext, args: Arguments) -> Result<(), CliError> {
-    let key: ConfigKey = one_argument(args)?;
+    let key: ConfigKey = single_argument(args)?;
     let history = context.block_on(context.client.history(&key))?;
     if history.versions.is_empty() {
         return Err(CliError::Missing(key.to_string()));
     }
-    print_result(context.format, &history.versions, |versions| versions.iter().map(line).collect());
+    print_result(context.format, &history.versions, |versions| {
+        versions.iter().map(version_line).collect()
+    });
     Ok(())
 }
 
-fn line(version: &ConfigVersion) -> String {
+fn version_line(version: &ConfigVersion) -> String {
     let base = version.base.map_or("nothing".to_owned(), |base| base.to_string());
     format!("version {} edited {base}, record {}\n", version.version, version.id)
 }
--- a/crates/sedgehill/src/commands/mod.rs
+++ b/crates/sedgehill/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! The commands, with one module for each.
 
 mod cancel;
 mod check;
@@ -27,19 +27,19 @@
 use crate::error::CliError;
 use crate::output::OutputFormat;
 
-/// A command by name.
+/// A command of the command line.
 pub struct Command {
-    /// What operators type.
+    /// Name by which it is called.
     pub name: &'static str,
-    /// Its arguments.
+    /// Its options and arguments, for the help.
     pub usage: &'static str,
-    /// What it does, in a line.
+    /// Summary in one line, for the help.
     pub about: &'static str,
-    /// Parses its arguments and does it.
+    /// Parses the arguments and runs the command.
     pub run: fn(&CommandContext, Arguments) -> Result<(), CliError>,
 }
 
-/// Every command.
+/// All commands, in the order of the help.
 pub const COMMANDS: &[Command] = &[
     Command { name: "check", usage: "FILE...", about: "check files offline", run: check::run },
     Command {
@@ -48,9 +48,9 @@
         about: "check and publish files",
         run: publish::run,
     },
-    Command { name: "get", usage: "KEY", about: "print what is in force", run: get::run },
+    Command { name: "get", usage: "KEY", about: "print the current version", run: get::run },
     Command { name: "list", usage: "", about: "list templates and parameters", run: list::run },
-    Command { name: "history", usage: "KEY", about: "list the versions kept", run: history::run },
+    Command { name: "history", usage: "KEY", about: "list the kept versions", run: history::run },
     Command { name: "diff", usage: "KEY [OLD NEW]", about: "compare two versions", run: diff::run },
     Command {
         name: "submit",
@@ -63,34 +63,34 @@
     Command {
         name: "explain",
         usage: "JOB|TASK|REQUEST",
-        about: "say where, why there or why waiting",
+        about: "show where it was placed and why, or why it waits",
         run: explain::run,
     },
     Command {
         name: "status",
         usage: "",
-        about: "boxes, leads, workers and endpoints at a glance",
+        about: "show the state of boxes, data halls and services",
         run: status::run,
     },
     Command {
         name: "drain",
         usage: "[--undo] BOX",
-        about: "take a box out of service",
+        about: "drain a box, or return it to service",
         run: drain::run,
     },
 ];
 
-/// What every command needs.
+/// Options and clients that all commands share.
 pub struct CommandContext {
-    /// How results are printed.
+    /// Output format of results.
     pub format: OutputFormat,
-    /// The boxes.
+    /// Client of the boxes.
     pub client: AdminClient,
     runtime: tokio::runtime::Runtime,
 }
 
 impl CommandContext {
-    /// A context for the boxes in a comma-separated list.
+    /// Creates a context for the boxes in a comma-separated list of admin addresses.
     pub fn new(boxes: Option<String>, format: OutputFormat) -> Result<CommandContext, CliError> {
         let parse = |text: &str| -> Result<SocketAddr, CliError> {
             let message =
@@ -104,47 +104,49 @@
         Ok(CommandContext { format, client: AdminClient::new(boxes), runtime })
     }
 
-    /// Runs an operation to its end.
+    /// Runs an operation to completion.
     pub fn block_on<R>(&self, operation: impl Future<Output = R>) -> R {
         self.runtime.block_on(operation)
     }
 
-    /// Makes a change and turns everything but acceptance into an error.
+    /// Requests a change and returns an error unless it took effect. `subject` names the changed
+    /// object in errors.
     pub fn change(
         &self,
-        what: &str,
+        subject: &str,
         body: ChangeBody,
     ) -> Result<(RecordId, RecordVerdict), CliError> {
         let (id, reply) = self.block_on(self.client.change(body))?;
         match reply {
             ChangeReply::Settled { verdict: RecordVerdict::Conflict { winner } } => {
-                Err(CliError::Conflict(what.to_owned(), winner))
+                Err(CliError::Conflict(subject.to_owned(), winner))
             }
             ChangeReply::Settled { verdict: RecordVerdict::Void { reason } } => {
                 let reason = serde_json::to_value(reason).expect("our types serialize");
                 let reason = reason.as_str().unwrap_or_default().to_owned();
-                Err(CliError::NotTaken(what.to_owned(), reason))
+                Err(CliError::NotTaken(subject.to_owned(), reason))
             }
             ChangeReply::Settled { verdict } => Ok((id, verdict)),
-            ChangeReply::Unknown => Err(CliError::Unknown(what.to_owned())),
-            ChangeReply::NotTaken { reason } => Err(CliError::NotTaken(what.to_owned(), reason)),
+            ChangeReply::Unknown => Err(CliError::Unknown(subject.to_owned())),
+            ChangeReply::NotTaken { reason } => Err(CliError::NotTaken(subject.to_owned(), reason)),
         }
     }
 }
 
-/// The arguments left over, none of which may be an unknown option.
+/// Returns the remaining arguments. Fails if one of them is an option, which must be unknown.
 fn free_arguments(args: Arguments) -> Result<Vec<OsString>, CliError> {
-    let rest = args.finish();
-    let option = rest.iter().find(|arg| arg.to_string_lossy().starts_with("--"));
+    let free = args.finish();
+    let option = free.iter().find(|arg| arg.to_string_lossy().starts_with("--"));
     match option {
         Some(option) => {
             Err(CliError::Usage(format!("unknown option `{}`", option.to_string_lossy())))
         }
-        None => Ok(rest),
+        None => Ok(free),
     }
 }
 
-fn no_more_arguments(args: Arguments) -> Result<(), CliError> {
+/// Fails if any argument remains.
+fn expect_no_arguments(args: Arguments) -> Result<(), CliError> {
     match free_arguments(args)?.first() {
         Some(extra) => {
             Err(CliError::Usage(format!("unexpected argument `{}`", extra.to_string_lossy())))
@@ -153,18 +155,18 @@
     }
 }
 
-/// The one argument of a command, parsed.
-fn one_argument<T>(mut args: Arguments) -> Result<T, CliError>
+/// Parses the only argument of a command.
+fn single_argument<T>(mut args: Arguments) -> Result<T, CliError>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
 {
     let value = args.free_from_str()?;
-    no_more_arguments(args)?;
+    expect_no_arguments(args)?;
     Ok(value)
 }
 
-/// The files named on the command line, each checked.
+/// Reads and checks the files that are named on the command line.
 fn read_manifests(args: Arguments) -> Result<Vec<(PathBuf, WorkManifest)>, CliError> {
     let paths = free_arguments(args)?;
     if paths.is_empty() {
--- a/crates/sedgehill/src/commands/publish.rs
+++ b/crates/sedgehill/src/commands/publish.rs
@@ -1,4 +1,4 @@
-//! `sedgehill publish`: publishes files, each entry as a new version of the one that it edits.
+//! `sedgehill publish`: publishes the entries of files as new versions.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,9 @@
 
 use super::{CommandContext, read_manifests};
 use crate::error::CliError;
-use crate::output::{print_result, status};
+use crate::output::{print_result, print_status};
 
+/// Result for one entry of a file.
 #[derive(Debug, Serialize)]
 struct PublishedEntry {
     key: String,
@@ -20,12 +21,14 @@
     changed: bool,
 }
 
-/// Publishes the files. Without `--base`, each entry edits the version in force now.
+/// Publishes the files, if none of them has errors. Each entry is based on the version that
+/// `--base` names, or else on the current version. Without `--base`, entries that equal the current
+/// version are not published again.
 pub fn run(context: &CommandContext, mut args: Arguments) -> Result<(), CliError> {
     let base: Option<Version> = args.opt_value_from_str("--base")?;
     let manifests = read_manifests(args)?;
-    let in_force = context.block_on(context.client.configs())?;
-    let mut known: BTreeSet<String> = in_force.into_iter().map(|entry| entry.key).collect();
+    let current = context.block_on(context.client.configs())?;
+    let mut known: BTreeSet<String> = current.into_iter().map(|entry| entry.key).collect();
     let keys =
         manifests.iter().flat_map(|(_, manifest)| manifest.specs.iter().map(ConfigSpec::key));
     known.extend(keys.map(|key| key.to_string()));
@@ -41,14 +44,15 @@
     }
     print_result(context.format, &published, |entries| {
         let line = |entry: &PublishedEntry| {
-            let note = if entry.changed { "" } else { " (unchanged)" };
-            format!("{} version {}{note}\n", entry.key, entry.version)
+            let suffix = if entry.changed { "" } else { " (unchanged)" };
+            format!("{} version {}{suffix}\n", entry.key, entry.version)
         };
         entries.iter().map(line).collect()
     });
     Ok(())
 }
 
+/// Publishes one entry, unless it equals the current version and no base is given.
 fn publish(
     context: &CommandContext,
     spec: &ConfigSpec,
@@ -58,7 +62,7 @@
     let history = context.block_on(context.client.history(&key))?;
     let current = history.versions.last();
     if let Some(current) = current.filter(|current| base.is_none() && current.spec == *spec) {
-        status("Unchanged", &key);
+        print_status("Unchanged", &key);
         return Ok(PublishedEntry {
             key: key.to_string(),
             version: current.version.0,
@@ -71,6 +75,6 @@
     let RecordVerdict::Accepted { at } = verdict else {
         return Err(CliError::Unknown(key.to_string()));
     };
-    status("Published", &key);
+    print_status("Published", &key);
     Ok(PublishedEntry { key: key.to_string(), version: at.0, changed: true })
 }
--- a/crates/sedgehill/src/commands/status.rs
+++ b/crates/sedgehill/src/commands/status.rs
@@ -1,15 +1,15 @@
-//! `sedgehill status`: the boxes at a glance.
+//! `sedgehill status`: shows the state of the boxes, of the data halls and of the services.
 
 use pico_args::Arguments;
 use sedgehill_platform::admin::{BoxStatus, HallStatus, ServiceStatus};
 
-use super::{CommandContext, no_more_arguments};
+use super::{CommandContext, expect_no_arguments};
 use crate::error::CliError;
 use crate::output::print_result;
 
-/// Prints what each box that answers has to say.
+/// Prints the status of each box that answers.
 pub fn run(context: &CommandContext, args: Arguments) -> Result<(), CliError> {
-    no_more_arguments(args)?;
+    expect_no_arguments(args)?;
     let statuses = context.block_on(context.client.statuses())?;
     print_result(context.format, &statuses, |statuses| statuses.iter().map(render).collect());
     Ok(())
@@ -41,13 +41,13 @@
 fn hall_line(hall: &HallStatus) -> String {
     let lead = hall.lead.as_ref().map_or("nobody".to_owned(), |lead| lead.to_string());
     let epoch = hall.epoch.map(|epoch| format!(" in epoch {epoch}")).unwrap_or_default();
-    let room = match (&hall.free, &hall.total, hall.placed) {
+    let usage = match (&hall.free, &hall.total, hall.placed) {
         (Some(free), Some(total), Some(placed)) => {
             format!("; {placed} tasks placed, free {free} of {total}")
         }
         _ => String::new(),
     };
-    format!("  hall {}: led by {lead}{epoch}{room}\n", hall.hall)
+    format!("  hall {}: led by {lead}{epoch}{usage}\n", hall.hall)
 }
 
 fn service_line(service: &ServiceStatus) -> String {
--- a/crates/sedgehill/src/error.rs
+++ b/crates/sedgehill/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use std::path::PathBuf;
 
@@ -8,68 +8,70 @@
 use sedgehill_platform::client::CallError;
 
 quick_error! {
-    /// Why a command failed.
+    /// An error that ends a command.
     #[derive(Debug)]
     pub enum CliError {
-        /// The command line is wrong.
+        /// The arguments on the command line are invalid.
         Usage(message: String) {
             display("{message}")
             from(error: pico_args::Error) -> (error.to_string())
         }
-        /// A file cannot be read.
+        /// A file could not be read.
         Read(path: PathBuf, cause: std::io::Error) {
             display("could not read {}", path.display())
             source(cause)
         }
-        /// A file has errors.
+        /// A file was read but has errors.
         Manifest(path: PathBuf, cause: ManifestErrors) {
             display("{} has errors; nothing was published", path.display())
             source(cause)
         }
-        /// No box answered.
+        /// None of the boxes answered. The cause is the last failed call.
         NoBox(cause: CallError) {
             display("no box answered")
             source(cause)
         }
-        /// Another version is in force than the one that was edited.
-        Conflict(key: String, winner: Option<Version>) {
-            display("{key}: conflict: {} is in force", match winner {
+        /// The published version is based on another version than the current one. The second field
+        /// is the current version.
+        Conflict(key: String, current: Option<Version>) {
+            display("{key}: conflict: {} is in force", match current {
                 Some(version) => format!("version {version}"),
                 None => "no version".to_owned(),
             })
         }
-        /// The change was not taken.
-        NotTaken(what: String, reason: String) {
-            display("{what}: not taken: {reason}")
+        /// The change did not take effect and never will.
+        NotTaken(subject: String, reason: String) {
+            display("{subject}: not taken: {reason}")
         }
-        /// The change may take effect yet.
-        Unknown(what: String) {
-            display("{what}: outcome unknown: it was appended and not read back in time; \
-                     read it back before trying again")
+        /// The change may have taken effect, or may still.
+        Unknown(subject: String) {
+            display("{subject}: outcome unknown: the change may have taken effect or may still; \
+                     check the current state before trying again")
         }
-        /// There is nothing of that name.
-        Missing(what: String) {
-            display("there is no {what}")
+        /// Something that the command line names does not exist.
+        Missing(subject: String) {
+            display("there is no {subject}")
         }
-        /// The machine failed.
-        Machine(cause: std::io::Error) {
+        /// The async runtime could not be created.
+        Runtime(cause: std::io::Error) {
             from()
-            display("could not start")
+            display("could not create the async runtime")
             source(cause)
         }
     }
 }
 
 impl CliError {
-    /// An unknown command, with the closest known one.
+    /// Returns the error for an unknown command, which suggests the known command with the most
+    /// similar name.
     pub fn unknown_command(name: &str, known: impl Iterator<Item = &'static str>) -> CliError {
         CliError::Usage(match suggest(name, known) {
-            Some(close) => format!("there is no command `{name}`, did you mean `{close}`?"),
+            Some(similar) => format!("there is no command `{name}`, did you mean `{similar}`?"),
             None => format!("there is no command `{name}`, see `sedgehill --help`"),
         })
     }
 
-    /// The documented exit code.
+    /// Returns the exit code, as documented in `sedgehill --help`.
     pub fn exit_code(&self) -> u8 {
         match self {
             CliError::Usage(_) => 2,
@@ -79,11 +81,11 @@
             CliError::NoBox(_)
             | CliError::NotTaken(..)
             | CliError::Missing(_)
-            | CliError::Machine(_) => 1,
+            | CliError::Runtime(_) => 1,
         }
     }
 
-    /// Prints the error and its causes.
+    /// Prints the error and its chain of causes to standard error.
     pub fn print(&self) {
         eprintln!("error: {self}");
         let mut cause = std::error::Error::source(self);
--- a/crates/sedgehill/src/main.rs
+++ b/crates/sedgehill/src/main.rs
@@ -1,6 +1,6 @@
-//! `sedgehill`: the command line of operators.
+//! `sedgehill`: the command-line client for operators.
 //!
-//! Each module under [`commands`] parses the arguments of one command and calls one operation of
+//! Each module under [`commands`] parses the arguments of one command and calls operations of
 //! [`client`]. Results go to standard output, everything else to standard error.
 
 mod client;
@@ -14,19 +14,19 @@
 use crate::error::CliError;
 use crate::output::OutputFormat;
 
-const HELP_HEAD: &str = "\
-sedgehill: the command line of the sedgehill cluster scheduler
+const HELP_HEADER: &str = "\
+sedgehill: the command-line client of the sedgehill cluster scheduler
 
 usage: sedgehill [--boxes ADDRESS,...] [--format text|json] COMMAND [ARGUMENTS]
 
 commands:
 ";
 
-const HELP_TAIL: &str = "
+const HELP_FOOTER: &str = "
 options:
     --boxes ADDRESS,...    the admin addresses of boxes, tried in turn; default $SEDGEHILL_BOXES
     --format text|json     how results are printed; default text
-    --help                 print this help, or that of a command
+    --help                 print this help, or the help of a command
     --version              print the version
 
 exit codes: 0 done, 1 failed, 2 wrong usage, 3 wrong file, 4 conflict, 5 outcome unknown
@@ -50,10 +50,10 @@
     }
     let boxes: Option<String> = args.opt_value_from_str("--boxes")?;
     let format = args.opt_value_from_str("--format")?.unwrap_or(OutputFormat::Text);
-    let wants_help = args.contains("--help");
+    let help_requested = args.contains("--help");
     let Some(name) = args.subcommand()? else {
         print!("{}", help());
-        return if wants_help {
+        return if help_requested {
             Ok(())
         } else {
             Err(CliError::Usage("no command given".to_owned()))
@@ -62,7 +62,7 @@
     let Some(command) = COMMANDS.iter().find(|command| command.name == name) else {
         return Err(CliError::unknown_command(&name, COMMANDS.iter().map(|command| command.name)));
     };
-    if wants_help {
+    if help_requested {
         println!("usage: sedgehill {} {}\n\n{}", command.name, command.usage, command.about);
         return Ok(());
     }
@@ -71,10 +71,11 @@
     (command.run)(&context, args)
 }
 
+/// Returns the text of `sedgehill --help`.
 fn help() -> String {
-    let line = |command: &commands::Command| {
+    let command_line = |command: &commands::Command| {
         format!("    {:<10} {:<42} {}\n", command.name, command.usage, command.about)
     };
-    let commands: String = COMMANDS.iter().map(line).collect();
-    format!("{HELP_HEAD}{commands}{HELP_TAIL}")
+    let commands: String = COMMANDS.iter().map(command_line).collect();
+    format!("{HELP_HEADER}{commands}{HELP_FOOTER}")
 }
--- a/crates/sedgehill/src/output.rs
+++ b/crates/sedgehill/src/output.rs
@@ -1,15 +1,15 @@
-//! Results on standard output, status on standard error.
+//! Prints results to standard output and status messages to standard error.
 
 use std::str::FromStr;
 
 use serde::Serialize;
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs: one JSON value.
+    /// One JSON value, for programs.
     Json,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Prints a result: as JSON, or as the text that `render` makes of it.
+/// Prints a result in the given format. `render` returns its text form.
 pub fn print_result<T: Serialize>(
     format: OutputFormat,
     value: &T,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Prints what is being done.
-pub fn status(verb: &str, what: impl std::fmt::Display) {
-    eprintln!("{verb:>12} {what}");
+/// Prints a status message: a verb and the object that it applies to.
+pub fn print_status(verb: &str, object: impl std::fmt::Display) {
+    eprintln!("{verb:>12} {object}");
 }
