--- a/crates/sedgehill-standin/src/measure/capacity.rs
+++ b/crates/sedgehill-standin/src/measure/capacity.rs
@@ -1,5 +1,6 @@
-//! Slopes from which docs/CAPACITY.md is worked out: the core's state, messages and time at growing
-//! sizes, and the cost of a real box that leads a growing number of workers.
+//! Measures the slopes on which docs/CAPACITY.md is based: the sizes of the core's state and
+//! messages and the times of its decisions at growing sizes, and the load of a real box that leads
+//! a growing number of workers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -38,13 +39,13 @@
 const CONFIG_SIZES: [usize; 4] = [100, 200, 400, 800];
 const TASKS_PER_SYNC: [usize; 4] = [0, 4, 8, 16];
 const BOX_WORKERS: [usize; 4] = [30, 60, 90, 180];
-/// Decisions timed one by one at each size.
+/// Number of placement decisions that are timed individually at each size.
 const SINGLE_DECISIONS: usize = 2_000;
-/// Tasks in one job of the bulk measurement.
+/// Tasks of the one job whose placement is timed in bulk.
 const BULK_TASKS: u32 = 400;
-/// How long the cost of a real box is watched.
-const WATCH: Duration = Duration::from_secs(8);
-/// Tasks that run at each worker at the target's size: 3,400 over 540.
+/// Time over which the load of a real box is measured.
+const MEASURE_DURATION: Duration = Duration::from_secs(8);
+/// Running tasks per worker at the target size: 3,400 tasks on 540 workers.
 const TASKS_PER_WORKER: f64 = 6.3;
 
 const TIMING: PlacementTiming = PlacementTiming {
@@ -53,14 +54,14 @@
     sync_every: TimeSpan(2_000),
 };
 
-/// One size and what was found there.
+/// Values measured at one size.
 #[derive(Debug, Clone, Serialize)]
 struct SlopeRow {
     size: usize,
     values: BTreeMap<&'static str, f64>,
 }
 
-/// One measurement over several sizes.
+/// One measurement at several sizes.
 #[derive(Debug, Clone, Serialize)]
 struct SlopeTable {
     title: &'static str,
@@ -68,13 +69,13 @@
     rows: Vec<SlopeRow>,
 }
 
-/// The findings.
+/// Result of all measurements.
 #[derive(Debug, Clone, Serialize)]
 pub struct CapacityReport {
     tables: Vec<SlopeTable>,
 }
 
-/// Measures.
+/// Runs all measurements.
 pub async fn measure() -> CapacityReport {
     let table = |title, unit, rows| SlopeTable { title, unit, rows };
     let mut tables = vec![
@@ -106,7 +107,7 @@
     "hall".parse().expect("a valid name")
 }
 
-/// A log that grows entry by entry, folded as it grows.
+/// A cluster state to which log entries are applied one by one.
 struct GrowingState {
     state: ClusterState,
     next_id: u128,
@@ -115,13 +116,15 @@
 impl GrowingState {
     fn new(manifest: &str) -> GrowingState {
         let mut growing = GrowingState { state: ClusterState::default(), next_id: 0 };
-        let manifest: WorkManifest = manifest.parse().expect("the manifest is right");
+        let manifest: WorkManifest = manifest.parse().expect("the manifest is valid");
         for spec in manifest.specs {
             growing.apply(RecordBody::Publish { base: None, spec });
         }
         growing
     }
 
+    /// Applies a log entry that holds one record, and returns the record's id and the entry's
+    /// offset.
     fn apply(&mut self, body: RecordBody) -> (RecordId, Offset) {
         self.next_id += 1;
         let id = RecordId(Uuid::from_u128(self.next_id));
@@ -164,8 +167,8 @@
     (0..count).map(view).collect()
 }
 
-/// A placer that knows all its workers, and the state that it works on.
-fn known_placer(count: usize) -> (HallPlacer, GrowingState) {
+/// Returns a placer that has the inventory of each of its workers, and the state that it works on.
+fn synced_placer(count: usize) -> (HallPlacer, GrowingState) {
     let mut growing = GrowingState::new(SMALL_WORK);
     let (_, claimed) = growing.apply(RecordBody::ClaimLead { hall: hall(), after: None });
     let epoch = Epoch(claimed.0);
@@ -185,7 +188,7 @@
     (placer, growing)
 }
 
-/// Acknowledges the starts among the actions and counts them.
+/// Reports every start among the actions as successful, and returns the number of starts.
 fn acknowledge(placer: &mut HallPlacer, actions: Vec<PlacementAction>, now: Moment) -> usize {
     let mut starts = 0;
     for action in actions {
@@ -197,8 +200,9 @@
     starts
 }
 
+/// Measures the time of placement decisions with `count` workers.
 fn placement(count: usize) -> SlopeRow {
-    let (mut placer, mut growing) = known_placer(count);
+    let (mut placer, mut growing) = synced_placer(count);
     let now = Moment(3);
     growing.submit(BULK_TASKS);
     let started = Instant::now();
@@ -221,7 +225,7 @@
         let actions = placer.tick(&growing.state, now);
         single
             .record(started.elapsed().as_nanos() as u64)
-            .expect("a turn takes less than a second");
+            .expect("a tick takes less than a second");
         assert_eq!(acknowledge(&mut placer, actions, now), 1);
         growing.apply(RecordBody::Cancel { job });
         end_task(&mut placer, job, now);
@@ -236,7 +240,7 @@
     )
 }
 
-/// The worker of a cancelled task says that it runs no more.
+/// Reports from the worker of a cancelled task that the task no longer runs.
 fn end_task(placer: &mut HallPlacer, job: JobId, now: Moment) {
     let task = TaskId { job, index: 0 };
     let worker: WorkerId = placer.placement(&task).expect("it was just placed").0.clone();
@@ -254,15 +258,16 @@
     );
 }
 
+/// Measures the time of routing decisions with `count` endpoints.
 fn routing(count: usize) -> SlopeRow {
     const LIMITS: QueueLimits = QueueLimits { count: 10_000, bytes: 1 << 30 };
-    const EJECT: EjectionPolicy = EjectionPolicy {
+    const EJECTION: EjectionPolicy = EjectionPolicy {
         failure_threshold: 3,
         base_duration: TimeSpan(1_000),
         max_duration: TimeSpan(8_000),
         max_ejected_percent: 50,
     };
-    let mut queue = DispatchQueue::new(hall(), LIMITS, EJECT);
+    let mut queue = DispatchQueue::new(hall(), LIMITS, EJECTION);
     let view = |index: usize| EndpointView {
         id: format!("e-{index}").parse().expect("a valid name"),
         hall: if index.is_multiple_of(2) { hall() } else { "far".parse().expect("a valid name") },
@@ -283,7 +288,7 @@
     };
     let mut times =
         Histogram::<u64>::new_with_bounds(1, 1_000_000_000, 3).expect("the bounds are valid");
-    let mut held = Vec::new();
+    let mut busy = Vec::new();
     for _ in 0..100_000 {
         let request = request.clone();
         let started = Instant::now();
@@ -292,11 +297,11 @@
             .record(started.elapsed().as_nanos() as u64)
             .expect("a decision takes less than a second");
         if let DispatchOffer::Chosen(choice, ()) = offer {
-            held.push(choice.endpoint);
+            busy.push(choice.endpoint);
         }
-        // Half of the slots stay busy.
-        if held.len() > count {
-            queue.release(&held.swap_remove(0), EndpointOutcome::Success, TimeSpan(1), now);
+        // Keeps half of the slots busy.
+        if busy.len() > count {
+            queue.release(&busy.swap_remove(0), EndpointOutcome::Success, TimeSpan(1), now);
         }
     }
     row(
@@ -308,6 +313,7 @@
     )
 }
 
+/// Measures the snapshot size with `count` jobs, and the time to apply a submission.
 fn job_state(count: usize) -> SlopeRow {
     let mut growing = GrowingState::new(SMALL_WORK);
     let empty = growing.snapshot_bytes();
@@ -315,18 +321,19 @@
     for _ in 0..count {
         growing.submit(10);
     }
-    let fold = started.elapsed().as_secs_f64() * 1e6 / count as f64;
+    let us_per_fold = started.elapsed().as_secs_f64() * 1e6 / count as f64;
     let bytes = growing.snapshot_bytes();
     row(
         count,
         [
             ("snapshot KB", bytes / 1e3),
             ("bytes per job", (bytes - empty) / count as f64),
-            ("us per fold", fold),
+            ("us per fold", us_per_fold),
         ],
     )
 }
 
+/// Measures the snapshot size with `count` versions of parameters.
 fn config_state(count: usize) -> SlopeRow {
     let mut growing = GrowingState::new(SMALL_WORK);
     let empty = growing.snapshot_bytes();
@@ -335,7 +342,7 @@
             r#"{{ "parameters": [{{ "organisation": "team-{index}", "template": "work",
             "quota": {{ "cores": "100", "memory": "400GiB" }} }}] }}"#
         );
-        let manifest: WorkManifest = manifest.parse().expect("the manifest is right");
+        let manifest: WorkManifest = manifest.parse().expect("the manifest is valid");
         for spec in manifest.specs {
             growing.apply(RecordBody::Publish { base: None, spec });
         }
@@ -347,6 +354,7 @@
     )
 }
 
+/// Measures the sizes of the messages that renew the leases of `tasks` tasks of one worker.
 fn sync_bytes(tasks: usize) -> SlopeRow {
     let attempt = |index: usize| AttemptId {
         task: TaskId { job: JobId(Uuid::from_u128(u128::MAX / 3)), index: index as u32 },
@@ -374,8 +382,9 @@
     )
 }
 
+/// Measures the size of the heartbeat of a box that leads `halls` data halls.
 fn heartbeat_bytes(halls: usize) -> SlopeRow {
-    let room = HallCapacity {
+    let capacity = HallCapacity {
         hall: hall(),
         total: usual_worker().times(90),
         free: ResourceSet::default(),
@@ -387,13 +396,14 @@
         leaving: false,
         applied: Offset(10_000_000),
         leaving_endpoints: vec!["cdr-lookup-000".parse().expect("a valid name"); 5],
-        capacities: vec![room; halls],
+        capacities: vec![capacity; halls],
     };
     let message = sedgehill_peer::PeerMessage::Heartbeat(heartbeat);
     row(halls, [("bytes", message.encode().len() as f64)])
 }
 
-/// Runs a real box that leads `count` workers with tasks running at the target's density.
+/// Measures the load of a real box that leads `count` workers, with [`TASKS_PER_WORKER`] running
+/// tasks per worker on average.
 async fn real_box(count: usize) -> SlopeRow {
     let mut settings = quick_settings();
     settings["placement"] = json!({ "lease": "20s", "settle": "2s", "sync_every": "2s" });
@@ -428,9 +438,9 @@
     let pid = cluster.boxes[0].pid().expect("the box runs");
     let before = process_cost(pid).expect("the box runs");
     let appends = cluster.log.appends();
-    tokio::time::sleep(WATCH).await;
+    tokio::time::sleep(MEASURE_DURATION).await;
     let after = process_cost(pid).expect("the box runs");
-    let seconds = WATCH.as_secs_f64();
+    let seconds = MEASURE_DURATION.as_secs_f64();
     row(
         count,
         [
@@ -442,7 +452,7 @@
 }
 
 impl CapacityReport {
-    /// The tables.
+    /// Returns the results as text, with a section for each table.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for table in &self.tables {
--- a/crates/sedgehill-standin/src/measure/mod.rs
+++ b/crates/sedgehill-standin/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements. Each prints a table and, with `--json FILE`, writes the same figures as JSON. What
-//! is compared is measured in one run.
+//! The `measure` command. Each measurement prints a table and, with `--json FILE`, writes the same
+//! figures as JSON. Figures that are compared with each other are measured in the same run.
 
 mod capacity;
 mod organisations;
@@ -14,7 +14,7 @@
 
 use crate::commands::{CommandResult, finish};
 
-/// Runs the measurement that is named first.
+/// Runs the measurement that the first argument names.
 pub async fn run(mut args: Arguments) -> CommandResult {
     let json: Option<PathBuf> =
         args.opt_value_from_str("--json").map_err(|error| error.to_string())?;
@@ -23,19 +23,22 @@
     let name: String = args.free_from_str().map_err(|error| error.to_string())?;
     finish(args)?;
     match name.as_str() {
-        "path" => show(json, &path::measure().await, path::PathReport::render),
-        "capacity" => show(json, &capacity::measure().await, capacity::CapacityReport::render),
+        "path" => write_report(json, &path::measure().await, path::PathReport::render),
+        "capacity" => {
+            write_report(json, &capacity::measure().await, capacity::CapacityReport::render)
+        }
         "organisations" => {
-            show(json, &organisations::measure(), organisations::OrganisationReport::render)
+            write_report(json, &organisations::measure(), organisations::OrganisationReport::render)
         }
-        "stops" => show(json, &stops::measure(stops).await, stops::StopReport::render),
+        "stops" => write_report(json, &stops::measure(stops).await, stops::StopReport::render),
         other => Err(format!(
             "there is no measurement `{other}`, expected: path, capacity, organisations, stops"
         )),
     }
 }
 
-fn show<T: Serialize>(
+/// Prints a report as text, and writes it as JSON if a path is given.
+fn write_report<T: Serialize>(
     json: Option<PathBuf>,
     report: &T,
     render: fn(&T) -> String,
--- a/crates/sedgehill-standin/src/measure/organisations.rs
+++ b/crates/sedgehill-standin/src/measure/organisations.rs
@@ -1,4 +1,5 @@
-//! What a key check and a limit check cost at growing numbers of organisations.
+//! Measures the time of an API key check and of a resource limit check at growing numbers of
+//! organisations.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -13,16 +14,16 @@
 use sedgehill_core::units::{CoreCount, MemorySize, Moment, ResourceSet};
 use serde::Serialize;
 
-/// Organisations: the users' deployment, their target, and beyond it.
+/// Numbers of organisations: those of the users' deployment, those of their target, and more.
 const SIZES: [usize; 4] = [20, 91, 1_000, 10_000];
-/// Keys of each.
-const KEYS: usize = 2;
-/// Checks that one figure is the mean of.
-const CHECKS: usize = 200_000;
-/// Turns, of which the quickest counts.
-const TURNS: usize = 3;
+/// Keys of each organisation.
+const KEYS_PER_ORGANISATION: usize = 2;
+/// Checks in one round, over which the mean time is taken.
+const CHECKS_PER_ROUND: usize = 200_000;
+/// Rounds of each measurement, of which the fastest is reported.
+const ROUNDS: usize = 3;
 
-/// What was found at one number of organisations, in nanoseconds.
+/// Mean times of the checks at one number of organisations, in nanoseconds.
 #[derive(Debug, Clone, Serialize)]
 struct OrganisationRow {
     organisations: usize,
@@ -31,14 +32,14 @@
     limit: f64,
 }
 
-/// What was found.
+/// Result of the measurement.
 #[derive(Debug, Serialize)]
 pub struct OrganisationReport {
     rows: Vec<OrganisationRow>,
 }
 
 impl OrganisationReport {
-    /// A table.
+    /// Returns the results as a table.
     pub fn render(&self) -> String {
         let mut text = String::from("organisations  known key  unknown key  limit (ns a check)\n");
         for row in &self.rows {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Measures all sizes.
+/// Measures the checks at each number of organisations.
 pub fn measure() -> OrganisationReport {
     OrganisationReport { rows: SIZES.into_iter().map(measure_size).collect() }
 }
@@ -69,21 +70,22 @@
 fn measure_size(organisations: usize) -> OrganisationRow {
     let mut ring = KeyRing::default();
     for number in 0..organisations {
-        for key in 0..KEYS {
+        for key in 0..KEYS_PER_ORGANISATION {
             let owner = KeyOwner { organisation: name(number), place: number };
             ring.add(digest_key(&key_text(number, key)), owner);
         }
     }
     let known: Vec<String> = (0..organisations).map(|number| key_text(number, 0)).collect();
-    let unknown: Vec<String> = (0..organisations).map(|number| key_text(number, KEYS)).collect();
-    let check = |keys: &[String], turn: usize| {
-        let key = digest_key(&keys[turn % keys.len()]);
+    let unknown: Vec<String> =
+        (0..organisations).map(|number| key_text(number, KEYS_PER_ORGANISATION)).collect();
+    let check = |keys: &[String], index: usize| {
+        let key = digest_key(&keys[index % keys.len()]);
         black_box(ring.admit(false, Ok(key))).is_ok()
     };
     OrganisationRow {
         organisations,
-        known_key: time(|turn| check(&known, turn)),
-        unknown_key: time(|turn| check(&unknown, turn)),
+        known_key: time(|index| check(&known, index)),
+        unknown_key: time(|index| check(&unknown, index)),
         limit: measure_limit(organisations),
     }
 }
@@ -108,13 +110,14 @@
     time(|turn| black_box(book.room_for(Some(keys[turn % keys.len()]), &need)) > 0)
 }
 
-/// The mean time of a check, in nanoseconds.
+/// Returns the mean time of a check in the fastest round, in nanoseconds. `check` is given the
+/// number of the check in the round.
 fn time(check: impl Fn(usize) -> bool) -> f64 {
-    let turn = |_| {
-        let begun = Instant::now();
-        let passed = (0..CHECKS).filter(|turn| check(*turn)).count();
+    let round = |_| {
+        let started = Instant::now();
+        let passed = (0..CHECKS_PER_ROUND).filter(|index| check(*index)).count();
         black_box(passed);
-        begun.elapsed().as_nanos() as f64 / CHECKS as f64
+        started.elapsed().as_nanos() as f64 / CHECKS_PER_ROUND as f64
     };
-    (0..TURNS).map(turn).fold(f64::INFINITY, f64::min)
+    (0..ROUNDS).map(round).fold(f64::INFINITY, f64::min)
 }
--- a/crates/sedgehill-standin/src/measure/path.rs
+++ b/crates/sedgehill-standin/src/measure/path.rs
@@ -1,4 +1,5 @@
-//! What a box adds to a request: the same load straight to endpoints and through one box, in turns.
+//! Measures the latency and the throughput that a box costs. The same load is sent directly to the
+//! endpoints and through a box, in alternating rounds.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -17,42 +18,42 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// Endpoints that answer at once.
-const ENDPOINTS: usize = 50;
-/// How long each turn lasts.
-const TURN: Duration = Duration::from_millis(1_500);
-/// Turns of each way; the median of them is reported.
+/// Number of endpoints. They answer immediately.
+const ENDPOINT_COUNT: usize = 50;
+/// Duration of one load on one path.
+const LOAD_DURATION: Duration = Duration::from_millis(1_500);
+/// Rounds for each path and number of connections. The load with the median throughput is reported.
 const ROUNDS: usize = 3;
-/// Connections of callers, from almost idle to saturated.
+/// Numbers of connections, from a nearly idle box to a saturated one.
 const CONNECTIONS: [usize; 3] = [1, 8, 64];
-/// Threads of a box for traffic: half of the machine's cores.
+/// Traffic threads of a box: half of the cores of the measuring machine.
 const TRAFFIC_THREADS: usize = 4;
-/// The target for added latency at the median, in milliseconds.
-const ADDED_TARGET_MS: f64 = 0.3;
-/// The target for throughput against the direct way.
-const THROUGHPUT_TARGET: f64 = 0.4;
+/// Target: maximum median latency that a box adds, in milliseconds.
+const MAX_ADDED_P50_MS: f64 = 0.3;
+/// Target: minimum throughput through a box, as a share of the direct throughput.
+const MIN_THROUGHPUT_RATIO: f64 = 0.4;
 
-/// How one way did in one turn.
+/// Throughput and latency of one load on one path.
 #[derive(Debug, Clone, Copy, Serialize)]
-struct TurnResult {
+struct LoadResult {
     per_second: f64,
     p50_ms: f64,
     p99_ms: f64,
 }
 
-/// Both ways at one number of connections.
+/// Results of all paths at one number of connections.
 #[derive(Debug, Clone, Serialize)]
 struct PathRow {
     connections: usize,
-    direct: TurnResult,
-    through_box: TurnResult,
-    through_box_without_log: TurnResult,
+    direct: LoadResult,
+    through_box: LoadResult,
+    through_box_without_log: LoadResult,
     added_p50_ms: f64,
     added_p99_ms: f64,
     throughput_ratio: f64,
 }
 
-/// The findings.
+/// Result of the measurement.
 #[derive(Debug, Clone, Serialize)]
 pub struct PathReport {
     rows: Vec<PathRow>,
@@ -60,58 +61,60 @@
     log_cost_us_per_request: f64,
 }
 
-/// Measures.
+/// Measures all paths at each number of connections.
 pub async fn measure() -> PathReport {
     let servers = start_endpoints().await;
     let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
-    let (logging, start_up) = start_box(&addresses, true).await;
-    let (silent, _) = start_box(&addresses, false).await;
-    let with_log = [logging.boxes[0].addresses.traffic];
-    let without_log = [silent.boxes[0].addresses.traffic];
+    let (cluster_with_log, start_up) = start_box(&addresses, true).await;
+    let (cluster_without_log, _) = start_box(&addresses, false).await;
+    let with_log = [cluster_with_log.boxes[0].addresses.traffic];
+    let without_log = [cluster_without_log.boxes[0].addresses.traffic];
     let mut rows = Vec::new();
-    let mut costs = Vec::new();
+    let mut log_costs_us = Vec::new();
     for connections in CONNECTIONS {
         eprintln!("{:>12} {connections} connections", "Measuring");
-        let mut results: [Vec<TurnResult>; 3] = Default::default();
+        let mut results: [Vec<LoadResult>; 3] = Default::default();
         for _ in 0..ROUNDS {
-            results[0].push(turn(&addresses, connections).await);
-            results[1].push(turn(&with_log, connections).await);
-            results[2].push(turn(&without_log, connections).await);
+            results[0].push(run_load(&addresses, connections).await);
+            results[1].push(run_load(&with_log, connections).await);
+            results[2].push(run_load(&without_log, connections).await);
         }
-        let [direct, through_box, without] = results.map(median);
-        costs.push(1e6 / through_box.per_second - 1e6 / without.per_second);
+        let [direct, through_box, through_box_without_log] = results.map(median);
+        log_costs_us.push(1e6 / through_box.per_second - 1e6 / through_box_without_log.per_second);
         rows.push(PathRow {
             connections,
             direct,
             through_box,
-            through_box_without_log: without,
+            through_box_without_log,
             added_p50_ms: through_box.p50_ms - direct.p50_ms,
             added_p99_ms: through_box.p99_ms - direct.p99_ms,
             throughput_ratio: through_box.per_second / direct.per_second,
         });
     }
-    let log_cost = costs.last().copied().unwrap_or_default();
+    let log_cost_us_per_request = log_costs_us.last().copied().unwrap_or_default();
     let start_up_ms = start_up.as_secs_f64() * 1000.0;
-    PathReport { rows, start_up_ms, log_cost_us_per_request: log_cost }
+    PathReport { rows, start_up_ms, log_cost_us_per_request }
 }
 
-/// The turn in the middle by throughput.
-fn median(mut turns: Vec<TurnResult>) -> TurnResult {
-    turns.sort_by(|a, b| a.per_second.total_cmp(&b.per_second));
-    turns[turns.len() / 2]
+/// Returns the result with the median throughput.
+fn median(mut results: Vec<LoadResult>) -> LoadResult {
+    results.sort_by(|a, b| a.per_second.total_cmp(&b.per_second));
+    results[results.len() / 2]
 }
 
 async fn start_endpoints() -> Vec<ServerGuard> {
-    let any = "127.0.0.1:0".parse().expect("a valid address");
+    let any_port = "127.0.0.1:0".parse().expect("a valid address");
     let mut servers = Vec::new();
-    for _ in 0..ENDPOINTS {
-        let server =
-            http_server::serve(any, |_| async { http_server::json(&"an answer of some length") });
-        servers.push(server.await.expect("loopback can be listened on"));
+    for _ in 0..ENDPOINT_COUNT {
+        let server = http_server::serve(any_port, |_| async {
+            http_server::json(&"an answer of some length")
+        });
+        servers.push(server.await.expect("the server can listen on loopback"));
     }
     servers
 }
 
+/// Starts a box that routes to the endpoints. Returns it with the time that it took to be ready.
 async fn start_box(endpoints: &[SocketAddr], log_decisions: bool) -> (TestCluster, Duration) {
     let mut settings = quick_settings();
     settings["traffic_threads"] = json!(TRAFFIC_THREADS);
@@ -145,30 +148,32 @@
     (cluster, start_up)
 }
 
-/// Sends requests over kept connections, each as soon as the last is answered.
-async fn turn(addresses: &[SocketAddr], connections: usize) -> TurnResult {
-    let end = Instant::now() + TURN;
+/// Sends load for [`LOAD_DURATION`]. Each of the persistent connections sends its next request as
+/// soon as the last one is answered.
+async fn run_load(addresses: &[SocketAddr], connections: usize) -> LoadResult {
+    let end = Instant::now() + LOAD_DURATION;
     let mut callers = tokio::task::JoinSet::new();
     for index in 0..connections {
         callers.spawn(call_until(addresses[index % addresses.len()], end));
     }
-    let mut whole = new_histogram();
+    let mut merged = new_histogram();
     for histogram in callers.join_all().await {
-        whole.add(histogram).expect("the bounds are the same");
+        merged.add(histogram).expect("the bounds are the same");
     }
-    let millis = |quantile| whole.value_at_quantile(quantile) as f64 / 1e6;
-    TurnResult {
-        per_second: whole.len() as f64 / TURN.as_secs_f64(),
+    let millis = |quantile| merged.value_at_quantile(quantile) as f64 / 1e6;
+    LoadResult {
+        per_second: merged.len() as f64 / LOAD_DURATION.as_secs_f64(),
         p50_ms: millis(0.5),
         p99_ms: millis(0.99),
     }
 }
 
-/// A histogram of nanoseconds up to a minute.
+/// Returns a histogram of latencies in nanoseconds, up to one minute.
 fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("the bounds are valid")
 }
 
+/// Sends requests over one connection until `end` and returns their latencies.
 async fn call_until(address: SocketAddr, end: Instant) -> Histogram<u64> {
     let mut histogram = new_histogram();
     let mut connection = connect(address).await;
@@ -178,26 +183,27 @@
             .header("host", "windyk")
             .body(Full::new(Bytes::from_static(b"ask")))
             .expect("the parts are valid");
-        let response = connection.send_request(request).await.expect("the other side answers");
+        let response = connection.send_request(request).await.expect("the server answers");
         assert!(response.status().is_success(), "answered with {}", response.status());
-        response.into_body().collect().await.expect("the answer is whole");
+        response.into_body().collect().await.expect("the response body is complete");
         let nanos = started.elapsed().as_nanos() as u64;
         histogram.record(nanos).expect("a call takes less than a minute");
-        connection.ready().await.expect("the connection is kept");
+        connection.ready().await.expect("the connection stays open");
     }
     histogram
 }
 
 async fn connect(address: SocketAddr) -> SendRequest<Full<Bytes>> {
-    let stream = tokio::net::TcpStream::connect(address).await.expect("the other side listens");
+    let stream = tokio::net::TcpStream::connect(address).await.expect("the server listens");
     stream.set_nodelay(true).expect("the option can be set");
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.expect("it is HTTP");
+    let (sender, connection) =
+        http1::handshake(TokioIo::new(stream)).await.expect("the HTTP handshake succeeds");
     tokio::spawn(connection);
     sender
 }
 
 impl PathReport {
-    /// The table.
+    /// Returns the results as a table.
     pub fn render(&self) -> String {
         let mut text = format!(
             "{:>11} {:>14} {:>14} {:>7} {:>12} {:>12} {:>12}\n",
@@ -218,7 +224,7 @@
         }
         let _ = writeln!(
             text,
-            "targets: added p50 under {ADDED_TARGET_MS} ms, ratio at least {THROUGHPUT_TARGET}\n\
+            "targets: added p50 under {MAX_ADDED_P50_MS} ms, ratio at least {MIN_THROUGHPUT_RATIO}\n\
              decision log: {:.2} us of a request's time at {} connections\n\
              box ready after {:.0} ms",
             self.log_cost_us_per_request,
--- a/crates/sedgehill-standin/src/measure/stops.rs
+++ b/crates/sedgehill-standin/src/measure/stops.rs
@@ -1,4 +1,5 @@
-//! Calls that a planned stop cuts off, by how callers use their connections.
+//! Measures how many calls a planned stop of a box cuts off, for different pauses between the calls
+//! of a connection.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -12,17 +13,19 @@
 use sedgehill_standin::kept_caller::{StopTally, call_until_gone};
 use serde::Serialize;
 
-/// Callers of each stop.
-const CALLERS: usize = 64;
-/// Between the first calls and the signal.
+/// Concurrent callers during each stop, with one connection each.
+const CALLER_COUNT: usize = 64;
+/// Time from the first calls to the signal that stops the box.
 const WARM_UP: Duration = Duration::from_millis(1_500);
-/// How long a box is frozen after the signal, in the rows with a frozen box.
-const FREEZE: Duration = Duration::from_millis(2_000);
+/// Time for which a box is frozen with SIGSTOP after the signal, in the rows with a frozen box.
+const FREEZE_DURATION: Duration = Duration::from_millis(2_000);
 
-/// How callers pause between calls, in milliseconds, and whether the box is frozen after the signal.
-const OWN_ROWS: [(RangeInclusive<u64>, bool); 4] =
+/// Rows for a box in log mode: the range of the pauses between calls, in milliseconds, and whether
+/// the box is frozen after the signal.
+const LOG_MODE_ROWS: [(RangeInclusive<u64>, bool); 4] =
     [(10..=830, false), (1_470..=1_530, false), (1_000..=2_900, false), (10..=2_900, true)];
-const CELL_ROWS: [(RangeInclusive<u64>, bool); 5] = [
+/// Rows for a box in cell mode, in the same form.
+const CELL_MODE_ROWS: [(RangeInclusive<u64>, bool); 5] = [
     (0..=0, false),
     (1..=64, false),
     (200..=830, false),
@@ -30,7 +33,7 @@
     (1..=3_000, true),
 ];
 
-/// What was found in one row.
+/// Results for one range of pauses, over all its stops.
 #[derive(Debug, Serialize)]
 struct StopRow {
     mode: &'static str,
@@ -44,14 +47,14 @@
     example: String,
 }
 
-/// What was found.
+/// Result of the measurement.
 #[derive(Debug, Serialize)]
 pub struct StopReport {
     rows: Vec<StopRow>,
 }
 
 impl StopReport {
-    /// A table.
+    /// Returns the results as a table.
     pub fn render(&self) -> String {
         let mut text = String::from(
             "mode  pauses, ms   frozen  stops    calls  503  cut off  longest stop, ms  example\n",
@@ -76,13 +79,13 @@
     }
 }
 
-/// Measures all rows, each with so many stops.
+/// Measures all rows, with the given number of stops in each.
 pub async fn measure(stops: usize) -> StopReport {
     let mut rows = Vec::new();
-    for (pauses, frozen) in OWN_ROWS {
+    for (pauses, frozen) in LOG_MODE_ROWS {
         rows.push(measure_row("own", &pauses, frozen, stops).await);
     }
-    for (pauses, frozen) in CELL_ROWS {
+    for (pauses, frozen) in CELL_MODE_ROWS {
         rows.push(measure_row("cell", &pauses, frozen, stops).await);
     }
     StopReport { rows }
@@ -106,23 +109,25 @@
         example: String::new(),
     };
     for _ in 0..stops {
-        let (tally, took) = match mode {
-            "own" => stop_own(pauses, frozen).await,
-            _ => stop_cell(pauses, frozen).await,
+        let (tally, stop_duration) = match mode {
+            "own" => stop_log_mode(pauses, frozen).await,
+            _ => stop_cell_mode(pauses, frozen).await,
         };
         row.calls += tally.calls;
         row.refused += tally.refused;
         row.cut += tally.cut.len();
-        row.longest_stop_ms = row.longest_stop_ms.max(took.as_millis());
-        if let Some((at, how)) = tally.cut.first() {
+        row.longest_stop_ms = row.longest_stop_ms.max(stop_duration.as_millis());
+        if let Some((at, error)) = tally.cut.first() {
             let at = at.saturating_sub(WARM_UP).as_millis();
-            row.example = format!("{at} ms after the signal, {how}");
+            row.example = format!("{at} ms after the signal, {error}");
         }
     }
     row
 }
 
-async fn stop_own(pauses: &RangeInclusive<u64>, frozen: bool) -> (StopTally, Duration) {
+/// Stops a box in log mode while it is called. Returns the tally of the callers and the time from
+/// the signal to the end of the process.
+async fn stop_log_mode(pauses: &RangeInclusive<u64>, frozen: bool) -> (StopTally, Duration) {
     let plan = ClusterPlan {
         boxes: vec!["gdansk-hala-a", "gdynia-hala-b"],
         endpoints: vec![EndpointGroup {
@@ -143,22 +148,23 @@
                    X-Caller-Token: stops\r\nContent-Length: 3\r\n\r\nask";
     let callers = start_callers(address, request, pauses);
     tokio::time::sleep(WARM_UP).await;
-    let began = Instant::now();
+    let signalled_at = Instant::now();
     cluster.boxes[1].signal(Signal::SIGTERM);
     if frozen {
         tokio::time::sleep(Duration::from_millis(100)).await;
         cluster.boxes[1].signal(Signal::SIGSTOP);
-        tokio::time::sleep(FREEZE).await;
+        tokio::time::sleep(FREEZE_DURATION).await;
         cluster.boxes[1].signal(Signal::SIGCONT);
     }
-    let tally = callers.await.expect("callers end");
+    let tally = callers.await.expect("the callers do not panic");
     while cluster.boxes[1].try_wait().is_none() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    (tally, began.elapsed())
+    (tally, signalled_at.elapsed())
 }
 
-async fn stop_cell(pauses: &RangeInclusive<u64>, frozen: bool) -> (StopTally, Duration) {
+/// Stops a box in cell mode while it is called, like [`stop_log_mode`].
+async fn stop_cell_mode(pauses: &RangeInclusive<u64>, frozen: bool) -> (StopTally, Duration) {
     let directory = tempfile::tempdir().expect("a directory can be made");
     let platform = CellPlatform::start(2).await.expect("the stand-ins can be started");
     platform.configure(1);
@@ -173,21 +179,22 @@
         "GET /checks/00000000000000ff HTTP/1.1\r\nHost: cell.example\r\nDeadline-Ms: 3000\r\n\r\n";
     let callers = start_callers(first.callers, request, pauses);
     tokio::time::sleep(WARM_UP).await;
-    let began = Instant::now();
+    let signalled_at = Instant::now();
     first.signal(Signal::SIGTERM);
     if frozen {
         tokio::time::sleep(Duration::from_millis(100)).await;
         first.signal(Signal::SIGSTOP);
-        tokio::time::sleep(FREEZE).await;
+        tokio::time::sleep(FREEZE_DURATION).await;
         first.signal(Signal::SIGCONT);
     }
-    let tally = callers.await.expect("callers end");
+    let tally = callers.await.expect("the callers do not panic");
     while !first.has_ended() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    (tally, began.elapsed())
+    (tally, signalled_at.elapsed())
 }
 
+/// Waits until a box in cell mode reports that it is ready.
 async fn wait_ready(process: &CellProcess) {
     while call(process.ready, "GET", "/sedgehill/readyz", "")
         .await
@@ -197,11 +204,12 @@
     }
 }
 
+/// Starts callers that send `request` until the box refuses connections.
 fn start_callers(
     address: SocketAddr,
     request: &'static str,
     pauses: &RangeInclusive<u64>,
 ) -> tokio::task::JoinHandle<StopTally> {
     let pauses = pauses.clone();
-    tokio::spawn(async move { call_until_gone(address, request, CALLERS, pauses).await })
+    tokio::spawn(async move { call_until_gone(address, request, CALLER_COUNT, pauses).await })
 }
