--- a/crates/sedgehill-platform/src/client.rs
+++ b/crates/sedgehill-platform/src/client.rs
@@ -37,7 +37,7 @@
         /// The call may have been executed, or may still be: it timed out, its connection broke, or
         /// the response has another status or cannot be decoded.
         Unknown(cause: String) {
-            display("no answer: {cause}")
+            display("no valid answer: {cause}")
         }
     }
 }
--- a/crates/sedgehill-platform/src/worker.rs
+++ b/crates/sedgehill-platform/src/worker.rs
@@ -18,7 +18,7 @@
     pub started: bool,
 }
 
-/// A client of every worker.
+/// A client for all workers, each called at its own address.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerClient {
     client: JsonClient,
--- a/crates/sedgehill/src/commands/publish.rs
+++ b/crates/sedgehill/src/commands/publish.rs
@@ -27,8 +27,8 @@
 pub fn run(context: &CommandContext, mut args: Arguments) -> Result<(), CliError> {
     let base: Option<Version> = args.opt_value_from_str("--base")?;
     let manifests = read_manifests(args)?;
-    let current = context.block_on(context.client.configs())?;
-    let mut known: BTreeSet<String> = current.into_iter().map(|entry| entry.key).collect();
+    let listings = context.block_on(context.client.configs())?;
+    let mut known: BTreeSet<String> = listings.into_iter().map(|listing| listing.key).collect();
     let keys =
         manifests.iter().flat_map(|(_, manifest)| manifest.specs.iter().map(ConfigSpec::key));
     known.extend(keys.map(|key| key.to_string()));
--- a/crates/sedgehill/src/error.rs
+++ b/crates/sedgehill/src/error.rs
@@ -45,7 +45,7 @@
         }
         /// The change may have taken effect, or may still.
         Unknown(subject: String) {
-            display("{subject}: outcome unknown: the change may have taken effect or may still; \
+            display("{subject}: outcome unknown: the change may have taken effect or may still do so; \
                      check the current state before trying again")
         }
         /// Something that the command line names does not exist.
