--- a/crates/sedgehill-platform/src/worker.rs
+++ b/crates/sedgehill-platform/src/worker.rs
@@ -1,4 +1,4 @@
-//! The platform's workers.
+//! The interface of the platform's workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,47 +6,48 @@
 use sedgehill_core::placement::{StartReply, TaskStart, WorkerInventory, WorkerSync};
 use serde::{Deserialize, Serialize};
 
-use crate::caller::{CallError, JsonCaller};
+use crate::client::{CallError, JsonClient};
 
-/// How long a worker may take to answer.
-pub const WORKER_LIMIT: Duration = Duration::from_secs(1);
+/// Time-out of a call to a worker.
+pub const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The answer to a start order.
+/// Response body of a start order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StartAnswer {
-    /// Whether the task runs.
+    /// Whether the worker started the task.
     pub started: bool,
 }
 
-/// A client of the workers.
+/// A client for all workers, each called at its own address.
 #[derive(Debug, Clone, Default)]
 pub struct WorkerClient {
-    caller: JsonCaller,
+    client: JsonClient,
 }
 
 impl WorkerClient {
-    /// A client that makes its calls through `caller`.
-    pub fn new(caller: JsonCaller) -> WorkerClient {
-        WorkerClient { caller }
+    /// Creates a client that makes its calls with `client`.
+    pub fn new(client: JsonClient) -> WorkerClient {
+        WorkerClient { client }
     }
 
-    /// Orders a worker to start a task.
+    /// Orders the worker at `address` to start a task.
     pub async fn start(&self, address: SocketAddr, start: &TaskStart) -> StartReply {
-        let answer = self.caller.post(address, "/v1/start", start, WORKER_LIMIT).await;
+        let answer = self.client.post(address, "/v1/start", start, WORKER_TIMEOUT).await;
         match answer {
             Ok(StartAnswer { started: true }) => StartReply::Started,
             Ok(StartAnswer { started: false }) => StartReply::Refused,
-            Err(error) if error.is_certain() => StartReply::Refused,
+            Err(error) if error.is_not_done() => StartReply::Refused,
             Err(_) => StartReply::Unknown,
         }
     }
 
-    /// Renews leases, stops tasks and reads the inventory.
+    /// Has the worker at `address` renew leases, stop attempts and forget ended ones, and returns
+    /// its inventory.
     pub async fn sync(
         &self,
         address: SocketAddr,
         sync: &WorkerSync,
     ) -> Result<WorkerInventory, CallError> {
-        self.caller.post(address, "/v1/sync", sync, WORKER_LIMIT).await
+        self.client.post(address, "/v1/sync", sync, WORKER_TIMEOUT).await
     }
 }
--- a/crates/sedgehilld/src/controllers/log_writer.rs
+++ b/crates/sedgehilld/src/controllers/log_writer.rs
@@ -11,7 +11,7 @@
 use sedgehill_core::record::{LogRecord, RecordBatch, RecordBody};
 use sedgehill_core::state::RecordVerdict;
 use sedgehill_core::units::{Moment, TimeSpan};
-use sedgehill_platform::caller::CallError;
+use sedgehill_platform::client::CallError;
 use sedgehill_platform::log::LogClient;
 use tokio::sync::oneshot;
 use uuid::Uuid;
@@ -163,7 +163,7 @@
 
 /// Appends pending records until the process ends.
 pub async fn run(context: ControlContext) {
-    let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
+    let client = LogClient::new(context.client.clone(), context.shared.settings.platform.log);
     let append_interval =
         Duration::from_millis(context.shared.settings.log.append_every.as_millis());
     let mut retry_delay_ms = MIN_RETRY_DELAY_MS;
@@ -199,7 +199,7 @@
 }
 
 fn record_failure(context: &ControlContext, batch: &RecordBatch, error: &CallError, sent: Moment) {
-    match error.is_certain() {
+    match error.is_not_done() {
         true => {
             telemetry::count_append("refused");
             context.state.borrow_mut().writer.mark_unsent(batch, sent);
--- a/crates/sedgehilld/src/controllers/members.rs
+++ b/crates/sedgehilld/src/controllers/members.rs
@@ -17,7 +17,7 @@
 
 /// Reads the platform's list until the process ends.
 pub async fn read_list(context: ControlContext) {
-    let client = ListClient::new(context.caller.clone(), context.shared.settings.platform.list);
+    let client = ListClient::new(context.client.clone(), context.shared.settings.platform.list);
     let interval = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     loop {
         let started_at = clock::now();
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -25,7 +25,7 @@
 use sedgehill_core::units::{Moment, TimeSpan};
 use sedgehill_peer::{ClaimStatus, PeerLink, PeerRequest};
 use sedgehill_platform::admin::{ChangeReply, ChangeRequest, DecisionRecord};
-use sedgehill_platform::caller::JsonCaller;
+use sedgehill_platform::client::JsonClient;
 use sedgehill_platform::list::PlatformList;
 use tokio::sync::{Notify, Semaphore, mpsc, oneshot};
 
@@ -287,7 +287,7 @@
     state: Rc<RefCell<ControlState>>,
     shared: Arc<SharedState>,
     link: PeerLink,
-    caller: JsonCaller,
+    client: JsonClient,
     /// Wakes the log writer when records are to be appended.
     writer_notify: Rc<Notify>,
     /// Wakes the placement controller before its next tick.
@@ -309,7 +309,7 @@
         state: Rc::new(RefCell::new(ControlState::new(shared.clone()))),
         shared,
         link,
-        caller: JsonCaller::new(),
+        client: JsonClient::new(),
         writer_notify: Rc::default(),
         placement_notify: Rc::default(),
         refresh_notify: Rc::default(),
