--- a/crates/sedgehilld/src/controllers/log_reader.rs
+++ b/crates/sedgehilld/src/controllers/log_reader.rs
@@ -27,7 +27,7 @@
 
 /// Reads the log until the process ends.
 pub async fn run(context: ControlContext) {
-    let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
+    let client = LogClient::new(context.client.clone(), context.shared.settings.platform.log);
     loop {
         let from = context.state.borrow().fold.next();
         // Without a state the read does not wait, because an empty log may stay empty for long.
