--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -26,9 +26,9 @@
 use slog::{debug, info};
 use tokio::net::TcpListener;
 
-use super::accept::{AcceptHandle, AcceptOutcome};
 use super::frames::StateAnswer;
 use super::state::CellBox;
+use super::submission::{AcceptHandle, AcceptOutcome};
 use crate::connection::{CallerConnection, ConnectionLimits};
 use crate::{clock, telemetry};
 
--- a/crates/sedgehilld/src/cell/frames.rs
+++ b/crates/sedgehilld/src/cell/frames.rs
@@ -15,8 +15,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-use super::accept::AcceptOutcome;
 use super::relay::{RelayAnswer, RelayCall};
+use super::submission::AcceptOutcome;
 
 /// The longest frame, in bytes. One job takes some 5 KB at the most, a question on a hundred workers
 /// some 4 KB; records are packed into frames of [`RECORD_BYTES`].
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -18,13 +18,13 @@
 
 use super::frames::FedRecords;
 use super::hedge::{self, AppendCall};
-use super::peers::FrameQueue;
+use super::lead_log::{AuthoritySight, FollowedLead, LeadEnd};
+use super::link_server::FrameQueue;
 use super::recorder::LedSubmission;
 use super::relay::RelayDesk;
 use super::renewal::{give_up, renew};
-use super::sight::{AuthoritySight, FollowedLead, LeadEnd};
 use super::state::CellBox;
-use super::{events, figures, orders, peers, recorder, roster, sight};
+use super::{events, lead_log, lead_metrics, link_server, orders, recorder, worker_watch};
 use crate::{clock, telemetry};
 
 /// Time between two looks at who leads.
@@ -294,7 +294,7 @@
     let mut recorder = match fenced {
         Ok(recorder) => recorder,
         Err(end) => {
-            sight::note_end(host, &session, end);
+            lead_log::note_end(host, &session, end);
             give_up(host, &session).await;
             return;
         }
@@ -307,19 +307,19 @@
         session.add_job(host, id);
     }
     session.scheduler.borrow_mut().note_caught_up();
-    sight::note_taking_over(host, &session, followed, recorder.fence);
+    lead_log::note_taking_over(host, &session, followed, recorder.fence);
     *host.session.borrow_mut() = Some(session.clone());
     let end = tokio::select! {
         end = renewing.as_mut() => end,
         () = recorder.run(host, &session) => LeadEnd::FencedByStore,
-        () = roster::follow(host, &session) => LeadEnd::Halted,
-        () = peers::feed(host, &session) => LeadEnd::Halted,
+        () = worker_watch::follow(host, &session) => LeadEnd::Halted,
+        () = link_server::feed(host, &session) => LeadEnd::Halted,
         () = take_turns(host, &session) => LeadEnd::Halted,
-        () = figures::show(&session) => LeadEnd::Halted,
+        () = lead_metrics::show(&session) => LeadEnd::Halted,
     };
     session.ended.set(true);
-    sight::note_end(host, &session, end);
-    figures::clear(&session);
+    lead_log::note_end(host, &session, end);
+    lead_metrics::clear(&session);
     // Whoever waits for one of them puts it into the store by itself.
     session.submissions.borrow_mut().clear();
     *host.session.borrow_mut() = None;
--- a/crates/sedgehilld/src/cell/lead_link.rs
+++ b/crates/sedgehilld/src/cell/lead_link.rs
@@ -10,9 +10,9 @@
 use sedgehill_core::units::Moment;
 use tokio::sync::{mpsc, oneshot};
 
-use super::accept::AcceptOutcome;
 use super::frames::{PeerFrame, StateAnswer, ViewProof};
 use super::state::CellBox;
+use super::submission::AcceptOutcome;
 
 /// How long the lead may take to tell a state.
 const STATE_LIMIT: Duration = Duration::from_millis(800);
--- a/crates/sedgehilld/src/cell/peers.rs
+++ b/crates/sedgehilld/src/cell/link_server.rs
@@ -1,4 +1,4 @@
-//! The lead's side of the links between boxes: each box keeps one to the lead (see [`super::link`]).
+//! The lead's side of the links between boxes: each box keeps one to the lead (see [`super::link_client`]).
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sedgehilld/src/cell/mod.rs
+++ b/crates/sedgehilld/src/cell/mod.rs
@@ -4,28 +4,28 @@
 //! what the store holds, and leads the cell while it holds the claim. No box is set aside and none
 //! keeps anything on disk. All tasks run on one thread, since a box has a fraction of one core.
 
-mod accept;
 mod apply;
 mod callers;
 mod events;
-mod figures;
-mod follow;
 mod frames;
 mod hedge;
-mod late;
+mod late_answer;
 mod lead;
 mod lead_link;
-mod link;
+mod lead_log;
+mod lead_metrics;
+mod link_client;
+mod link_server;
 mod orders;
-mod peers;
 mod recorder;
 mod relay;
 mod renewal;
-mod roster;
 mod settings;
-mod sight;
 mod state;
 mod stop;
+mod submission;
+mod topic_follower;
+mod worker_watch;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -71,19 +71,19 @@
     let metrics = bind(listen.metrics).await?;
     let host = Rc::new(CellBox::new(settings, log.logger.clone()));
     info!(host.log, "started"; "version" => env!("CARGO_PKG_VERSION"), "life" => host.life);
-    let (accept, submissions) = accept::AcceptHandle::new();
-    spawn_local(follow::follow_config(host.clone()));
-    spawn_local(follow::follow_leads(host.clone()));
-    spawn_local(follow::follow_jobs(host.clone()));
-    spawn_local(follow::follow_progress(host.clone()));
-    spawn_local(accept::run(host.clone(), submissions));
+    let (accept, submissions) = submission::AcceptHandle::new();
+    spawn_local(topic_follower::follow_config(host.clone()));
+    spawn_local(topic_follower::follow_leads(host.clone()));
+    spawn_local(topic_follower::follow_jobs(host.clone()));
+    spawn_local(topic_follower::follow_progress(host.clone()));
+    spawn_local(submission::run(host.clone(), submissions));
     spawn_local(callers::serve(host.clone(), accept, callers));
     spawn_local(callers::serve_ready(host.clone(), ready));
     let recorder = telemetry::install();
     spawn_local(telemetry::run_upkeep(recorder.clone()));
     spawn_local(callers::serve_metrics(recorder, metrics));
-    spawn_local(peers::listen(host.clone(), peers));
-    spawn_local(link::keep(host.clone()));
+    spawn_local(link_server::listen(host.clone(), peers));
+    spawn_local(link_client::keep(host.clone()));
     spawn_local(lead::run(host.clone()));
     spawn_local(note_replacements(host.clone()));
     stop::wait(&host).await;
--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -14,10 +14,10 @@
 use slog::warn;
 
 use super::frames::{HelperQuestion, PeerFrame};
-use super::late;
+use super::late_answer;
 use super::lead::LeadSession;
-use super::roster::{self, target_of};
 use super::state::CellBox;
+use super::worker_watch::{self, target_of};
 use crate::clock;
 
 /// How long a question may take. The scheduler has it asked elsewhere and gives it up much earlier, by what it costs; a
@@ -86,7 +86,7 @@
 {
     let limit = session.order_patience.borrow().limit();
     let sent = Instant::now();
-    let limits = late::limits_for(limit);
+    let limits = late_answer::limits_for(limit);
     let answering = calling(limits);
     let learning = {
         let session = session.clone();
@@ -99,7 +99,7 @@
         }
     };
     // A late answer has told all it can once it was learned from.
-    let answer = late::wait_for(learning, limits, drop).await;
+    let answer = late_answer::wait_for(learning, limits, drop).await;
     answer.unwrap_or(WorkerAnswer::Unknown)
 }
 
@@ -120,7 +120,7 @@
     if answered {
         // An account asked for now tells at once whether there was such a run; the one under way may
         // wait for an end that never comes.
-        roster::look(host, session, &target, order.worker).await;
+        worker_watch::look(host, session, &target, order.worker).await;
     }
 }
 
--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -17,12 +17,12 @@
 use slog::{info, warn};
 use tokio::sync::oneshot;
 
-use super::accept::AcceptOutcome;
 use super::apply;
-use super::follow;
 use super::hedge::{self, AppendCall};
 use super::lead::LeadSession;
 use super::state::CellBox;
+use super::submission::AcceptOutcome;
+use super::topic_follower;
 use crate::{clock, telemetry};
 
 /// The sender of progress: each lead has its token as the epoch, so the store refuses earlier ones.
@@ -75,8 +75,8 @@
     let limit = Duration::from_millis(FENCE_LIMIT.0.saturating_sub(clock::now().since(begun).0));
     let reading = async {
         tokio::try_join!(
-            follow::catch_up(host, StoreTopic::Progress, end),
-            follow::catch_up_now(host, StoreTopic::Jobs)
+            topic_follower::catch_up(host, StoreTopic::Progress, end),
+            topic_follower::catch_up_now(host, StoreTopic::Jobs)
         )
     };
     match tokio::time::timeout(limit, reading).await {
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -7,7 +7,7 @@
 use slog::info;
 
 use super::lead::{LeadSession, WATCH_TURN, append_lead, lead_end};
-use super::sight::LeadEnd;
+use super::lead_log::LeadEnd;
 use super::state::CellBox;
 use crate::clock;
 
--- a/crates/sedgehilld/src/cell/roster.rs
+++ b/crates/sedgehilld/src/cell/worker_watch.rs
@@ -11,7 +11,7 @@
 use sedgehill_core::units::{Moment, TimeSpan};
 use slog::{info, warn};
 
-use super::late;
+use super::late_answer;
 use super::lead::LeadSession;
 use super::state::CellBox;
 use crate::{clock, telemetry};
@@ -146,7 +146,7 @@
 ) -> bool {
     let sent = clock::now();
     let usual = session.order_patience.borrow().limit();
-    let limits = late::limits_for(usual);
+    let limits = late_answer::limits_for(usual);
     let waiting_limits = limits.with_wait(Duration::from_millis(order.wait.as_millis()));
     let calling = {
         let (host, target) = (host.clone(), target.clone());
@@ -166,7 +166,7 @@
         }
     };
     let answer = tokio::select! {
-        answer = late::wait_for(calling, waiting_limits, take_late) => answer,
+        answer = late_answer::wait_for(calling, waiting_limits, take_late) => answer,
         // Asked again on a new connection, the worker may answer at once.
         () = host.clients.http.wait_for_silence(target.address) => return true,
     };
