--- a/crates/sedgehilld/src/cell/apply.rs
+++ b/crates/sedgehilld/src/cell/apply.rs
@@ -19,8 +19,8 @@
     match topic {
         StoreTopic::Operators if is_config(record) => apply_config(host, record.value.clone()),
         StoreTopic::Operators => {}
-        StoreTopic::Leads => apply_lead(host, record),
-        StoreTopic::Jobs | StoreTopic::Progress => apply_cell(host, record),
+        StoreTopic::Leads => apply_lead_record(host, record),
+        StoreTopic::Jobs | StoreTopic::Progress => apply_cell_record(host, record),
         StoreTopic::Workers => {}
     }
 }
@@ -40,7 +40,7 @@
     }
 }
 
-fn apply_lead(host: &CellBox, record: &KeyedRecord) {
+fn apply_lead_record(host: &CellBox, record: &KeyedRecord) {
     match LeadRecord::decode(&record.value) {
         Ok(lead) => {
             let changed = {
@@ -62,9 +62,9 @@
     }
 }
 
-fn apply_cell(host: &CellBox, record: &KeyedRecord) {
+fn apply_cell_record(host: &CellBox, record: &KeyedRecord) {
     if record.value.is_empty() {
-        forget(host, &record.key);
+        forget_key(host, &record.key);
         return;
     }
     if record.key == WorkerRoster::KEY {
@@ -77,14 +77,14 @@
         }
         return;
     }
-    let (id, statement) = match CellRecord::decode(&record.key, &record.value) {
+    let (id, cell_record) = match CellRecord::decode(&record.key, &record.value) {
         Ok(decoded) => decoded,
         Err(error) => {
             warn!(host.log, "cell record not readable"; "key" => &record.key, "error" => %error);
             return;
         }
     };
-    let change = host.replica.borrow_mut().apply(id, statement, clock::now());
+    let change = host.replica.borrow_mut().apply(id, cell_record, clock::now());
     let session = host.session.borrow().clone();
     let Some(session) = session else { return };
     match change {
@@ -96,7 +96,7 @@
 
 /// The lead dropped a key. A job is forgotten with its progress; what was accepted is dropped earlier,
 /// once the job is over.
-fn forget(host: &CellBox, key: &str) {
+fn forget_key(host: &CellBox, key: &str) {
     match CellRecord::decode_key(key) {
         Ok((CellRecord::PROGRESS_KEY, id)) => host.replica.borrow_mut().forget(id),
         Ok(_) => {}
--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -28,50 +28,50 @@
 
 use super::frames::StateAnswer;
 use super::state::CellBox;
-use super::submission::{AcceptHandle, AcceptOutcome};
+use super::submission::{SubmissionHandle, SubmissionOutcome};
 use crate::connection::{CallerConnection, ConnectionLimits};
 use crate::{clock, telemetry};
 
 /// The most header bytes of a call. A connection's buffer begins small and grows up to it.
-const HEADER_BYTES: usize = 16 << 10;
+const MAX_HEADER_BYTES: usize = 16 << 10;
 /// How long a caller may take to send a call.
-const RECEIVE_LIMIT: Duration = Duration::from_millis(5_000);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// How long a caller waits that names no time.
-const DEFAULT_PATIENCE: Duration = Duration::from_millis(3_000);
+const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Kept of a caller's time for the way back.
 const ANSWER_RESERVE: Duration = Duration::from_millis(120);
 /// A submission that takes longer is left to itself, whatever the caller's patience: a slow store
 /// takes about a second for a batch, and one may have to wait for the one before it.
-const ACCEPT_LIMIT: Duration = Duration::from_millis(4_000);
+const MAX_SUBMIT_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// When a refused caller should come again.
 const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// How long to wait after the machine could not take a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What serving a caller needs.
-struct CallerDesk {
+struct CallContext {
     host: Rc<CellBox>,
-    accept: AcceptHandle,
+    submissions: SubmissionHandle,
 }
 
 /// The bounds of a caller's connection.
 pub const CONNECTION_LIMITS: ConnectionLimits =
-    ConnectionLimits { header_bytes: HEADER_BYTES, headers: None, head_time: None };
+    ConnectionLimits { header_bytes: MAX_HEADER_BYTES, headers: None, head_time: None };
 
 /// What a caller is told whose call may cross the end of its idle connection.
-pub fn answer_in_advance() -> Response<Full<Bytes>> {
+pub fn idle_close_answer() -> Response<Full<Bytes>> {
     encode_answer(&CallerAnswer::NotDone(RETRY_AFTER))
 }
 
 /// Serves callers until the stop has come to its end.
-pub async fn serve(host: Rc<CellBox>, accept: AcceptHandle, listener: TcpListener) {
-    let desk = Rc::new(CallerDesk { host: host.clone(), accept });
+pub async fn serve(host: Rc<CellBox>, submissions: SubmissionHandle, listener: TcpListener) {
+    let context = Rc::new(CallContext { host: host.clone(), submissions });
     let spawn = |connection: CallerConnection| {
-        let desk = desk.clone();
+        let context = context.clone();
         tokio::task::spawn_local(async move {
             let handle = |request| {
-                let desk = desk.clone();
-                async move { encode_answer(&answer_call(&desk, request).await) }
+                let context = context.clone();
+                async move { encode_answer(&answer_call(&context, request).await) }
             };
             connection.serve(handle).await;
         });
@@ -79,8 +79,8 @@
     host.connections.accept(listener, spawn).await;
 }
 
-async fn answer_call(desk: &CallerDesk, request: Request<Incoming>) -> CallerAnswer {
-    let host = &desk.host;
+async fn answer_call(context: &CallContext, request: Request<Incoming>) -> CallerAnswer {
+    let host = &context.host;
     let config = host.config();
     let (parts, body) = request.into_parts();
     let path = parts.uri.path();
@@ -90,35 +90,35 @@
             false => CallerAnswer::NotDone(RETRY_AFTER),
         };
     };
-    let patience = decode_patience(&parts.headers).unwrap_or(DEFAULT_PATIENCE);
-    let patience = patience.saturating_sub(ANSWER_RESERVE).min(ACCEPT_LIMIT);
+    let timeout = decode_patience(&parts.headers).unwrap_or(DEFAULT_CALL_TIMEOUT);
+    let timeout = timeout.saturating_sub(ANSWER_RESERVE).min(MAX_SUBMIT_TIMEOUT);
     let caller = match identify(host, &config, route, &parts.headers) {
         Ok(caller) => caller,
         Err(answer) => {
-            drain(body, config.body_bytes).await;
+            drain_body(body, config.body_bytes).await;
             telemetry::count_caller_answer("refused", answer.name());
             info!(host.log, "call refused"; "method" => %parts.method, "queue" => %route.queue,
-                "config" => config.version, "config_age_ms" => age_of(host), "answer" => ?answer);
+                "config" => config.version, "config_age_ms" => config_age_ms(host), "answer" => ?answer);
             return answer;
         }
     };
     let organisation = caller.as_ref().map(|caller| &caller.organisation);
     let (name, answer) = match call {
         Err(answer) => ("wrong", answer),
-        Ok(CallerRequest::Waiting) => ("waiting", count_waiting(host, route).await),
-        Ok(CallerRequest::State(id)) => ("state", tell_state(host, id, organisation).await),
+        Ok(CallerRequest::Waiting) => ("waiting", answer_waiting(host, route).await),
+        Ok(CallerRequest::State(id)) => ("state", answer_state(host, id, organisation).await),
         Ok(CallerRequest::Cancel(id)) => {
-            ("cancel", cancel_job(desk, id, organisation, patience).await)
+            ("cancel", cancel_job(context, id, organisation, timeout).await)
         }
         Ok(CallerRequest::Submit(id)) => {
             let submission = JobSubmission { id, route, config: &config, caller: caller.clone() };
-            let answer = submit_job(desk, &submission, body, patience).await;
+            let answer = submit_job(context, &submission, body, timeout).await;
             info!(host.log, "submission"; "job" => %id, "queue" => %route.queue,
                 "organisation" => organisation.map(ToString::to_string),
                 "config" => config.version, "answer" => ?answer,
                 "store_silent" => host.store_contact.is_silent(),
-                "store_usual_ms" => host.store_patience.borrow().usual().as_millis() as u64,
-                "patience_ms" => patience.as_millis() as u64);
+                "store_usual_ms" => host.store_timeout.borrow().usual().as_millis() as u64,
+                "patience_ms" => timeout.as_millis() as u64);
             ("submit", answer)
         }
     };
@@ -139,21 +139,21 @@
 ) -> Result<Option<KeyOwner>, CallerAnswer> {
     let Some(keys) = &config.keys else { return Ok(None) };
     let key = decode_key(headers);
-    let decided_by_config = !route.public && key.is_ok();
-    if decided_by_config && !host.config_view.is_fresh() {
+    let depends_on_config = !route.public && key.is_ok();
+    if depends_on_config && !host.config_view.is_fresh() {
         return Err(CallerAnswer::NotDone(RETRY_AFTER));
     }
     keys.admit(route.public, key).map(|caller| caller.cloned()).map_err(CallerAnswer::Refused)
 }
 
-fn age_of(host: &CellBox) -> Option<u64> {
+fn config_age_ms(host: &CellBox) -> Option<u64> {
     host.config_view.age().map(|age| age.as_millis())
 }
 
 /// Reads a body that is not used, so that the answer is not lost with the connection.
-async fn drain(body: Incoming, most: usize) {
+async fn drain_body(body: Incoming, max_bytes: usize) {
     // Whether it came whole does not matter.
-    let _ = tokio::time::timeout(RECEIVE_LIMIT, Limited::new(body, most).collect()).await;
+    let _ = tokio::time::timeout(RECEIVE_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
 }
 
 /// Serves metrics in the text form of Prometheus.
@@ -176,15 +176,19 @@
     }
 }
 
-async fn count_waiting(host: &CellBox, route: &QueueRoute) -> CallerAnswer {
+async fn answer_waiting(host: &CellBox, route: &QueueRoute) -> CallerAnswer {
     match host.count_waiting(&route.queue).await {
         Some(count) => CallerAnswer::Waiting(count),
         None => CallerAnswer::NotDone(RETRY_AFTER),
     }
 }
 
-async fn tell_state(host: &CellBox, id: JobId, caller: Option<&OrganisationName>) -> CallerAnswer {
-    match host.find_state(id, caller).await {
+async fn answer_state(
+    host: &CellBox,
+    id: JobId,
+    caller: Option<&OrganisationName>,
+) -> CallerAnswer {
+    match host.find_job_state(id, caller).await {
         StateAnswer::Known(state) => CallerAnswer::State(state),
         StateAnswer::NoJob => CallerAnswer::NoJob,
         StateAnswer::Untold => CallerAnswer::NotDone(RETRY_AFTER),
@@ -192,29 +196,29 @@
 }
 
 async fn cancel_job(
-    desk: &CallerDesk,
+    context: &CallContext,
     id: JobId,
     caller: Option<&OrganisationName>,
-    patience: Duration,
+    timeout: Duration,
 ) -> CallerAnswer {
-    let host = &desk.host;
-    let state = host.find_state(id, caller).await;
-    let answer = match state {
+    let host = &context.host;
+    let known = host.find_job_state(id, caller).await;
+    let answer = match known {
         StateAnswer::Known(JobState::Cancelled) => CallerAnswer::Cancelled,
         StateAnswer::NoJob => CallerAnswer::NoJob,
         StateAnswer::Untold => CallerAnswer::NotDone(RETRY_AFTER),
         StateAnswer::Known(_) => {
-            match desk.accept.submit(host, id, &CellRecord::Cancel, patience).await {
-                AcceptOutcome::Kept => CallerAnswer::Cancelled,
-                AcceptOutcome::NotDone | AcceptOutcome::StoreAway => {
+            match context.submissions.submit(host, id, &CellRecord::Cancel, timeout).await {
+                SubmissionOutcome::Kept => CallerAnswer::Cancelled,
+                SubmissionOutcome::NotDone | SubmissionOutcome::StoreAway => {
                     CallerAnswer::NotDone(RETRY_AFTER)
                 }
-                AcceptOutcome::Unknown => CallerAnswer::Unknown,
-                AcceptOutcome::Taken => CallerAnswer::NoJob,
+                SubmissionOutcome::Unknown => CallerAnswer::Unknown,
+                SubmissionOutcome::Taken => CallerAnswer::NoJob,
             }
         }
     };
-    info!(host.log, "cancellation"; "job" => %id, "known" => ?state, "answer" => ?answer);
+    info!(host.log, "cancellation"; "job" => %id, "known" => ?known, "answer" => ?answer);
     answer
 }
 
@@ -235,16 +239,16 @@
 }
 
 async fn submit_job(
-    desk: &CallerDesk,
+    context: &CallContext,
     submission: &JobSubmission<'_>,
     body: Incoming,
-    patience: Duration,
+    timeout: Duration,
 ) -> CallerAnswer {
-    let host = &desk.host;
+    let host = &context.host;
     let JobSubmission { id, route, config, .. } = *submission;
     let body_bytes = config.body_bytes;
-    let reading = Limited::new(body, body_bytes).collect();
-    let body = match tokio::time::timeout(RECEIVE_LIMIT, reading).await {
+    let receiving = Limited::new(body, body_bytes).collect();
+    let body = match tokio::time::timeout(RECEIVE_TIMEOUT, receiving).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return CallerAnswer::TooLong,
         Ok(Err(_)) | Err(_) => return CallerAnswer::Wrong("the body did not arrive".to_owned()),
@@ -264,7 +268,7 @@
         "tasks" => spec.steps.iter().map(|step| u32::from(step.count)).sum::<u32>(),
         "gangs" => spec.steps.iter().filter(|step| step.gang).count(),
         "chain_ms" => spec.longest_chain().0);
-    if !host.can_accept() || patience < host.store_patience.borrow().usual() {
+    if !host.can_accept() || timeout < host.store_timeout.borrow().usual() {
         // Nothing can be put into the store in time, and nothing was sent there.
         return CallerAnswer::NotDone(RETRY_AFTER);
     }
@@ -275,11 +279,13 @@
         spec,
         accepted_unix_ms: clock::unix_ms(),
     };
-    match desk.accept.submit(host, id, &CellRecord::Job(record), patience).await {
-        AcceptOutcome::Kept => CallerAnswer::Accepted,
-        AcceptOutcome::NotDone | AcceptOutcome::StoreAway => CallerAnswer::NotDone(RETRY_AFTER),
-        AcceptOutcome::Unknown => CallerAnswer::Unknown,
-        AcceptOutcome::Taken => CallerAnswer::Taken,
+    match context.submissions.submit(host, id, &CellRecord::Job(record), timeout).await {
+        SubmissionOutcome::Kept => CallerAnswer::Accepted,
+        SubmissionOutcome::NotDone | SubmissionOutcome::StoreAway => {
+            CallerAnswer::NotDone(RETRY_AFTER)
+        }
+        SubmissionOutcome::Unknown => CallerAnswer::Unknown,
+        SubmissionOutcome::Taken => CallerAnswer::Taken,
     }
 }
 
@@ -297,7 +303,7 @@
         });
         tokio::task::spawn_local(async move {
             let connection = http1::Builder::new()
-                .max_buf_size(HEADER_BYTES)
+                .max_buf_size(MAX_HEADER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
             // Who asks sees for itself that the connection ended.
             let _ = connection.await;
--- a/crates/sedgehilld/src/cell/events.rs
+++ b/crates/sedgehilld/src/cell/events.rs
@@ -8,25 +8,31 @@
 
 use crate::telemetry;
 
-const MILLIS: f64 = 1000.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// Logs and counts a decision of the lead that holds `token`.
-pub fn note(log: &Logger, token: FencingToken, event: &CellEvent) {
-    count(event);
-    write(log, token, event);
+pub fn record_event(log: &Logger, token: FencingToken, event: &CellEvent) {
+    count_event(event);
+    log_event(log, token, event);
 }
 
-fn count(event: &CellEvent) {
+fn count_event(event: &CellEvent) {
     match event {
         CellEvent::Placed { waited, earlier, without_run, .. } => {
             telemetry::count_cell_event("placed", "");
             if let Some(span) = without_run {
-                telemetry::note_cell_time("sedgehill_cell_restart_seconds", span.0 as f64 / MILLIS);
+                telemetry::note_cell_time(
+                    "sedgehill_cell_restart_seconds",
+                    span.0 as f64 / MILLIS_PER_SECOND,
+                );
             }
             if let Some(earlier) = earlier {
                 telemetry::count_earlier_start(earlier.name());
             }
-            telemetry::note_cell_time("sedgehill_cell_wait_seconds", waited.0 as f64 / MILLIS);
+            telemetry::note_cell_time(
+                "sedgehill_cell_wait_seconds",
+                waited.0 as f64 / MILLIS_PER_SECOND,
+            );
         }
         CellEvent::StartFailed { refusal, .. } => {
             let detail = refusal.map_or("no_answer", |refusal| refusal.name());
@@ -51,7 +57,10 @@
             let detail = if good.is_some() { "answered" } else { "failed" };
             telemetry::count_cell_event("advised", detail);
             if let Some(took) = took {
-                telemetry::note_cell_time("sedgehill_cell_advice_seconds", took.0 as f64 / MILLIS);
+                telemetry::note_cell_time(
+                    "sedgehill_cell_advice_seconds",
+                    took.0 as f64 / MILLIS_PER_SECOND,
+                );
             }
         }
         CellEvent::AdviceOverdue { .. } => telemetry::count_cell_event("advice_overdue", ""),
@@ -62,7 +71,10 @@
         }
         CellEvent::JobEnded { state, after, .. } => {
             telemetry::count_cell_event("job_ended", state.name());
-            telemetry::note_cell_time("sedgehill_cell_job_seconds", after.0 as f64 / MILLIS);
+            telemetry::note_cell_time(
+                "sedgehill_cell_job_seconds",
+                after.0 as f64 / MILLIS_PER_SECOND,
+            );
         }
         CellEvent::Worker { change, .. } => telemetry::count_cell_event("worker", change),
         CellEvent::WorkerHeard { .. } => telemetry::count_cell_event("worker", "answers"),
@@ -75,10 +87,10 @@
     }
 }
 
-fn write(log: &Logger, token: FencingToken, event: &CellEvent) {
+fn log_event(log: &Logger, token: FencingToken, event: &CellEvent) {
     match event {
         CellEvent::Placed { task, run, worker, waited, ticket_left, earlier, without_run } => {
-            info!(log, "placed"; Earlier(*earlier), "token" => %token,
+            info!(log, "placed"; EarlierField(*earlier), "token" => %token,
                 "task" => %task, "run" => run.0, "worker" => %worker,
                 "waited_ms" => waited.0, "ticket_left_ms" => ticket_left.map(|left| left.0),
                 "without_run_ms" => without_run.map(|span| span.0));
@@ -96,7 +108,7 @@
                 "reason" => reason);
         }
         CellEvent::RunLost { task, run, worker, cause } => {
-            info!(log, "run lost"; "token" => %token, Cause(cause), "task" => %task, "run" => run.0,
+            info!(log, "run lost"; "token" => %token, CauseFields(cause), "task" => %task, "run" => run.0,
                 "worker" => %worker, "reason" => cause.name());
         }
         CellEvent::LossOpen { task, run, worker } => {
@@ -125,7 +137,7 @@
             info!(log, "run adopted"; "token" => %token, "task" => %task, "run" => run.0, "worker" => %worker);
         }
         CellEvent::Unwanted { task, run, worker, belief } => {
-            info!(log, "run not wanted"; "token" => %token, Belief(belief), "task" => %task, "run" => run.0,
+            info!(log, "run not wanted"; "token" => %token, BeliefFields(belief), "task" => %task, "run" => run.0,
                 "worker" => %worker);
         }
         CellEvent::Asked { step, named, helper } => {
@@ -186,14 +198,14 @@
         CellEvent::FencedByWorker { worker, call } => {
             info!(log, "fenced by a worker"; "token" => %token, "worker" => %worker, "call" => call.name());
         }
-        CellEvent::TakeOverSettled(settled) => write_settled(log, token, settled),
+        CellEvent::TakeOverSettled(settled) => log_settled_take_over(log, token, settled),
         CellEvent::MarkedLate { job, after } => {
             info!(log, "job marked by another lead"; "token" => %token, "job" => %job, "after_ms" => after.0);
         }
     }
 }
 
-fn write_settled(log: &Logger, token: FencingToken, settled: &TakeOverSettled) {
+fn log_settled_take_over(log: &Logger, token: FencingToken, settled: &TakeOverSettled) {
     let names: Vec<String> = settled.unheard_some.iter().map(WorkerLife::to_string).collect();
     info!(log, "take-over settled"; "token" => %token, "by" => settled.by.name(), "after_ms" => settled.after.0,
         "heard" => settled.heard, "ended" => settled.ended, "unheard" => settled.unheard,
@@ -201,9 +213,9 @@
 }
 
 /// What settled the orders of earlier leads, where there may have been any.
-struct Earlier(Option<EarlierSettled>);
+struct EarlierField(Option<EarlierSettled>);
 
-impl KV for Earlier {
+impl KV for EarlierField {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         match self.0 {
             Some(earlier) => serializer.emit_str("earlier_settled", earlier.name()),
@@ -213,9 +225,9 @@
 }
 
 /// What a run is taken as gone by.
-struct Cause<'a>(&'a LossCause);
+struct CauseFields<'a>(&'a LossCause);
 
-impl KV for Cause<'_> {
+impl KV for CauseFields<'_> {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         match self.0 {
             LossCause::LeaseEnded(reading) => {
@@ -238,9 +250,9 @@
 }
 
 /// What the lead takes as true of a task instead.
-struct Belief<'a>(&'a TaskBelief);
+struct BeliefFields<'a>(&'a TaskBelief);
 
-impl KV for Belief<'_> {
+impl KV for BeliefFields<'_> {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         match self.0 {
             TaskBelief::Placed { run, worker, answered } => {
--- a/crates/sedgehilld/src/cell/frames.rs
+++ b/crates/sedgehilld/src/cell/frames.rs
@@ -16,13 +16,13 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use super::relay::{RelayAnswer, RelayCall};
-use super::submission::AcceptOutcome;
+use super::submission::SubmissionOutcome;
 
 /// The longest frame, in bytes. One job takes some 5 KB at the most, a question on a hundred workers
 /// some 4 KB; records are packed into frames of [`RECORD_BYTES`].
-const FRAME_BYTES: u32 = 1 << 20;
+const MAX_FRAME_BYTES: u32 = 1 << 20;
 /// Records are gathered into one frame up to this many bytes.
-pub const RECORD_BYTES: usize = 128 << 10;
+pub const RECORD_FRAME_BYTES: usize = 128 << 10;
 
 /// A question that a box asks on the lead's behalf.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 
 /// Records of a topic as the store holds them, one after the other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FedRecords {
+pub struct TopicRecords {
     /// The topic.
     pub topic: StoreTopic,
     /// The offset of the first record.
@@ -50,23 +50,23 @@
     pub records: Vec<(String, Vec<u8>)>,
 }
 
-impl FedRecords {
+impl TopicRecords {
     /// The offset after the last record.
     pub fn end(&self) -> u64 {
         self.from + self.records.len() as u64
     }
 
     /// Packs records that begin at offset `from` into parts that fit into frames.
-    pub fn pack(topic: StoreTopic, from: u64, records: &[KeyedRecord]) -> Vec<FedRecords> {
-        let mut parts: Vec<FedRecords> = Vec::new();
-        let mut bytes = RECORD_BYTES;
+    pub fn pack(topic: StoreTopic, from: u64, records: &[KeyedRecord]) -> Vec<TopicRecords> {
+        let mut parts: Vec<TopicRecords> = Vec::new();
+        let mut part_bytes = RECORD_FRAME_BYTES;
         for (record, offset) in records.iter().zip(from..) {
-            if bytes >= RECORD_BYTES {
-                parts.push(FedRecords { topic, from: offset, records: Vec::new() });
-                bytes = 0;
+            if part_bytes >= RECORD_FRAME_BYTES {
+                parts.push(TopicRecords { topic, from: offset, records: Vec::new() });
+                part_bytes = 0;
             }
-            bytes += record.key.len() + record.value.len();
-            let part = parts.last_mut().expect("a part was just begun");
+            part_bytes += record.key.len() + record.value.len();
+            let part = parts.last_mut().expect("the first record starts a part");
             part.records.push((record.key.clone(), record.value.to_vec()));
         }
         parts
@@ -75,7 +75,7 @@
 
 /// What the records of a stretch of a topic mean for the states of jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct FedBriefs {
+pub struct TopicSummary {
     /// The topic.
     pub topic: StoreTopic,
     /// The offset of the first record.
@@ -86,48 +86,48 @@
     pub jobs: Vec<JobBrief>,
 }
 
-impl FedBriefs {
+impl TopicSummary {
     /// The states of all jobs, with the ends of the topics that they come from. Some 12 bytes a job: a frame
     /// holds 80,000.
-    pub fn of_all(replica: &CellReplica, jobs_end: u64, progress_end: u64) -> [FedBriefs; 2] {
+    pub fn of_all(replica: &CellReplica, jobs_end: u64, progress_end: u64) -> [TopicSummary; 2] {
         let jobs = replica.ids().map(|job| JobBrief::of(replica, job)).collect();
         [
-            FedBriefs { topic: StoreTopic::Progress, from: 0, end: progress_end, jobs },
-            FedBriefs { topic: StoreTopic::Jobs, from: 0, end: jobs_end, jobs: Vec::new() },
+            TopicSummary { topic: StoreTopic::Progress, from: 0, end: progress_end, jobs },
+            TopicSummary { topic: StoreTopic::Jobs, from: 0, end: jobs_end, jobs: Vec::new() },
         ]
     }
 
     /// Sums up what is news in records, as `replica` knows their jobs, a stretch for each topic.
-    pub fn sum_up(
-        parts: &[FedRecords],
+    pub fn summarize(
+        parts: &[TopicRecords],
         replica: &CellReplica,
         ledger: &mut BriefLedger,
-    ) -> Vec<FedBriefs> {
-        let mut stretches: Vec<(FedBriefs, BTreeSet<JobId>)> = Vec::new();
+    ) -> Vec<TopicSummary> {
+        let mut ranges: Vec<(TopicSummary, BTreeSet<JobId>)> = Vec::new();
         for part in parts {
-            let follows = |(stretch, _): &&mut (FedBriefs, BTreeSet<JobId>)| {
-                stretch.topic == part.topic && stretch.end == part.from
+            let continues = |(range, _): &&mut (TopicSummary, BTreeSet<JobId>)| {
+                range.topic == part.topic && range.end == part.from
             };
             let ids = part.records.iter().filter_map(|(key, _)| CellRecord::decode_key(key).ok());
             let ids = ids.map(|(_, id)| id);
-            match stretches.iter_mut().find(follows) {
-                Some((stretch, jobs)) => {
-                    stretch.end = part.end();
+            match ranges.iter_mut().find(continues) {
+                Some((range, jobs)) => {
+                    range.end = part.end();
                     jobs.extend(ids);
                 }
                 None => {
-                    let FedRecords { topic, from, .. } = *part;
-                    let stretch = FedBriefs { topic, from, end: part.end(), jobs: Vec::new() };
-                    stretches.push((stretch, ids.collect()));
+                    let TopicRecords { topic, from, .. } = *part;
+                    let range = TopicSummary { topic, from, end: part.end(), jobs: Vec::new() };
+                    ranges.push((range, ids.collect()));
                 }
             }
         }
-        let mut news = |job| ledger.news(JobBrief::of(replica, job));
-        let tell = |(stretch, jobs): (FedBriefs, BTreeSet<JobId>)| FedBriefs {
-            jobs: jobs.into_iter().filter_map(&mut news).collect(),
-            ..stretch
+        let mut changed = |job| ledger.news(JobBrief::of(replica, job));
+        let summary = |(range, jobs): (TopicSummary, BTreeSet<JobId>)| TopicSummary {
+            jobs: jobs.into_iter().filter_map(&mut changed).collect(),
+            ..range
         };
-        stretches.into_iter().map(tell).collect()
+        ranges.into_iter().map(summary).collect()
     }
 }
 
@@ -176,9 +176,9 @@
         strongest: BoxStrength,
     },
     /// The lead asks for advice.
-    Ask(HelperQuestion),
+    AskAdvice(HelperQuestion),
     /// The helper has an answer of the advice service, or none.
-    Answer {
+    Advice {
         /// What was asked.
         question: HelperQuestion,
         /// The workers that may run the step, with their tickets.
@@ -193,14 +193,14 @@
         /// The job.
         job: JobId,
         /// The job itself, or its cancellation.
-        statement: CellRecord,
+        record: CellRecord,
     },
     /// What came of a submission.
     Submitted {
         /// The number of the submission.
         number: u64,
         /// What came of it.
-        outcome: AcceptOutcome,
+        outcome: SubmissionOutcome,
     },
     /// A box that does not know the jobs yet asks for the state of one.
     AskState {
@@ -219,15 +219,15 @@
         answer: StateAnswer,
     },
     /// What the lead has read or written, for boxes that stand by to lead.
-    Records(FedRecords),
+    Records(TopicRecords),
     /// The same in short, for the others.
-    Briefs(FedBriefs),
+    Summary(TopicSummary),
     /// A box that knows nothing yet asks for the states of all jobs.
-    AskBriefs,
+    AskSummaries,
     /// Whether the box is to stand by.
     StandBy(bool),
     /// Whether the lead tells states to the boxes that do not stand by. If not, they ask.
-    Tells(bool),
+    SendsSummaries(bool),
     /// A box that is not told states asks how many jobs of a queue wait.
     AskWaiting {
         /// Told again in the answer.
@@ -284,7 +284,7 @@
 impl PeerFrame {
     /// The frame with its length before it.
     pub fn encode(&self) -> Rc<[u8]> {
-        let body = postcard::to_stdvec(self).expect("frames have no types that cannot be encoded");
+        let body = postcard::to_stdvec(self).expect("every frame can be encoded");
         let length = u32::try_from(body.len()).expect("frames are shorter than 4 GiB");
         let mut bytes = Vec::with_capacity(body.len() + 4);
         bytes.extend_from_slice(&length.to_be_bytes());
@@ -301,8 +301,8 @@
 /// Receives a frame. Not to be given up midway: the rest would be taken as another frame.
 pub async fn read_frame(stream: &mut OwnedReadHalf) -> std::io::Result<PeerFrame> {
     let length = stream.read_u32().await?;
-    if length > FRAME_BYTES {
-        return Err(std::io::Error::other("the frame is too long"));
+    if length > MAX_FRAME_BYTES {
+        return Err(std::io::Error::other("the frame exceeds the length limit"));
     }
     let mut body = vec![0; length as usize];
     stream.read_exact(&mut body).await?;
--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -16,21 +16,21 @@
 use super::state::CellBox;
 
 /// How long the answer to either copy is waited for. A slow store lets appends wait for two seconds.
-const ANSWER_LIMIT: Duration = Duration::from_millis(2_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The second copy goes on a new connection; a third follows after so many usual answers' time ...
-const SECOND_TIMES: u32 = 3;
+const THIRD_COPY_FACTOR: u32 = 3;
 /// ... and at least this: a new connection and an answer take some 10 ms.
-const SECOND_LEAST: Duration = Duration::from_millis(40);
+const MIN_THIRD_COPY_DELAY: Duration = Duration::from_millis(40);
 
 /// Pause before a second copy that failed is sent again, perhaps by way of another box.
-const SECOND_PAUSE: Duration = Duration::from_millis(100);
+const COPY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The least time after which an append without an answer means that the store does not answer: an
 /// answer of a store that turns slow takes some 400 ms.
-const STUCK_LEAST: Duration = Duration::from_millis(600);
+const MIN_STUCK_DELAY: Duration = Duration::from_millis(600);
 /// The same as a multiple of the time after which a second copy is sent.
-const STUCK_TIMES: u32 = 2;
+const STUCK_FACTOR: u32 = 2;
 
 /// An append that is to be carried out.
 #[derive(Debug, Clone, Copy)]
@@ -53,12 +53,12 @@
 }
 
 /// What came of an append, and which copy told it.
-pub type HedgedResult = (AnsweredCopy, Result<AppendOutcome, CallError>);
+pub type HedgedOutcome = (AnsweredCopy, Result<AppendOutcome, CallError>);
 
 /// Limits of a copy that is sent from this box now.
 fn copy_limits(host: &CellBox) -> CallLimits {
-    let doubt = host.store_patience.borrow().limit();
-    CallLimits::new(doubt, ANSWER_LIMIT.max(doubt))
+    let suspect_after = host.store_timeout.borrow().limit();
+    CallLimits::new(suspect_after, ANSWER_TIMEOUT.max(suspect_after))
 }
 
 /// Sends one copy from this box, without a second.
@@ -73,12 +73,12 @@
 ) -> Result<AppendOutcome, CallError> {
     let sent = Instant::now();
     let store = &host.clients.store;
-    let appending = store.append(call.topic, call.records, call.condition, limits);
-    let result = host.store_contact.unless_regained(appending).await;
+    let append = store.append(call.topic, call.records, call.condition, limits);
+    let result = host.store_contact.abort_on_recovery(append).await;
     if result.is_ok() {
         // An answer that ends a silence tells how long that was, not how long answers take.
         if !host.store_contact.is_silent() {
-            host.store_patience.borrow_mut().note_answer(sent.elapsed());
+            host.store_timeout.borrow_mut().note_answer(sent.elapsed());
         }
         host.store_contact.note_answer();
     }
@@ -87,28 +87,28 @@
 
 /// Sends an append from this box, and `second` as well if there is no answer within the usual time. A
 /// second copy that fails is sent again for as long as the first is waited for.
-pub async fn append_hedged<F>(
+pub async fn append_hedged_by<F>(
     host: &CellBox,
     call: AppendCall<'_>,
-    second: impl Fn() -> F,
-) -> HedgedResult
+    send_copy: impl Fn() -> F,
+) -> HedgedOutcome
 where
     F: Future<Output = Result<AppendOutcome, CallError>>,
 {
-    let limit = host.store_patience.borrow().limit();
+    let limit = host.store_timeout.borrow().limit();
     let limits = copy_limits(host);
     let mut first = std::pin::pin!(append_within(host, call, limits));
     if let Ok(result) = tokio::time::timeout_at(limits.doubt_at(), first.as_mut()).await {
         return (AnsweredCopy::First, result);
     }
-    let usual = host.store_patience.borrow().usual();
-    let soon = (usual * SECOND_TIMES).clamp(SECOND_LEAST, limit);
-    let mut second = std::pin::pin!(until_answered(second, soon, limit));
+    let usual = host.store_timeout.borrow().usual();
+    let first_wait = (usual * THIRD_COPY_FACTOR).clamp(MIN_THIRD_COPY_DELAY, limit);
+    let mut second = std::pin::pin!(until_answered(send_copy, first_wait, limit));
     tokio::select! {
-        result = first.as_mut() => (AnsweredCopy::First, result.map_err(doubt)),
+        result = first.as_mut() => (AnsweredCopy::First, result.map_err(as_unknown)),
         outcome = second.as_mut() => match outcome {
             // The topic may have been moved by the first copy: only its own answer tells.
-            AppendOutcome::Moved { .. } => (AnsweredCopy::First, first.await.map_err(doubt)),
+            AppendOutcome::Moved { .. } => (AnsweredCopy::First, first.await.map_err(as_unknown)),
             outcome => (AnsweredCopy::Second, Ok(outcome)),
         },
     }
@@ -116,53 +116,57 @@
 
 /// What became of the first copy does not tell what became of the others: that it was surely not done
 /// must not be taken for the append.
-fn doubt(error: CallError) -> CallError {
-    CallError::Unknown(format!("a second copy was sent; the first: {error}"))
+fn as_unknown(error: CallError) -> CallError {
+    CallError::Unknown(format!("another copy was sent; the first one failed: {error}"))
 }
 
 /// Sends copies until one is answered. The first goes out on a new connection and is answered `soon` if the
 /// one before it had fallen silent. One that is not answered gives way to the next after a time that doubles,
 /// since its answer may be lost as well.
-async fn until_answered<F>(send: impl Fn() -> F, soon: Duration, limit: Duration) -> AppendOutcome
+async fn until_answered<F>(
+    send: impl Fn() -> F,
+    first_wait: Duration,
+    limit: Duration,
+) -> AppendOutcome
 where
     F: Future<Output = Result<AppendOutcome, CallError>>,
 {
-    let mut wait = soon;
-    let mut next = limit * 2;
+    let mut wait = first_wait;
+    let mut next_wait = limit * 2;
     loop {
         match tokio::time::timeout(wait, send()).await {
             Ok(Ok(outcome)) => return outcome,
-            Ok(Err(_)) => tokio::time::sleep(SECOND_PAUSE).await,
+            Ok(Err(_)) => tokio::time::sleep(COPY_RETRY_PAUSE).await,
             Err(_) => {}
         }
-        wait = next;
-        next *= 2;
+        wait = next_wait;
+        next_wait *= 2;
     }
 }
 
 /// Waits for an append, and calls `refuse` if that takes so long that the store must be taken as not
 /// answering appends.
-pub async fn unless_stuck<T>(
+pub async fn await_append<T>(
     host: &CellBox,
-    appending: impl Future<Output = T>,
-    refuse: impl FnOnce(),
+    append: impl Future<Output = T>,
+    on_stuck: impl FnOnce(),
 ) -> T {
-    let mut appending = std::pin::pin!(appending);
-    let limit = STUCK_LEAST.max(host.store_patience.borrow().limit() * STUCK_TIMES);
-    match tokio::time::timeout(limit, appending.as_mut()).await {
-        Ok(done) => done,
+    let mut append = std::pin::pin!(append);
+    let limit = MIN_STUCK_DELAY.max(host.store_timeout.borrow().limit() * STUCK_FACTOR);
+    match tokio::time::timeout(limit, append.as_mut()).await {
+        Ok(output) => output,
         Err(_) => {
             warn!(host.log, "store does not answer appends"; "limit_ms" => limit.as_millis() as u64);
-            refuse();
-            appending.await
+            on_stuck();
+            append.await
         }
     }
 }
 
 /// Sends an append from this box, twice if need be.
-pub async fn append_twice(
+pub async fn append_hedged(
     host: &CellBox,
     call: AppendCall<'_>,
 ) -> Result<AppendOutcome, CallError> {
-    append_hedged(host, call, || append_once(host, call)).await.1
+    append_hedged_by(host, call, || append_once(host, call)).await.1
 }
--- a/crates/sedgehilld/src/cell/late_answer.rs
+++ b/crates/sedgehilld/src/cell/late_answer.rs
@@ -11,25 +11,25 @@
 
 /// How long a late answer is waited for. A run whose worker is not heard for longer than its lease of 4 s
 /// begins elsewhere, so the answers until then matter.
-const LATE_LIMIT: Duration = Duration::from_millis(4_500);
+const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(4_500);
 
 /// The limits of a call of which `limit` is waited for.
-pub fn limits_for(limit: Duration) -> CallLimits {
-    CallLimits::new(limit, limit + LATE_LIMIT)
+pub fn limits_for(timeout: Duration) -> CallLimits {
+    CallLimits::new(timeout, timeout + LATE_ANSWER_LIMIT)
 }
 
 /// Waits for a call until it is doubted. If there is no answer by then, the call goes on, and `late` is
 /// told its answer.
-pub async fn wait_for<T: 'static>(
+pub async fn wait_or_detach<T: 'static>(
     call: impl Future<Output = T> + 'static,
     limits: CallLimits,
-    late: impl FnOnce(T) + 'static,
+    on_late_answer: impl FnOnce(T) + 'static,
 ) -> Option<T> {
     let mut call = Box::pin(call);
     match tokio::time::timeout_at(limits.doubt_at(), call.as_mut()).await {
         Ok(answer) => Some(answer),
         Err(_) => {
-            tokio::task::spawn_local(async move { late(call.await) });
+            tokio::task::spawn_local(async move { on_late_answer(call.await) });
             None
         }
     }
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -16,40 +16,40 @@
 use slog::{info, warn};
 use tokio::sync::Notify;
 
-use super::frames::FedRecords;
+use super::frames::TopicRecords;
 use super::hedge::{self, AppendCall};
-use super::lead_log::{AuthoritySight, FollowedLead, LeadEnd};
+use super::lead_log::{AuthorityMonitor, ClaimContext, LeadEndReason};
 use super::link_server::FrameQueue;
-use super::recorder::LedSubmission;
-use super::relay::RelayDesk;
-use super::renewal::{give_up, renew};
+use super::recorder::LeadSubmission;
+use super::relay::StoreRelay;
+use super::renewal::{release_lead, renew};
 use super::state::CellBox;
 use super::{events, lead_log, lead_metrics, link_server, orders, recorder, worker_watch};
 use crate::{clock, telemetry};
 
 /// Time between two looks at who leads.
-pub const WATCH_TURN: Duration = Duration::from_millis(40);
+pub const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// The least time between two turns of the scheduler: changes of a few milliseconds are taken
 /// together.
-const TURN_PAUSE: Duration = Duration::from_millis(4);
+const MIN_SCHEDULE_PAUSE: Duration = Duration::from_millis(4);
 /// After a turn the box does other things for at least this many times as long as the turn took, so
 /// that answers of workers and renewals are not late when many jobs wait.
-const TURN_REST: u32 = 2;
+const SCHEDULE_REST_FACTOR: u32 = 2;
 /// The most time between two turns of the scheduler.
-const TURN_MOST: Duration = Duration::from_millis(40);
+const MAX_SCHEDULE_WAIT: Duration = Duration::from_millis(40);
 /// The key under which claims stand.
-const LEAD_KEY: &str = "lead";
+const LEAD_RECORD_KEY: &str = "lead";
 /// A store that has not answered for so long is taken as not answering. Several times the answer of
 /// a sound store, several times less than the term of a lead.
-const STORE_SILENT: TimeSpan = TimeSpan(900);
+const STORE_SILENT_AFTER: TimeSpan = TimeSpan(900);
 
 /// A much stronger box must have kept its link for so long before the lead is handed over: longer
 /// than all boxes take to find the lead at a start.
-const YIELD_AFTER: TimeSpan = TimeSpan(1_500);
+const YIELD_DELAY: TimeSpan = TimeSpan(1_500);
 
 /// How much longer a box waits that does not know what a lead needs: longer than all boxes take that stand
 /// by.
-const STANDBY_LEAD: TimeSpan = TimeSpan(1_200);
+const NON_STANDBY_DELAY: TimeSpan = TimeSpan(1_200);
 
 /// What a box does while it leads.
 pub struct LeadSession {
@@ -64,35 +64,35 @@
     /// The boxes that keep a link, with the queue of frames for each.
     pub helpers: RefCell<HashMap<HelperId, FrameQueue>>,
     /// Which of them a box is.
-    pub names: RefCell<HashMap<BoxName, HelperId>>,
+    pub helper_ids: RefCell<HashMap<BoxName, HelperId>>,
     /// Calls to the store by way of them.
-    pub relay: RelayDesk,
+    pub relay: StoreRelay,
     /// How long a start or a stop may take.
-    pub order_patience: RefCell<CallPatience>,
+    pub order_timeout: RefCell<CallPatience>,
     /// How many starts may be sent again.
-    pub repeats: RefCell<RepeatBudget>,
+    pub start_resends: RefCell<RepeatBudget>,
     /// Records that are to be passed on to them.
-    pub fed: RefCell<Vec<FedRecords>>,
+    pub outgoing_records: RefCell<Vec<TopicRecords>>,
     /// What they were told of jobs.
-    pub told: RefCell<BriefLedger>,
+    pub sent_summaries: RefCell<BriefLedger>,
     /// What callers said, on its way into the store.
-    pub submissions: RefCell<Vec<LedSubmission>>,
+    pub submissions: RefCell<Vec<LeadSubmission>>,
     /// The jobs in the append under way, with their owners.
-    pub in_flight: RefCell<HashMap<JobId, Option<OrganisationName>>>,
+    pub in_flight_owners: RefCell<HashMap<JobId, Option<OrganisationName>>>,
     /// The append under way takes so long that the store is taken as not answering.
-    pub stuck: Cell<bool>,
+    pub append_stuck: Cell<bool>,
     /// The strengths of those boxes.
-    pub strengths: RefCell<HashMap<HelperId, BoxStrength>>,
+    pub helper_strengths: RefCell<HashMap<HelperId, BoxStrength>>,
     /// Which of them stand by to lead.
     pub standbys: RefCell<StandbySet>,
     /// Since when a much stronger box has helped.
-    pub outdone: Cell<Option<Moment>>,
+    pub stronger_helper_since: Cell<Option<Moment>>,
     /// The version of the configuration whose limits the scheduler goes by.
-    pub config: Cell<u64>,
+    pub config_version: Cell<u64>,
     /// When the store last answered an append.
-    pub answered: Cell<Moment>,
+    pub last_append_answer: Cell<Moment>,
     /// Rung when the store answers appends again: boxes that refuse callers are told at once.
-    pub store_back: Notify,
+    pub store_recovered: Notify,
 }
 
 impl LeadSession {
@@ -105,32 +105,36 @@
 
     /// Whether the store has answered an append lately.
     pub fn store_answers(&self, host: &CellBox) -> bool {
-        let silence = clock::now().since(self.answered.get());
-        silence.0 < STORE_SILENT.0 + host.store_lag().0
+        let silence = clock::now().since(self.last_append_answer.get());
+        silence.0 < STORE_SILENT_AFTER.0 + host.store_lag().0
     }
 
     /// Notes the strength of a box that helps.
-    pub fn note_helper(&self, host: &CellBox, helper: HelperId, strength: BoxStrength) {
-        self.strengths.borrow_mut().insert(helper, strength);
-        if host.settings.strength.yields_to(strength) && self.outdone.get().is_none() {
-            self.outdone.set(Some(clock::now()));
+    pub fn note_helper_strength(&self, host: &CellBox, helper: HelperId, strength: BoxStrength) {
+        self.helper_strengths.borrow_mut().insert(helper, strength);
+        if host.settings.strength.yields_to(strength) && self.stronger_helper_since.get().is_none()
+        {
+            self.stronger_helper_since.set(Some(clock::now()));
         }
     }
 
     /// Whether a much stronger box helps, and has for long enough to be relied on.
     pub fn should_yield(&self, host: &CellBox) -> bool {
-        let own = host.settings.strength;
-        let outdone = self.strengths.borrow().values().any(|other| own.yields_to(*other));
-        if !outdone {
-            self.outdone.set(None);
+        let own_strength = host.settings.strength;
+        let has_stronger_helper =
+            self.helper_strengths.borrow().values().any(|other| own_strength.yields_to(*other));
+        if !has_stronger_helper {
+            self.stronger_helper_since.set(None);
         }
-        self.outdone.get().is_some_and(|since| clock::now().since(since) >= YIELD_AFTER)
+        self.stronger_helper_since
+            .get()
+            .is_some_and(|since| clock::now().since(since) >= YIELD_DELAY)
     }
 
     /// Takes in the limits of organisations, if the configuration changed.
-    fn take_config(&self, host: &CellBox) {
+    fn apply_limits(&self, host: &CellBox) {
         let config = host.config();
-        if self.config.replace(config.version) != config.version {
+        if self.config_version.replace(config.version) != config.version {
             let organisations = &config.organisations;
             self.scheduler.borrow_mut().set_organisations(organisations, clock::now());
             info!(host.log, "limits in force"; "token" => %self.token, "config" => config.version,
@@ -165,27 +169,27 @@
 pub async fn run(host: Rc<CellBox>) {
     let rank = claim_rank(&host);
     loop {
-        tokio::time::sleep(WATCH_TURN).await;
-        if host.stopping.get() || !host.lead_view.is_fresh() || !host.knows_jobs() {
+        tokio::time::sleep(CLAIM_CHECK_INTERVAL).await;
+        if host.stopping.get() || !host.lead_view.is_fresh() || !host.has_fresh_jobs() {
             continue;
         }
         let now = clock::now();
         host.watch.borrow_mut().note_store_lag(host.store_lag());
-        if !host.could_lead() {
+        if !host.can_lead() {
             // Boxes that stand by go first. If none is left, this one begins to follow everything.
-            let begins = Moment(now.0.saturating_sub(STANDBY_LEAD.0));
-            if host.watch.borrow().should_claim(begins, rank, &host.settings.authority) {
+            let shifted_now = Moment(now.0.saturating_sub(NON_STANDBY_DELAY.0));
+            if host.watch.borrow().should_claim(shifted_now, rank, &host.settings.authority) {
                 info!(host.log, "no box that stands by leads"; "lag_ms" => host.store_lag().0);
-                host.read_anew();
+                host.reload_full_records();
             }
             continue;
         }
-        let holder = host.watch.borrow().is_holder();
-        if holder || host.watch.borrow().should_claim(now, rank, &host.settings.authority) {
-            let predecessor = host.watch.borrow().has_predecessor();
-            let followed = FollowedLead::of(&host);
+        let is_holder = host.watch.borrow().is_holder();
+        if is_holder || host.watch.borrow().should_claim(now, rank, &host.settings.authority) {
+            let has_predecessor = host.watch.borrow().has_predecessor();
+            let claim_context = ClaimContext::of(&host);
             if claim(&host).await {
-                lead(&host, predecessor, &followed).await;
+                lead_cell(&host, has_predecessor, &claim_context).await;
             }
         }
     }
@@ -198,49 +202,49 @@
 }
 
 async fn claim(host: &CellBox) -> bool {
-    let Some(end) = lead_end(host) else { return false };
+    let Some(end) = lead_topic_end(host) else { return false };
     let peers = host.settings.listen.peers.to_string();
     let record = host.watch.borrow().next_claim(&peers);
-    append_lead(host, None, record, end).await
+    append_lead_record(host, None, record, end).await
 }
 
 /// Where the topic of leads ends, as far as this box knows. Reads may be seconds behind its own last
 /// renewal.
-pub fn lead_end(host: &CellBox) -> Option<u64> {
+pub fn lead_topic_end(host: &CellBox) -> Option<u64> {
     let read = host.lead_view.offset.get()?;
     Some(read.max(host.watch.borrow().own_end()))
 }
 
 /// Appends a lead record if the topic still ends at `end`. Returns whether it stands as the newest.
-pub async fn append_lead(
+pub async fn append_lead_record(
     host: &CellBox,
     session: Option<&LeadSession>,
     record: LeadRecord,
     end: u64,
 ) -> bool {
     let sent = clock::now();
-    let records = [KeyedRecord { key: LEAD_KEY.to_owned(), value: record.encode().into() }];
+    let records = [KeyedRecord { key: LEAD_RECORD_KEY.to_owned(), value: record.encode().into() }];
     let condition = AppendCondition::At(end);
     let call = AppendCall { topic: StoreTopic::Leads, records: &records, condition: &condition };
     let result = match session {
         Some(session) => session.append(host, call).await,
-        None => hedge::append_twice(host, call).await,
+        None => hedge::append_hedged(host, call).await,
     };
     match result {
         Ok(AppendOutcome::Kept { end }) => {
             let timing = &host.settings.authority;
             let token = record.token;
-            let stands = host.watch.borrow_mut().note_own(record, sent, end, timing);
-            if !stands {
+            let is_newest = host.watch.borrow_mut().note_own(record, sent, end, timing);
+            if !is_newest {
                 info!(host.log, "lead record overtaken"; "token" => %token,
                     "age_ms" => clock::now().since(sent).0);
             }
-            stands
+            is_newest
         }
         Ok(outcome) => {
             info!(host.log, "lead record not kept";
                 "token" => %record.token, "outcome" => ?outcome);
-            host.lead_doubted.notify_waiters();
+            host.lead_record_stale.notify_waiters();
             false
         }
         Err(error) => {
@@ -252,15 +256,16 @@
 }
 
 /// Does the lead's work until the lead is over.
-async fn lead(host: &Rc<CellBox>, predecessor: bool, followed: &FollowedLead) {
+async fn lead_cell(host: &Rc<CellBox>, has_predecessor: bool, claim_context: &ClaimContext) {
     let Some(token) = host.watch.borrow().newest().map(|record| record.token) else { return };
     telemetry::count_cell_event("lead", "claimed");
-    followed.count();
-    info!(host.log, "leading"; "token" => %token, "predecessor" => predecessor);
-    host.set_asking(false);
-    let began = clock::now();
-    let mut scheduler = Scheduler::take_over(host.settings.cell.clone(), token, predecessor, began);
-    if let Some(earlier) = followed.token() {
+    claim_context.count();
+    info!(host.log, "leading"; "token" => %token, "predecessor" => has_predecessor);
+    host.set_query_mode(false);
+    let started = clock::now();
+    let mut scheduler =
+        Scheduler::take_over(host.settings.cell.clone(), token, has_predecessor, started);
+    if let Some(earlier) = claim_context.predecessor_token() {
         scheduler.note_follows(earlier);
     }
     let session = Rc::new(LeadSession {
@@ -269,86 +274,90 @@
         wake: Notify::new(),
         ended: Cell::new(false),
         helpers: RefCell::default(),
-        names: RefCell::default(),
-        relay: RelayDesk::default(),
-        order_patience: RefCell::new(CallPatience::new(ORDER_PATIENCE)),
-        repeats: RefCell::default(),
-        fed: RefCell::default(),
-        told: RefCell::default(),
+        helper_ids: RefCell::default(),
+        relay: StoreRelay::default(),
+        order_timeout: RefCell::new(CallPatience::new(ORDER_PATIENCE)),
+        start_resends: RefCell::default(),
+        outgoing_records: RefCell::default(),
+        sent_summaries: RefCell::default(),
         submissions: RefCell::default(),
-        in_flight: RefCell::default(),
-        stuck: Cell::default(),
-        strengths: RefCell::default(),
-        standbys: RefCell::new(StandbySet::new(host.settings.link, host.lead_tells.get(), began)),
-        outdone: Cell::default(),
-        config: Cell::default(),
-        answered: Cell::new(clock::now()),
-        store_back: Notify::new(),
+        in_flight_owners: RefCell::default(),
+        append_stuck: Cell::default(),
+        helper_strengths: RefCell::default(),
+        standbys: RefCell::new(StandbySet::new(
+            host.settings.link,
+            host.lead_sends_summaries.get(),
+            started,
+        )),
+        stronger_helper_since: Cell::default(),
+        config_version: Cell::default(),
+        last_append_answer: Cell::new(clock::now()),
+        store_recovered: Notify::new(),
     });
     // Renewals go on while the store is slow to fence, or another box would claim meanwhile.
     let mut renewing = std::pin::pin!(renew(host, &session));
     let fenced = tokio::select! {
-        fenced = recorder::fence(host, token) => fenced.ok_or(LeadEnd::NotFenced),
+        fenced = recorder::fence(host, token) => fenced.ok_or(LeadEndReason::NotFenced),
         end = renewing.as_mut() => Err(end),
     };
     let mut recorder = match fenced {
         Ok(recorder) => recorder,
         Err(end) => {
-            lead_log::note_end(host, &session, end);
-            give_up(host, &session).await;
+            lead_log::log_end(host, &session, end);
+            release_lead(host, &session).await;
             return;
         }
     };
     session.scheduler.borrow_mut().note_fenced(clock::now());
     session.scheduler.borrow_mut().add_helper(OWN_BOX);
-    session.take_config(host);
-    let known: Vec<JobId> = host.replica.borrow().jobs().map(|(id, _)| id).collect();
-    for id in known {
+    session.apply_limits(host);
+    let job_ids: Vec<JobId> = host.replica.borrow().jobs().map(|(id, _)| id).collect();
+    for id in job_ids {
         session.add_job(host, id);
     }
     session.scheduler.borrow_mut().note_caught_up();
-    lead_log::note_taking_over(host, &session, followed, recorder.fence);
+    lead_log::log_take_over(host, &session, claim_context, recorder.fence_offset);
     *host.session.borrow_mut() = Some(session.clone());
     let end = tokio::select! {
         end = renewing.as_mut() => end,
-        () = recorder.run(host, &session) => LeadEnd::FencedByStore,
-        () = worker_watch::follow(host, &session) => LeadEnd::Halted,
-        () = link_server::feed(host, &session) => LeadEnd::Halted,
-        () = take_turns(host, &session) => LeadEnd::Halted,
-        () = lead_metrics::show(&session) => LeadEnd::Halted,
+        () = recorder.run(host, &session) => LeadEndReason::FencedByStore,
+        () = worker_watch::run(host, &session) => LeadEndReason::Halted,
+        () = link_server::run_forwarding(host, &session) => LeadEndReason::Halted,
+        () = run_scheduler(host, &session) => LeadEndReason::Halted,
+        () = lead_metrics::run(&session) => LeadEndReason::Halted,
     };
     session.ended.set(true);
-    lead_log::note_end(host, &session, end);
-    lead_metrics::clear(&session);
+    lead_log::log_end(host, &session, end);
+    lead_metrics::reset(&session);
     // Whoever waits for one of them puts it into the store by itself.
     session.submissions.borrow_mut().clear();
     *host.session.borrow_mut() = None;
-    give_up(host, &session).await;
+    release_lead(host, &session).await;
     telemetry::count_cell_event("lead", "ended");
 }
 
 /// Lets the scheduler decide, and carries out its orders.
-async fn take_turns(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
-    let mut authority = AuthoritySight::new();
+async fn run_scheduler(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
+    let mut monitor = AuthorityMonitor::new();
     loop {
-        let _ = tokio::time::timeout(TURN_MOST, session.wake.notified()).await;
-        let begun = Instant::now();
+        let _ = tokio::time::timeout(MAX_SCHEDULE_WAIT, session.wake.notified()).await;
+        let started = Instant::now();
         let may_order = session.may_order(host);
-        authority.note(host, session, may_order);
+        monitor.update(host, session, may_order);
         if may_order {
             let now = clock::now();
-            session.take_config(host);
+            session.apply_limits(host);
             session.scheduler.borrow_mut().set_wall_clock(clock::unix_ms(), now);
             session.scheduler.borrow_mut().schedule(now);
             let orders = session.scheduler.borrow_mut().take_orders();
             for order in orders {
-                orders::carry_out(host, session, order);
+                orders::execute(host, session, order);
             }
         }
         let events = session.scheduler.borrow_mut().take_events();
         for event in &events {
-            events::note(&host.log, session.token, event);
+            events::record_event(&host.log, session.token, event);
         }
-        tokio::time::sleep(TURN_PAUSE.max(begun.elapsed() * TURN_REST)).await;
+        tokio::time::sleep(MIN_SCHEDULE_PAUSE.max(started.elapsed() * SCHEDULE_REST_FACTOR)).await;
     }
 }
--- a/crates/sedgehilld/src/cell/lead_link.rs
+++ b/crates/sedgehilld/src/cell/lead_link.rs
@@ -12,34 +12,34 @@
 
 use super::frames::{PeerFrame, StateAnswer, ViewProof};
 use super::state::CellBox;
-use super::submission::AcceptOutcome;
+use super::submission::SubmissionOutcome;
 
 /// How long the lead may take to tell a state.
-const STATE_LIMIT: Duration = Duration::from_millis(800);
+const STATE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A question to the lead, which is asked again when the connection is replaced.
-struct PendingCall<T> {
+struct PendingRequest<T> {
     frame: PeerFrame,
     reply: oneshot::Sender<T>,
 }
 
 /// Questions of one kind that wait for an answer, by number.
-struct PendingCalls<T>(RefCell<HashMap<u64, PendingCall<T>>>);
+struct PendingRequests<T>(RefCell<HashMap<u64, PendingRequest<T>>>);
 
-impl<T> Default for PendingCalls<T> {
-    fn default() -> PendingCalls<T> {
-        PendingCalls(RefCell::default())
+impl<T> Default for PendingRequests<T> {
+    fn default() -> PendingRequests<T> {
+        PendingRequests(RefCell::default())
     }
 }
 
-impl<T> PendingCalls<T> {
-    fn begin(&self, number: u64, frame: PeerFrame) -> oneshot::Receiver<T> {
+impl<T> PendingRequests<T> {
+    fn register(&self, number: u64, frame: PeerFrame) -> oneshot::Receiver<T> {
         let (reply, answer) = oneshot::channel();
-        self.0.borrow_mut().insert(number, PendingCall { frame, reply });
+        self.0.borrow_mut().insert(number, PendingRequest { frame, reply });
         answer
     }
 
-    fn finish(&self, number: u64, answer: T) {
+    fn complete(&self, number: u64, answer: T) {
         if let Some(pending) = self.0.borrow_mut().remove(&number) {
             // A caller that does not wait any more asks again.
             let _ = pending.reply.send(answer);
@@ -55,7 +55,7 @@
     }
 
     /// Forgets questions for whose answer nobody waits any more.
-    fn forget_abandoned(&self) {
+    fn drop_abandoned(&self) {
         self.0.borrow_mut().retain(|_, pending| !pending.reply.is_closed());
     }
 
@@ -69,13 +69,13 @@
     /// Frames that are to be sent.
     pub outbox: mpsc::Sender<PeerFrame>,
     /// The last question how far the lead's views reach, with when it was asked.
-    pub probe: Cell<Option<(u64, Moment)>>,
+    pub last_probe: Cell<Option<(u64, Moment)>>,
     /// Whether the store answers the lead, as it says.
     store_answers: Cell<bool>,
     next_number: Cell<u64>,
-    submissions: PendingCalls<AcceptOutcome>,
-    questions: PendingCalls<StateAnswer>,
-    counts: PendingCalls<Option<u64>>,
+    submit_requests: PendingRequests<SubmissionOutcome>,
+    state_requests: PendingRequests<StateAnswer>,
+    count_requests: PendingRequests<Option<u64>>,
     /// Whether the last proof named a configuration that this box did not have.
     config_behind: Cell<bool>,
 }
@@ -85,12 +85,12 @@
     pub fn new(outbox: mpsc::Sender<PeerFrame>) -> LeadLink {
         LeadLink {
             outbox,
-            probe: Cell::default(),
+            last_probe: Cell::default(),
             store_answers: Cell::new(false),
             next_number: Cell::new(0),
-            submissions: PendingCalls::default(),
-            questions: PendingCalls::default(),
-            counts: PendingCalls::default(),
+            submit_requests: PendingRequests::default(),
+            state_requests: PendingRequests::default(),
+            count_requests: PendingRequests::default(),
             config_behind: Cell::default(),
         }
     }
@@ -108,34 +108,36 @@
     /// Sends a question. None if the link is overfull.
     fn ask<T>(
         &self,
-        calls: &PendingCalls<T>,
-        question: impl FnOnce(u64) -> PeerFrame,
+        requests: &PendingRequests<T>,
+        build_frame: impl FnOnce(u64) -> PeerFrame,
     ) -> Option<oneshot::Receiver<T>> {
-        let number = self.take_number();
-        let frame = question(number);
-        let answer = calls.begin(number, frame.clone());
+        let number = self.next_request_number();
+        let frame = build_frame(number);
+        let answer = requests.register(number, frame.clone());
         if self.outbox.try_send(frame).is_err() {
-            calls.remove(number);
+            requests.remove(number);
             return None;
         }
         Some(answer)
     }
 
     /// Hands in what a caller said. None if the link was lost before an answer.
-    pub async fn submit(&self, job: JobId, statement: &CellRecord) -> Option<AcceptOutcome> {
-        let statement = statement.clone();
-        let submit = |number| PeerFrame::Submit { number, job, statement };
-        match self.ask(&self.submissions, submit) {
+    pub async fn submit(&self, job: JobId, record: &CellRecord) -> Option<SubmissionOutcome> {
+        let record = record.clone();
+        let build_frame = |number| PeerFrame::Submit { number, job, record };
+        match self.ask(&self.submit_requests, build_frame) {
             Some(answer) => answer.await.ok(),
-            None => Some(AcceptOutcome::NotDone),
+            None => Some(SubmissionOutcome::NotDone),
         }
     }
 
     /// Asks for the state of a job.
     pub async fn ask_state(&self, job: JobId, caller: Option<OrganisationName>) -> StateAnswer {
-        let question = |number| PeerFrame::AskState { number, job, caller };
-        let Some(answer) = self.ask(&self.questions, question) else { return StateAnswer::Untold };
-        match tokio::time::timeout(STATE_LIMIT, answer).await {
+        let build_frame = |number| PeerFrame::AskState { number, job, caller };
+        let Some(answer) = self.ask(&self.state_requests, build_frame) else {
+            return StateAnswer::Untold;
+        };
+        match tokio::time::timeout(STATE_TIMEOUT, answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) | Err(_) => StateAnswer::Untold,
         }
@@ -143,26 +145,25 @@
 
     /// Asks how many jobs of a queue wait.
     pub async fn ask_waiting(&self, queue: QueueName) -> Option<u64> {
-        let question = |number| PeerFrame::AskWaiting { number, queue };
-        let answer = self.ask(&self.counts, question)?;
-        tokio::time::timeout(STATE_LIMIT, answer).await.ok()?.ok()?
+        let build_frame = |number| PeerFrame::AskWaiting { number, queue };
+        let answer = self.ask(&self.count_requests, build_frame)?;
+        tokio::time::timeout(STATE_TIMEOUT, answer).await.ok()?.ok()?
     }
 
     /// Asks the lead for what this box cannot read itself.
-    pub fn fetch_missed(&self, host: &CellBox, proof: &ViewProof) {
-        let behind = host.config.borrow().version < proof.config;
+    pub fn fetch_missing(&self, host: &CellBox, proof: &ViewProof) {
+        let is_behind = host.config.borrow().version < proof.config;
         // A version that was proved before and is still missing will hardly come by the own path.
-        if self.config_behind.replace(behind) && behind {
+        if self.config_behind.replace(is_behind) && is_behind {
             self.fetch(StoreTopic::Operators, 0);
         }
         if !host.store_contact.is_silent() {
             return;
         }
-        let missed =
-            [(StoreTopic::Jobs, proof.jobs_end), (StoreTopic::Progress, proof.progress_end)];
-        for (topic, end) in missed {
-            let read = host.view(topic).and_then(|view| view.offset.get());
-            if let Some(from) = read.filter(|read| *read < end) {
+        let ends = [(StoreTopic::Jobs, proof.jobs_end), (StoreTopic::Progress, proof.progress_end)];
+        for (topic, end) in ends {
+            let next_offset = host.view(topic).and_then(|view| view.offset.get());
+            if let Some(from) = next_offset.filter(|next_offset| *next_offset < end) {
                 self.fetch(topic, from);
             }
         }
@@ -174,46 +175,50 @@
     }
 
     /// The number of the next question.
-    pub fn take_number(&self) -> u64 {
+    pub fn next_request_number(&self) -> u64 {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         number
     }
 
     /// Takes in what came of a submission.
-    pub fn take_outcome(&self, number: u64, outcome: AcceptOutcome) {
-        self.submissions.finish(number, outcome);
+    pub fn complete_submission(&self, number: u64, outcome: SubmissionOutcome) {
+        self.submit_requests.complete(number, outcome);
     }
 
     /// Takes in the state of a job.
-    pub fn take_state(&self, number: u64, answer: StateAnswer) {
-        self.questions.finish(number, answer);
+    pub fn complete_state(&self, number: u64, answer: StateAnswer) {
+        self.state_requests.complete(number, answer);
     }
 
     /// Takes in how many jobs of a queue wait.
-    pub fn take_count(&self, number: u64, count: Option<u64>) {
-        self.counts.finish(number, count);
+    pub fn complete_count(&self, number: u64, count: Option<u64>) {
+        self.count_requests.complete(number, count);
     }
 
     /// The link is lost: whoever waits for an answer on it waits no longer.
-    pub fn give_up(&self) {
+    pub fn close(&self) {
         self.store_answers.set(false);
-        self.submissions.clear();
-        self.questions.clear();
-        self.counts.clear();
+        self.submit_requests.clear();
+        self.state_requests.clear();
+        self.count_requests.clear();
     }
 
     /// Forgets questions for whose answer nobody waits any more.
-    pub fn forget_abandoned(&self) {
-        self.submissions.forget_abandoned();
-        self.questions.forget_abandoned();
-        self.counts.forget_abandoned();
+    pub fn drop_abandoned(&self) {
+        self.submit_requests.drop_abandoned();
+        self.state_requests.drop_abandoned();
+        self.count_requests.drop_abandoned();
     }
 
     /// The questions that wait for an answer. A job that the lead took already stays one job.
     pub fn pending_frames(&self) -> Vec<PeerFrame> {
-        self.forget_abandoned();
-        let frames = [self.submissions.frames(), self.questions.frames(), self.counts.frames()];
+        self.drop_abandoned();
+        let frames = [
+            self.submit_requests.frames(),
+            self.state_requests.frames(),
+            self.count_requests.frames(),
+        ];
         frames.concat()
     }
 }
--- a/crates/sedgehilld/src/cell/lead_log.rs
+++ b/crates/sedgehilld/src/cell/lead_log.rs
@@ -45,7 +45,7 @@
 
 /// Why a lead is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeadEnd {
+pub enum LeadEndReason {
     /// The box stops.
     Stopping,
     /// A later claim was read.
@@ -62,51 +62,53 @@
     Halted,
 }
 
-impl LeadEnd {
+impl LeadEndReason {
     fn name(self) -> &'static str {
         match self {
-            LeadEnd::Stopping => "stopping",
-            LeadEnd::LaterToken => "later_token",
-            LeadEnd::FencedByStore => "fenced_by_store",
-            LeadEnd::FencedByWorker => "fenced_by_worker",
-            LeadEnd::Yielding => "yielding",
-            LeadEnd::NotFenced => "not_fenced",
-            LeadEnd::Halted => "halted",
+            LeadEndReason::Stopping => "stopping",
+            LeadEndReason::LaterToken => "later_token",
+            LeadEndReason::FencedByStore => "fenced_by_store",
+            LeadEndReason::FencedByWorker => "fenced_by_worker",
+            LeadEndReason::Yielding => "yielding",
+            LeadEndReason::NotFenced => "not_fenced",
+            LeadEndReason::Halted => "halted",
         }
     }
 }
 
 /// What a box knew of the lead that it follows, at the moment of its claim.
 #[derive(Debug)]
-pub struct FollowedLead {
-    record: Option<LeadRecord>,
+pub struct ClaimContext {
+    predecessor: Option<LeadRecord>,
     sign: LeadSign,
     reason: ClaimReason,
-    at: Moment,
-    gaps: u64,
+    claimed_at: Moment,
+    gaps_before: u64,
 }
 
-impl FollowedLead {
+impl ClaimContext {
     /// What this box knows now.
-    pub fn of(host: &CellBox) -> FollowedLead {
+    pub fn of(host: &CellBox) -> ClaimContext {
         let watch = host.watch.borrow();
-        let at = clock::now();
-        let (record, sign) = (watch.newest().cloned(), watch.sign(at));
-        let reason = match &record {
+        let claimed_at = clock::now();
+        let (predecessor, sign) = (watch.newest().cloned(), watch.sign(claimed_at));
+        let reason = match &predecessor {
             None => ClaimReason::First,
             Some(_) if watch.is_holder() => ClaimReason::Again,
-            Some(record) if record.resigned => ClaimReason::Resigned,
-            Some(record) if record.holder == host.settings.name => ClaimReason::OwnRestart,
+            Some(predecessor) if predecessor.resigned => ClaimReason::Resigned,
+            Some(predecessor) if predecessor.holder == host.settings.name => {
+                ClaimReason::OwnRestart
+            }
             Some(_) if sign.gone => ClaimReason::Gone,
             Some(_) if sign.reachable => ClaimReason::Silent,
             Some(_) => ClaimReason::Unreachable,
         };
-        FollowedLead { record, sign, reason, at, gaps: gaps(host) }
+        ClaimContext { predecessor, sign, reason, claimed_at, gaps_before: gaps(host) }
     }
 
     /// The token of the lead that is followed; none if there was none.
-    pub fn token(&self) -> Option<FencingToken> {
-        self.record.as_ref().map(|record| record.token)
+    pub fn predecessor_token(&self) -> Option<FencingToken> {
+        self.predecessor.as_ref().map(|predecessor| predecessor.token)
     }
 
     /// Counts the claim.
@@ -115,19 +117,19 @@
     }
 }
 
-impl KV for FollowedLead {
+impl KV for ClaimContext {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         serializer.emit_str("reason", self.reason.name())?;
-        if let Some(record) = &self.record {
-            serializer.emit_arguments("follows_token", &format_args!("{}", record.token))?;
-            serializer.emit_str("follows_holder", &record.holder.0)?;
+        if let Some(predecessor) = &self.predecessor {
+            serializer.emit_arguments("follows_token", &format_args!("{}", predecessor.token))?;
+            serializer.emit_str("follows_holder", &predecessor.holder.0)?;
             // As a text: it is beyond what many readers of JSON keep of a number.
-            serializer.emit_arguments("follows_life", &format_args!("{}", record.life))?;
-            serializer.emit_bool("follows_resigned", record.resigned)?;
+            serializer.emit_arguments("follows_life", &format_args!("{}", predecessor.life))?;
+            serializer.emit_bool("follows_resigned", predecessor.resigned)?;
             serializer.emit_bool("reachable", self.sign.reachable)?;
             serializer.emit_bool("gone", self.sign.gone)?;
         }
-        serializer.emit_u64("sign_age_ms", self.at.since(self.sign.heard).0)
+        serializer.emit_u64("sign_age_ms", self.claimed_at.since(self.sign.heard).0)
     }
 }
 
@@ -138,43 +140,43 @@
 
 /// A lead has caught up: what it goes by until earlier leads are settled. `fence` is where progress
 /// ended once the store refused earlier leads.
-pub fn note_taking_over(
+pub fn log_take_over(
     host: &CellBox,
     session: &LeadSession,
-    followed: &FollowedLead,
-    fence: u64,
+    claim_context: &ClaimContext,
+    fence_offset: u64,
 ) {
     let now = clock::now();
-    let known = session.scheduler.borrow().take_over_sight();
+    let take_over = session.scheduler.borrow().take_over_sight();
     let replica = host.replica.borrow();
     let roster_sign = replica.roster_sign();
-    info!(host.log, "taking over"; "token" => %session.token, followed,
-        "claimed_ms_ago" => now.since(followed.at).0,
-        "waits_for_term" => known.waits_for_term,
-        "settled_within_ms" => known.settled_by.since(now).0,
-        "jobs" => known.jobs, "earlier_jobs" => known.earlier_jobs,
+    info!(host.log, "taking over"; "token" => %session.token, claim_context,
+        "claimed_ms_ago" => now.since(claim_context.claimed_at).0,
+        "waits_for_term" => take_over.waits_for_term,
+        "settled_within_ms" => take_over.settled_by.since(now).0,
+        "jobs" => take_over.jobs, "earlier_jobs" => take_over.earlier_jobs,
         "roster" => replica.roster().workers.len(), "roster_mark" => %replica.roster().mark(),
         "roster_from" => roster_sign.and_then(|sign| sign.from),
         "roster_age_ms" => roster_sign.map(|sign| now.since(sign.read).0),
-        "progress_fence" => fence,
+        "progress_fence" => fence_offset,
         "progress_read" => host.progress_view.offset.get(),
-        "progress_age_ms" => age(host.progress_view.age()),
+        "progress_age_ms" => age_ms(host.progress_view.age()),
         "jobs_read" => host.jobs_view.offset.get(),
-        "jobs_age_ms" => age(host.jobs_view.age()),
-        "gaps" => gaps(host) - followed.gaps);
+        "jobs_age_ms" => age_ms(host.jobs_view.age()),
+        "gaps" => gaps(host) - claim_context.gaps_before);
 }
 
-fn age(age: Option<TimeSpan>) -> Option<u64> {
+fn age_ms(age: Option<TimeSpan>) -> Option<u64> {
     age.map(|age| age.0)
 }
 
 /// What takes away a lead's authority.
-struct Withheld<'a> {
+struct AuthorityLoss<'a> {
     host: &'a CellBox,
     token: FencingToken,
 }
 
-impl KV for Withheld<'_> {
+impl KV for AuthorityLoss<'_> {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         let watch = self.host.watch.borrow();
         let now = clock::now();
@@ -194,18 +196,18 @@
 
 /// Tells when a lead may not give orders for a time, and when it may again.
 #[derive(Debug)]
-pub struct AuthoritySight {
+pub struct AuthorityMonitor {
     may_order: bool,
 }
 
-impl AuthoritySight {
+impl AuthorityMonitor {
     /// The sight of a lead that has just claimed.
-    pub fn new() -> AuthoritySight {
-        AuthoritySight { may_order: true }
+    pub fn new() -> AuthorityMonitor {
+        AuthorityMonitor { may_order: true }
     }
 
     /// Takes in whether orders may be given now.
-    pub fn note(&mut self, host: &CellBox, session: &LeadSession, may_order: bool) {
+    pub fn update(&mut self, host: &CellBox, session: &LeadSession, may_order: bool) {
         if std::mem::replace(&mut self.may_order, may_order) == may_order {
             return;
         }
@@ -213,15 +215,15 @@
         match may_order {
             true => info!(host.log, "orders resumed"; "token" => %token),
             false => {
-                telemetry::count_lead("withheld", withheld_reason(host, token));
+                telemetry::count_lead("withheld", authority_loss_reason(host, token));
                 info!(host.log, "orders withheld"; "token" => %token,
-                    "reason" => withheld_reason(host, token), Withheld { host, token });
+                    "reason" => authority_loss_reason(host, token), AuthorityLoss { host, token });
             }
         }
     }
 }
 
-fn withheld_reason(host: &CellBox, token: FencingToken) -> &'static str {
+fn authority_loss_reason(host: &CellBox, token: FencingToken) -> &'static str {
     let watch = host.watch.borrow();
     match watch.newest() {
         Some(newest) if newest.token != token => "later_token",
@@ -231,9 +233,9 @@
 }
 
 /// A lead is over.
-pub fn note_end(host: &CellBox, session: &LeadSession, end: LeadEnd) {
+pub fn log_end(host: &CellBox, session: &LeadSession, end: LeadEndReason) {
     let token = session.token;
     telemetry::count_lead("ended", end.name());
     info!(host.log, "not leading any more"; "token" => %token, "reason" => end.name(),
-        "open_jobs" => session.scheduler.borrow().open_jobs(), Withheld { host, token });
+        "open_jobs" => session.scheduler.borrow().open_jobs(), AuthorityLoss { host, token });
 }
--- a/crates/sedgehilld/src/cell/link_client.rs
+++ b/crates/sedgehilld/src/cell/link_client.rs
@@ -16,61 +16,63 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-use super::frames::{FedBriefs, FedRecords, PeerFrame, ViewProof, read_frame, write_frame};
+use super::frames::{PeerFrame, TopicRecords, TopicSummary, ViewProof, read_frame, write_frame};
 use super::lead_link::LeadLink;
 use super::state::CellBox;
 use super::{apply, orders, relay};
 use crate::clock;
 
 /// A lead that was silent for longer on the link is taken as lost. It speaks every 300 ms.
-const SILENCE: Duration = Duration::from_millis(900);
+const LEAD_SILENT_AFTER: Duration = Duration::from_millis(900);
 /// A link on which the lead was silent for longer is replaced: the connection may have fallen silent while
 /// the lead lives.
-const QUIET: Duration = Duration::from_millis(400);
+const RECONNECT_AFTER: Duration = Duration::from_millis(400);
 /// Pause before the lead is connected to again.
-const CONNECT_PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 /// How long a connection may take to be made.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time between two questions how far the lead's views reach.
-const PROBE_EVERY: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// Frames that may wait to be sent. A link that is so far behind is of no use.
-const OUTBOX_LENGTH: usize = 1_024;
+const OUTBOX_CAPACITY: usize = 1_024;
 
 /// Keeps a link to whoever leads.
-pub async fn keep(host: Rc<CellBox>) {
+pub async fn run(host: Rc<CellBox>) {
     loop {
         let Some(address) = lead_address(&host) else {
-            pause(&host).await;
+            pause_or_lead_change(&host).await;
             continue;
         };
-        let connecting = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address));
-        match unless_led_elsewhere(&host, address, connecting).await {
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
+        match unless_lead_moves(&host, address, connecting).await {
             Some(Ok(Ok(stream))) => {
-                let holding = hold(&host, stream, address);
-                let ended = unless_led_elsewhere(&host, address, holding).await;
-                if let Some(Err(error)) = ended {
+                let serving = serve_connection(&host, stream, address);
+                let result = unless_lead_moves(&host, address, serving).await;
+                if let Some(Err(error)) = result {
                     warn!(host.log, "link to the lead lost"; "error" => %error);
                 }
             }
-            Some(Ok(Err(error))) if is_refusal(&error) => host.watch.borrow_mut().note_gone(),
+            Some(Ok(Err(error))) if is_connection_refused(&error) => {
+                host.watch.borrow_mut().note_gone()
+            }
             // Silence says nothing of the lead's process.
             Some(Ok(Err(_)) | Err(_)) | None => {}
         }
         if let Some(link) = host.link.take() {
-            link.give_up();
+            link.close();
         }
         if lead_address(&host).is_none_or(|current| current == address) {
             host.watch.borrow_mut().note_reachable(false);
-            host.lead_doubted.notify_waiters();
-            pause(&host).await;
+            host.lead_record_stale.notify_waiters();
+            pause_or_lead_change(&host).await;
         }
     }
 }
 
 /// Waits before the next try, or until another box leads.
-async fn pause(host: &CellBox) {
+async fn pause_or_lead_change(host: &CellBox) {
     tokio::select! {
-        () = tokio::time::sleep(CONNECT_PAUSE) => {}
+        () = tokio::time::sleep(RECONNECT_PAUSE) => {}
         () = host.lead_changed.notified() => {}
     }
 }
@@ -78,19 +80,19 @@
 /// Waits for what is done with the lead at `address`, unless another box leads meanwhile. None if one does. A
 /// dial to a machine without power, or a quiet link to it, kept boxes for 0.6 s from a successor that was known
 /// already; meanwhile that had nobody to ask advice through.
-async fn unless_led_elsewhere<T>(
+async fn unless_lead_moves<T>(
     host: &CellBox,
     address: SocketAddr,
     work: impl Future<Output = T>,
 ) -> Option<T> {
     tokio::select! {
-        done = work => Some(done),
-        () = led_elsewhere(host, address) => None,
+        output = work => Some(output),
+        () = wait_for_other_lead(host, address) => None,
     }
 }
 
 /// Returns once a box at another address leads. A lead that has resigned may still answer what it took.
-async fn led_elsewhere(host: &CellBox, address: SocketAddr) {
+async fn wait_for_other_lead(host: &CellBox, address: SocketAddr) {
     loop {
         // Begun before the look, so that no change is missed.
         let changed = host.lead_changed.notified();
@@ -102,7 +104,7 @@
 }
 
 /// Whether an error says that nothing listens there.
-fn is_refusal(error: &std::io::Error) -> bool {
+fn is_connection_refused(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{ConnectionRefused, ConnectionReset};
     matches!(error.kind(), ConnectionRefused | ConnectionReset)
 }
@@ -116,11 +118,15 @@
     newest.peer_address.parse().ok()
 }
 
-async fn hold(host: &Rc<CellBox>, stream: TcpStream, address: SocketAddr) -> std::io::Result<()> {
-    let (outbox, mut queue) = mpsc::channel(OUTBOX_LENGTH);
+async fn serve_connection(
+    host: &Rc<CellBox>,
+    stream: TcpStream,
+    address: SocketAddr,
+) -> std::io::Result<()> {
+    let (outbox, mut queue) = mpsc::channel(OUTBOX_CAPACITY);
     let link = Rc::new(LeadLink::new(outbox));
     let mut stream = stream;
-    let mut patience = SILENCE;
+    let mut timeout = LEAD_SILENT_AFTER;
     loop {
         stream.set_nodelay(true)?;
         let (reader, mut writer) = stream.into_split();
@@ -131,16 +137,16 @@
             write_frame(&mut writer, &frame).await?;
         }
         *host.link.borrow_mut() = Some(link.clone());
-        let end = tokio::select! {
-            result = send(host, &link, writer, &mut queue) => return result,
-            result = receive(host, &link, reader, address, patience) => result?,
+        let link_end = tokio::select! {
+            result = send_frames(host, &link, writer, &mut queue) => return result,
+            result = receive_frames(host, &link, reader, address, timeout) => result?,
         };
-        match end {
+        match link_end {
             LinkEnd::OtherLead => return Ok(()),
-            LinkEnd::Replaced(new) => stream = new,
+            LinkEnd::Replaced(new_stream) => stream = new_stream,
         }
         info!(host.log, "quiet link to the lead replaced"; "lead" => %address);
-        patience = SILENCE.saturating_sub(QUIET);
+        timeout = LEAD_SILENT_AFTER.saturating_sub(RECONNECT_AFTER);
     }
 }
 
@@ -158,13 +164,13 @@
 async fn next_frame(
     reader: &mut OwnedReadHalf,
     address: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
 ) -> std::io::Result<Result<PeerFrame, TcpStream>> {
-    let silent = || std::io::Error::other("the lead is silent");
+    let silent = || std::io::Error::other("the lead has sent nothing for too long");
     let mut reading = std::pin::pin!(read_frame(reader));
-    let is_replacement = patience < SILENCE;
-    let first = if is_replacement { patience } else { QUIET };
-    if let Ok(frame) = tokio::time::timeout(first, reading.as_mut()).await {
+    let is_replacement = timeout < LEAD_SILENT_AFTER;
+    let first_timeout = if is_replacement { timeout } else { RECONNECT_AFTER };
+    if let Ok(frame) = tokio::time::timeout(first_timeout, reading.as_mut()).await {
         return frame.map(Ok);
     }
     if is_replacement {
@@ -176,27 +182,29 @@
             stream = TcpStream::connect(address) => stream.map(Err),
         }
     };
-    tokio::time::timeout(SILENCE - QUIET, waiting).await.map_err(|_| silent())?
+    tokio::time::timeout(LEAD_SILENT_AFTER - RECONNECT_AFTER, waiting)
+        .await
+        .map_err(|_| silent())?
 }
 
-async fn send(
+async fn send_frames(
     host: &CellBox,
     link: &LeadLink,
     mut writer: OwnedWriteHalf,
     queue: &mut mpsc::Receiver<PeerFrame>,
 ) -> std::io::Result<()> {
-    let mut probes = tokio::time::interval(PROBE_EVERY);
+    let mut probes = tokio::time::interval(PROBE_INTERVAL);
     probes.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
             Some(frame) = queue.recv() => frame,
             _ = probes.tick() => {
-                link.forget_abandoned();
-                if host.defers_reading() {
-                    write_frame(&mut writer, &PeerFrame::AskBriefs).await?;
+                link.drop_abandoned();
+                if host.defers_reads() {
+                    write_frame(&mut writer, &PeerFrame::AskSummaries).await?;
                 }
-                let number = link.take_number();
-                link.probe.set(Some((number, clock::now())));
+                let number = link.next_request_number();
+                link.last_probe.set(Some((number, clock::now())));
                 PeerFrame::Probe { number, store_answers: !host.store_contact.is_doubtful() }
             }
         };
@@ -204,22 +212,22 @@
     }
 }
 
-async fn receive(
+async fn receive_frames(
     host: &Rc<CellBox>,
     link: &LeadLink,
     mut reader: OwnedReadHalf,
     address: SocketAddr,
-    first_patience: Duration,
+    first_timeout: Duration,
 ) -> std::io::Result<LinkEnd> {
-    let mut patience = first_patience;
+    let mut timeout = first_timeout;
     // Whether this box stands by for the lead of this link.
-    let mut stood_by = false;
+    let mut is_standby = false;
     loop {
-        let frame = match next_frame(&mut reader, address, patience).await? {
+        let frame = match next_frame(&mut reader, address, timeout).await? {
             Ok(frame) => frame,
             Err(stream) => return Ok(LinkEnd::Replaced(stream)),
         };
-        patience = SILENCE;
+        timeout = LEAD_SILENT_AFTER;
         match frame {
             PeerFrame::Ping { store_answers, strongest } => {
                 link.note_store_answers(store_answers);
@@ -231,69 +239,69 @@
                 }
                 watch.note_strength(strongest);
             }
-            PeerFrame::Ask(question) => {
+            PeerFrame::AskAdvice(question) => {
                 let (host, outbox) = (host.clone(), link.outbox.clone());
                 tokio::task::spawn_local(async move {
-                    let answer = orders::ask_service(&host, &question).await;
+                    let answer = orders::query_advice_service(&host, &question).await;
                     let valid = answer.as_ref().map_or(TimeSpan(0), |answer| answer.valid);
                     let good = answer.map(|answer| answer.good);
                     // Without a link nobody waits for the answer.
-                    let _ = outbox.send(PeerFrame::Answer { question, good, valid }).await;
+                    let _ = outbox.send(PeerFrame::Advice { question, good, valid }).await;
                 });
             }
-            PeerFrame::Submitted { number, outcome } => link.take_outcome(number, outcome),
+            PeerFrame::Submitted { number, outcome } => link.complete_submission(number, outcome),
             PeerFrame::Relay { number, call } => {
                 let (host, outbox) = (host.clone(), link.outbox.clone());
                 tokio::task::spawn_local(async move {
-                    let answer = relay::carry_out(&host, call).await;
+                    let answer = relay::execute(&host, call).await;
                     // Without a link nobody waits for the answer.
                     let _ = outbox.send(PeerFrame::Relayed { number, answer }).await;
                 });
             }
-            PeerFrame::State { number, answer } => link.take_state(number, answer),
-            PeerFrame::Records(fed) => take_records(host, fed),
-            PeerFrame::Briefs(fed) => take_briefs(host, fed),
+            PeerFrame::State { number, answer } => link.complete_state(number, answer),
+            PeerFrame::Records(records) => apply_records(host, records),
+            PeerFrame::Summary(summary) => apply_summary(host, summary),
             PeerFrame::Config(record) => apply::apply_config(host, record.into()),
             PeerFrame::StandBy(stands_by) => {
-                info!(host.log, "role"; "stands_by" => stands_by, "whole" => host.could_lead());
+                info!(host.log, "role"; "stands_by" => stands_by, "whole" => host.can_lead());
                 match stands_by {
                     true => {
-                        host.set_asking(false);
-                        host.read_anew();
+                        host.set_query_mode(false);
+                        host.reload_full_records();
                     }
-                    false if !host.lead_tells.get() => host.set_asking(true),
+                    false if !host.lead_sends_summaries.get() => host.set_query_mode(true),
                     false => {}
                 }
-                stood_by = stands_by;
+                is_standby = stands_by;
             }
-            PeerFrame::Tells(tells) => {
-                info!(host.log, "role"; "stands_by" => stood_by, "told_states" => tells);
-                host.lead_tells.set(tells);
-                if !stood_by {
-                    host.set_asking(!tells);
+            PeerFrame::SendsSummaries(sends) => {
+                info!(host.log, "role"; "stands_by" => is_standby, "told_states" => sends);
+                host.lead_sends_summaries.set(sends);
+                if !is_standby {
+                    host.set_query_mode(!sends);
                 }
-                if tells && !stood_by && host.progress_view.offset.get().is_none() {
+                if sends && !is_standby && host.progress_view.offset.get().is_none() {
                     // A link that is overfull is of no use.
-                    let _ = link.outbox.try_send(PeerFrame::AskBriefs);
+                    let _ = link.outbox.try_send(PeerFrame::AskSummaries);
                 }
             }
-            PeerFrame::Waiting { number, count } => link.take_count(number, count),
+            PeerFrame::Waiting { number, count } => link.complete_count(number, count),
             PeerFrame::Proof { number, proof: Some(proof) } => {
-                if let Some((asked, sent)) = link.probe.get()
+                if let Some((asked, sent)) = link.last_probe.get()
                     && asked == number
                 {
-                    take_proof(host, &proof, sent);
-                    link.fetch_missed(host, &proof);
+                    apply_proof(host, &proof, sent);
+                    link.fetch_missing(host, &proof);
                 }
             }
             PeerFrame::Proof { proof: None, .. }
             | PeerFrame::Hello { .. }
-            | PeerFrame::Answer { .. }
+            | PeerFrame::Advice { .. }
             | PeerFrame::Submit { .. }
             | PeerFrame::AskState { .. }
             | PeerFrame::Relayed { .. }
             | PeerFrame::Fetch { .. }
-            | PeerFrame::AskBriefs
+            | PeerFrame::AskSummaries
             | PeerFrame::AskWaiting { .. }
             | PeerFrame::Probe { .. } => {}
         }
@@ -304,52 +312,52 @@
 }
 
 /// Takes in records that follow those already known. Others are read from the store.
-fn take_records(host: &CellBox, fed: FedRecords) {
-    let Some(view) = host.view(fed.topic) else { return };
-    let (from, end) = (fed.from, fed.end());
+fn apply_records(host: &CellBox, received: TopicRecords) {
+    let Some(view) = host.view(received.topic) else { return };
+    let (from, end) = (received.from, received.end());
     let Some(known) = view.offset.get().filter(|known| (from..end).contains(known)) else { return };
-    for (key, value) in fed.records.into_iter().skip((known - from) as usize) {
-        apply::apply(host, fed.topic, &KeyedRecord { key, value: value.into() });
+    for (key, value) in received.records.into_iter().skip((known - from) as usize) {
+        apply::apply(host, received.topic, &KeyedRecord { key, value: value.into() });
     }
     view.offset.set(Some(end));
 }
 
 /// Takes in states that follow what is known. What is missing before them is read from the store.
-fn take_briefs(host: &CellBox, fed: FedBriefs) {
-    let Some(view) = host.view(fed.topic) else { return };
+fn apply_summary(host: &CellBox, summary: TopicSummary) {
+    let Some(view) = host.view(summary.topic) else { return };
     if host.watch.borrow().is_holder() {
         // A box that has claimed the lead needs more than states.
         return;
     }
-    let (from, end) = (fed.from, fed.end);
+    let (from, end) = (summary.from, summary.end);
     let follows = match view.offset.get() {
         Some(known) => (from..end).contains(&known),
         // All that is known of the topic.
-        None => from == 0 && !view.whole.get(),
+        None => from == 0 && !view.full_records.get(),
     };
     if !follows {
         return;
     }
-    for brief in fed.jobs {
+    for brief in summary.jobs {
         host.replica.borrow_mut().apply_brief(brief, clock::now());
     }
-    if view.whole.replace(false) {
-        info!(host.log, "told states alone"; "topic" => ?fed.topic, "end" => end);
+    if view.full_records.replace(false) {
+        info!(host.log, "told states alone"; "topic" => ?summary.topic, "end" => end);
     }
     view.offset.set(Some(end));
 }
 
 /// Takes in how far the lead's views reached after `sent`.
-fn take_proof(host: &CellBox, proof: &ViewProof, sent: Moment) {
-    let before = |age: TimeSpan| Moment(sent.0.saturating_sub(age.0));
+fn apply_proof(host: &CellBox, proof: &ViewProof, sent: Moment) {
+    let moment_before = |age: TimeSpan| Moment(sent.0.saturating_sub(age.0));
     if host.config.borrow().version >= proof.config {
-        host.config_view.note_fed(before(proof.config_age));
+        host.config_view.note_confirmed(moment_before(proof.config_age));
     }
     let reaches = |offset: Option<u64>, end: u64| offset.is_some_and(|offset| offset >= end);
     if reaches(host.jobs_view.offset.get(), proof.jobs_end) {
-        host.jobs_view.note_fed(before(proof.cell_age));
+        host.jobs_view.note_confirmed(moment_before(proof.cell_age));
     }
     if reaches(host.progress_view.offset.get(), proof.progress_end) {
-        host.progress_view.note_fed(before(proof.cell_age));
+        host.progress_view.note_confirmed(moment_before(proof.cell_age));
     }
 }
--- a/crates/sedgehilld/src/cell/link_server.rs
+++ b/crates/sedgehilld/src/cell/link_server.rs
@@ -15,31 +15,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::frames::{FedBriefs, FedRecords, PeerFrame, ViewProof, read_frame};
+use super::frames::{PeerFrame, TopicRecords, TopicSummary, ViewProof, read_frame};
 use super::lead::LeadSession;
 use super::orders;
 use super::state::CellBox;
 use crate::clock;
 
 /// Time between two signs of life of the lead.
-const PING_EVERY: Duration = Duration::from_millis(300);
+const PING_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause after the machine could not take a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Frames that may wait for one box. One that is so far behind, or frozen, is cut off: it reads from
 /// the store what it missed.
-const QUEUE_LENGTH: usize = 512;
+const QUEUE_CAPACITY: usize = 512;
 /// Records are passed on to boxes this often: callers may be told of an end so much later, and each
 /// passing on costs a write for every box.
-const FEED_EVERY: Duration = Duration::from_millis(40);
+const FORWARD_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How long reading for another box may take. A slow store takes some 300 ms.
-const FETCH_LIMIT: Duration = Duration::from_millis(1_200);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The queue of frames for one box.
 pub type FrameQueue = mpsc::Sender<Rc<[u8]>>;
 
 /// Takes the links of other boxes.
-pub async fn listen(host: Rc<CellBox>, listener: TcpListener) {
+pub async fn run(host: Rc<CellBox>, listener: TcpListener) {
     let mut next = 1;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -64,22 +64,22 @@
     let _ = stream.set_nodelay(true);
     let (mut reader, writer) = stream.into_split();
     let Ok(PeerFrame::Hello { name, strength }) = read_frame(&mut reader).await else { return };
-    let (queue, frames) = mpsc::channel(QUEUE_LENGTH);
+    let (queue, frames) = mpsc::channel(QUEUE_CAPACITY);
     // A box that comes again has found its earlier link quiet.
-    let earlier = session.names.borrow_mut().insert(name.clone(), helper);
+    let earlier = session.helper_ids.borrow_mut().insert(name.clone(), helper);
     if let Some(earlier) = earlier {
         session.remove_helper(earlier);
     }
-    join(&host, &session, helper, &name, strength, queue.clone());
+    register_helper(&host, &session, helper, &name, strength, queue.clone());
     tokio::select! {
-        () = send(&host, &session, writer, frames, helper) => {}
-        () = receive(&host, &session, reader, helper, &queue) => {}
+        () = send_frames(&host, &session, writer, frames, helper) => {}
+        () = receive_frames(&host, &session, reader, helper, &queue) => {}
     }
     session.remove_helper(helper);
     info!(host.log, "helper left"; "box" => %name, "helper" => helper.0);
 }
 
-fn join(
+fn register_helper(
     host: &CellBox,
     session: &LeadSession,
     helper: HelperId,
@@ -90,32 +90,32 @@
     host.watch.borrow_mut().note_strength(strength);
     session.helpers.borrow_mut().insert(helper, queue);
     session.scheduler.borrow_mut().add_helper(helper);
-    session.note_helper(host, helper, strength);
+    session.note_helper_strength(host, helper, strength);
     session.standbys.borrow_mut().join(helper, strength);
-    session.choose_standbys();
-    session.choose_telling(host);
-    let tells = session.standbys.borrow().tells();
+    session.update_standbys();
+    session.decide_summaries(host);
+    let sends = session.standbys.borrow().tells();
     // A box whose queue is full already is of no use.
     if let Some(queue) = session.helpers.borrow().get(&helper) {
-        let _ = queue.try_send(PeerFrame::Tells(tells).encode());
+        let _ = queue.try_send(PeerFrame::SendsSummaries(sends).encode());
     }
     info!(host.log, "helper joined";
         "box" => %name, "helper" => helper.0, "strength" => %strength);
 }
 
-fn ping(host: &CellBox, session: &LeadSession) -> Rc<[u8]> {
+fn ping_frame(host: &CellBox, session: &LeadSession) -> Rc<[u8]> {
     let strongest = host.watch.borrow().strongest();
     PeerFrame::Ping { store_answers: session.store_answers(host), strongest }.encode()
 }
 
-async fn send(
+async fn send_frames(
     host: &CellBox,
     session: &LeadSession,
     mut writer: OwnedWriteHalf,
     mut frames: mpsc::Receiver<Rc<[u8]>>,
     helper: HelperId,
 ) {
-    let mut pings = tokio::time::interval(PING_EVERY);
+    let mut pings = tokio::time::interval(PING_INTERVAL);
     pings.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while !session.ended.get() && session.helpers.borrow().contains_key(&helper) {
         let frame = tokio::select! {
@@ -123,8 +123,8 @@
                 Some(frame) => frame,
                 None => return,
             },
-            _ = pings.tick() => ping(host, session),
-            () = session.store_back.notified() => ping(host, session),
+            _ = pings.tick() => ping_frame(host, session),
+            () = session.store_recovered.notified() => ping_frame(host, session),
         };
         if writer.write_all(&frame).await.is_err() {
             return;
@@ -132,7 +132,7 @@
     }
 }
 
-async fn receive(
+async fn receive_frames(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
     mut reader: OwnedReadHalf,
@@ -141,21 +141,21 @@
 ) {
     while let Ok(frame) = read_frame(&mut reader).await {
         match frame {
-            PeerFrame::Answer { question, good, valid } => {
-                let asked =
+            PeerFrame::Advice { question, good, valid } => {
+                let asked_question =
                     AdviceQuestion { helper, step: question.step, workers: question.workers };
                 let answer = good.map(|good| AdviceAnswer { good, valid });
-                orders::take_advice(session, &asked, answer);
+                orders::deliver_advice(session, &asked_question, answer);
             }
-            PeerFrame::Submit { number, job, statement } => {
+            PeerFrame::Submit { number, job, record } => {
                 tokio::task::spawn_local(answer_submission(
                     host.clone(),
                     session.clone(),
                     queue.clone(),
-                    (number, job, statement),
+                    (number, job, record),
                 ));
             }
-            PeerFrame::Relayed { number, answer } => session.relay.take_answer(number, answer),
+            PeerFrame::Relayed { number, answer } => session.relay.complete_call(number, answer),
             PeerFrame::Probe { number, store_answers } => {
                 session.relay.note_path(helper, store_answers);
                 let proof = prove_views(host, session);
@@ -164,7 +164,7 @@
                 }
             }
             PeerFrame::AskState { number, job, caller } => {
-                let answer = host.state_of(job, caller.as_ref());
+                let answer = host.local_job_state(job, caller.as_ref());
                 if queue.try_send(PeerFrame::State { number, answer }.encode()).is_err() {
                     return;
                 }
@@ -175,30 +175,31 @@
                 let _ = queue.try_send(PeerFrame::Config(record.to_vec()).encode());
             }
             PeerFrame::Fetch { topic, from } => {
-                tokio::task::spawn_local(fetch(host.clone(), queue.clone(), topic, from));
+                tokio::task::spawn_local(answer_fetch(host.clone(), queue.clone(), topic, from));
             }
-            PeerFrame::AskWaiting { number, queue: name } => {
-                let known = host.knows_jobs();
-                let count = known.then(|| host.replica.borrow().waiting(&name) as u64);
+            PeerFrame::AskWaiting { number, queue: queue_name } => {
+                let has_fresh_jobs = host.has_fresh_jobs();
+                let count =
+                    has_fresh_jobs.then(|| host.replica.borrow().waiting(&queue_name) as u64);
                 if queue.try_send(PeerFrame::Waiting { number, count }.encode()).is_err() {
                     return;
                 }
             }
-            PeerFrame::AskBriefs => {
-                if session.standbys.borrow().tells() && !tell_all(host, queue) {
+            PeerFrame::AskSummaries => {
+                if session.standbys.borrow().tells() && !send_all_summaries(host, queue) {
                     return;
                 }
             }
             PeerFrame::Hello { .. }
             | PeerFrame::Ping { .. }
-            | PeerFrame::Ask(_)
+            | PeerFrame::AskAdvice(_)
             | PeerFrame::Submitted { .. }
             | PeerFrame::State { .. }
             | PeerFrame::Relay { .. }
             | PeerFrame::Records(_)
-            | PeerFrame::Briefs(_)
+            | PeerFrame::Summary(_)
             | PeerFrame::StandBy(_)
-            | PeerFrame::Tells(_)
+            | PeerFrame::SendsSummaries(_)
             | PeerFrame::Waiting { .. }
             | PeerFrame::Config(_)
             | PeerFrame::Proof { .. } => return,
@@ -207,30 +208,32 @@
 }
 
 /// Tells a box the states of all jobs. Returns whether its queue took them.
-fn tell_all(host: &CellBox, queue: &FrameQueue) -> bool {
-    let ends = (host.jobs_view.offset.get(), host.progress_view.offset.get());
-    let (Some(jobs_end), Some(progress_end)) = ends else { return true };
-    let briefs = FedBriefs::of_all(&host.replica.borrow(), jobs_end, progress_end);
-    briefs.into_iter().all(|fed| queue.try_send(PeerFrame::Briefs(fed).encode()).is_ok())
+fn send_all_summaries(host: &CellBox, queue: &FrameQueue) -> bool {
+    let offsets = (host.jobs_view.offset.get(), host.progress_view.offset.get());
+    let (Some(jobs_end), Some(progress_end)) = offsets else { return true };
+    let summaries = TopicSummary::of_all(&host.replica.borrow(), jobs_end, progress_end);
+    summaries
+        .into_iter()
+        .all(|summary| queue.try_send(PeerFrame::Summary(summary).encode()).is_ok())
 }
 
 async fn answer_submission(
     host: Rc<CellBox>,
     session: Rc<LeadSession>,
     queue: FrameQueue,
-    (number, job, statement): (u64, JobId, CellRecord),
+    (number, job, record): (u64, JobId, CellRecord),
 ) {
     // Without an outcome the lead is over: the box finds out and helps itself.
-    if let Some(outcome) = session.submit(&host, job, &statement).await {
+    if let Some(outcome) = session.submit(&host, job, &record).await {
         let _ = queue.try_send(PeerFrame::Submitted { number, outcome }.encode());
     }
 }
 
 /// Reads records for a box that the store does not answer.
-async fn fetch(host: Rc<CellBox>, queue: FrameQueue, topic: StoreTopic, from: u64) {
-    match host.clients.store.read(topic, from, Duration::ZERO, FETCH_LIMIT.into()).await {
+async fn answer_fetch(host: Rc<CellBox>, queue: FrameQueue, topic: StoreTopic, from: u64) {
+    match host.clients.store.read(topic, from, Duration::ZERO, FETCH_TIMEOUT.into()).await {
         Ok(ReadOutcome::Records { records, .. }) => {
-            for part in FedRecords::pack(topic, from, &records) {
+            for part in TopicRecords::pack(topic, from, &records) {
                 // A box that is too far behind asks again.
                 let _ = queue.try_send(PeerFrame::Records(part).encode());
             }
@@ -243,7 +246,7 @@
 
 /// How far this box's views reach. What was passed on before this answer is ahead of it on the link.
 fn prove_views(host: &CellBox, session: &LeadSession) -> Option<ViewProof> {
-    session.pass_on_records(host);
+    session.forward_records(host);
     Some(ViewProof {
         config: host.config.borrow().version,
         config_age: host.config_view.age()?,
@@ -254,64 +257,64 @@
 }
 
 /// Passes records on to the other boxes as long as the lead lasts.
-pub async fn feed(host: &CellBox, session: &LeadSession) {
+pub async fn run_forwarding(host: &CellBox, session: &LeadSession) {
     loop {
-        tokio::time::sleep(FEED_EVERY).await;
-        session.pass_on_records(host);
+        tokio::time::sleep(FORWARD_INTERVAL).await;
+        session.forward_records(host);
     }
 }
 
 impl LeadSession {
     /// Has records that were read or written passed on.
-    pub fn feed(&self, topic: StoreTopic, from: u64, records: &[KeyedRecord]) {
+    pub fn queue_records(&self, topic: StoreTopic, from: u64, records: &[KeyedRecord]) {
         if !self.helpers.borrow().is_empty() {
-            self.fed.borrow_mut().extend(FedRecords::pack(topic, from, records));
+            self.outgoing_records.borrow_mut().extend(TopicRecords::pack(topic, from, records));
         }
     }
 
     /// Passes on what was read and written: the records to the boxes that stand by, and what they mean to
     /// the others.
-    fn pass_on_records(&self, host: &CellBox) {
-        let parts = std::mem::take(&mut *self.fed.borrow_mut());
+    fn forward_records(&self, host: &CellBox) {
+        let parts = std::mem::take(&mut *self.outgoing_records.borrow_mut());
         if parts.is_empty() {
             return;
         }
-        let ledger = &mut self.told.borrow_mut();
-        let briefs = FedBriefs::sum_up(&parts, &host.replica.borrow(), ledger);
-        let briefs: Vec<Rc<[u8]>> =
-            briefs.into_iter().map(|fed| PeerFrame::Briefs(fed).encode()).collect();
+        let ledger = &mut self.sent_summaries.borrow_mut();
+        let summaries = TopicSummary::summarize(&parts, &host.replica.borrow(), ledger);
+        let summaries: Vec<Rc<[u8]>> =
+            summaries.into_iter().map(|summary| PeerFrame::Summary(summary).encode()).collect();
         let records: Vec<Rc<[u8]>> =
             parts.into_iter().map(|part| PeerFrame::Records(part).encode()).collect();
         let size = |frames: &[Rc<[u8]>]| frames.iter().map(|frame| frame.len()).sum();
         self.standbys.borrow_mut().note_fed(size(&records), clock::now());
-        self.standbys.borrow_mut().note_told(size(&briefs), clock::now());
-        self.choose_standbys();
-        self.choose_telling(host);
+        self.standbys.borrow_mut().note_told(size(&summaries), clock::now());
+        self.update_standbys();
+        self.decide_summaries(host);
         let standbys = self.standbys.borrow();
-        let briefs = if standbys.tells() { briefs } else { Vec::new() };
+        let summaries = if standbys.tells() { summaries } else { Vec::new() };
         self.helpers.borrow_mut().retain(|helper, queue| {
-            let frames = if standbys.contains(*helper) { &records } else { &briefs };
+            let frames = if standbys.contains(*helper) { &records } else { &summaries };
             frames.iter().all(|frame| queue.try_send(frame.clone()).is_ok())
         });
     }
 
     /// Tells all boxes if they are told states from now on, or not any more.
-    fn choose_telling(&self, host: &CellBox) {
-        let known = host.replica.borrow().len();
-        if !self.standbys.borrow_mut().choose_telling(known, clock::now()) {
+    fn decide_summaries(&self, host: &CellBox) {
+        let known_jobs = host.replica.borrow().len();
+        if !self.standbys.borrow_mut().choose_telling(known_jobs, clock::now()) {
             return;
         }
-        let tells = self.standbys.borrow().tells();
-        host.lead_tells.set(tells);
-        info!(host.log, "states told"; "token" => %self.token, "tells" => tells,
+        let sends = self.standbys.borrow().tells();
+        host.lead_sends_summaries.set(sends);
+        info!(host.log, "states told"; "token" => %self.token, "tells" => sends,
             "boxes" => self.helpers.borrow().len());
-        let frame: Rc<[u8]> = PeerFrame::Tells(tells).encode();
+        let frame: Rc<[u8]> = PeerFrame::SendsSummaries(sends).encode();
         // A box whose queue is full is cut off with the next records.
         self.helpers.borrow().values().for_each(|queue| drop(queue.try_send(frame.clone())));
     }
 
     /// Tells boxes that are to stand by from now on, or not any more.
-    fn choose_standbys(&self) {
+    fn update_standbys(&self) {
         let changes = self.standbys.borrow_mut().choose(clock::now());
         let helpers = self.helpers.borrow();
         for (helper, stands_by) in changes {
@@ -323,10 +326,10 @@
 
     fn remove_helper(&self, helper: HelperId) {
         self.helpers.borrow_mut().remove(&helper);
-        self.names.borrow_mut().retain(|_, named| *named != helper);
+        self.helper_ids.borrow_mut().retain(|_, known_id| *known_id != helper);
         self.standbys.borrow_mut().leave(helper);
-        self.choose_standbys();
-        self.strengths.borrow_mut().remove(&helper);
+        self.update_standbys();
+        self.helper_strengths.borrow_mut().remove(&helper);
         self.relay.remove(helper);
         self.scheduler.borrow_mut().remove_helper(helper, clock::now());
     }
--- a/crates/sedgehilld/src/cell/mod.rs
+++ b/crates/sedgehilld/src/cell/mod.rs
@@ -50,7 +50,7 @@
 }
 
 /// Logs when connections that fell silent are replaced.
-async fn note_replacements(host: Rc<CellBox>) {
+async fn log_replacements(host: Rc<CellBox>) {
     loop {
         let peer = host.clients.http.next_replacement().await;
         let peer = peer.map_or_else(|| "all".to_owned(), |peer| peer.to_string());
@@ -71,21 +71,21 @@
     let metrics = bind(listen.metrics).await?;
     let host = Rc::new(CellBox::new(settings, log.logger.clone()));
     info!(host.log, "started"; "version" => env!("CARGO_PKG_VERSION"), "life" => host.life);
-    let (accept, submissions) = submission::AcceptHandle::new();
+    let (submissions, inbox) = submission::SubmissionHandle::new();
     spawn_local(topic_follower::follow_config(host.clone()));
     spawn_local(topic_follower::follow_leads(host.clone()));
     spawn_local(topic_follower::follow_jobs(host.clone()));
     spawn_local(topic_follower::follow_progress(host.clone()));
-    spawn_local(submission::run(host.clone(), submissions));
-    spawn_local(callers::serve(host.clone(), accept, callers));
+    spawn_local(submission::run(host.clone(), inbox));
+    spawn_local(callers::serve(host.clone(), submissions, callers));
     spawn_local(callers::serve_ready(host.clone(), ready));
     let recorder = telemetry::install();
     spawn_local(telemetry::run_upkeep(recorder.clone()));
     spawn_local(callers::serve_metrics(recorder, metrics));
-    spawn_local(link_server::listen(host.clone(), peers));
-    spawn_local(link_client::keep(host.clone()));
+    spawn_local(link_server::run(host.clone(), peers));
+    spawn_local(link_client::run(host.clone()));
     spawn_local(lead::run(host.clone()));
-    spawn_local(note_replacements(host.clone()));
-    stop::wait(&host).await;
+    spawn_local(log_replacements(host.clone()));
+    stop::run_until_stopped(&host).await;
     Ok(())
 }
--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -17,15 +17,15 @@
 use super::late_answer;
 use super::lead::LeadSession;
 use super::state::CellBox;
-use super::worker_watch::{self, target_of};
+use super::worker_watch::{self, worker_target};
 use crate::clock;
 
 /// How long a question may take. The scheduler has it asked elsewhere and gives it up much earlier, by what it costs; a
 /// late answer is of use all the same, the only one where the service is slow for every box.
-const ADVICE_LIMIT: Duration = Duration::from_millis(20_000);
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(20_000);
 
 /// Carries out an order without waiting for it.
-pub fn carry_out(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: CellOrder) {
+pub fn execute(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: CellOrder) {
     let (host, session) = (host.clone(), session.clone());
     match order {
         CellOrder::Start(order) => {
@@ -37,18 +37,18 @@
         CellOrder::Ask(question) if question.helper == OWN_BOX => {
             tokio::task::spawn_local(async move { ask(&host, &session, question).await });
         }
-        CellOrder::Ask(question) => delegate(&session, question),
+        CellOrder::Ask(question) => ask_helper(&session, question),
     }
 }
 
 async fn start(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: StartOrder) {
-    let target = target_of(session, order.worker);
-    session.repeats.borrow_mut().note_first();
+    let target = worker_target(session, order.worker);
+    session.start_resends.borrow_mut().note_first();
     let answer = match try_start(host, session, &target, &order).await {
         // The same run again: it begins once at the most, and a worker that left one order unanswered
         // mostly answers the next. Only "done" settles it, since the first copy may still be carried out
         // whatever the second meets.
-        WorkerAnswer::Unknown if session.repeats.borrow_mut().take() => {
+        WorkerAnswer::Unknown if session.start_resends.borrow_mut().take() => {
             match try_start(host, session, &target, &order).await {
                 WorkerAnswer::Done(clock) => WorkerAnswer::Done(clock),
                 WorkerAnswer::NotDone(_) | WorkerAnswer::Unknown => WorkerAnswer::Unknown,
@@ -71,46 +71,46 @@
     }
     let workers = host.clients.workers.clone();
     let (target, order) = (target.clone(), order.clone());
-    let calling = |limits| async move { workers.start(&target, &order, limits).await };
-    call_worker(session, calling).await
+    let call = |limits| async move { workers.start(&target, &order, limits).await };
+    call_with_timeout(session, call).await
 }
 
 /// Makes a call to a worker and waits for as long as answers of workers usually take. One that comes later
 /// tells how long they take now.
-async fn call_worker<F>(
+async fn call_with_timeout<F>(
     session: &Rc<LeadSession>,
-    calling: impl FnOnce(CallLimits) -> F,
+    call: impl FnOnce(CallLimits) -> F,
 ) -> WorkerAnswer<WorkerTime>
 where
     F: Future<Output = WorkerAnswer<WorkerTime>> + 'static,
 {
-    let limit = session.order_patience.borrow().limit();
+    let timeout = session.order_timeout.borrow().limit();
     let sent = Instant::now();
-    let limits = late_answer::limits_for(limit);
-    let answering = calling(limits);
-    let learning = {
+    let limits = late_answer::limits_for(timeout);
+    let answer = call(limits);
+    let measured = {
         let session = session.clone();
         async move {
-            let answer = answering.await;
+            let answer = answer.await;
             if let WorkerAnswer::Done(_) = answer {
-                session.order_patience.borrow_mut().note_answer(sent.elapsed());
+                session.order_timeout.borrow_mut().note_answer(sent.elapsed());
             }
             answer
         }
     };
     // A late answer has told all it can once it was learned from.
-    let answer = late_answer::wait_for(learning, limits, drop).await;
+    let answer = late_answer::wait_or_detach(measured, limits, drop).await;
     answer.unwrap_or(WorkerAnswer::Unknown)
 }
 
 async fn stop(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: StopOrder) {
-    let target = target_of(session, order.worker);
+    let target = worker_target(session, order.worker);
     let answer = match session.may_order(host) {
         true => {
             let workers = host.clients.workers.clone();
             let (target, order) = (target.clone(), order.clone());
-            let calling = |limits| async move { workers.stop(&target, &order, limits).await };
-            call_worker(session, calling).await
+            let call = |limits| async move { workers.stop(&target, &order, limits).await };
+            call_with_timeout(session, call).await
         }
         false => WorkerAnswer::NotDone(WorkerRefusal::Withheld),
     };
@@ -120,19 +120,22 @@
     if answered {
         // An account asked for now tells at once whether there was such a run; the one under way may
         // wait for an end that never comes.
-        worker_watch::look(host, session, &target, order.worker).await;
+        worker_watch::poll_worker(host, session, &target, order.worker).await;
     }
 }
 
 async fn ask(host: &CellBox, session: &LeadSession, question: AdviceQuestion) {
-    let answer = ask_service(host, &HelperQuestion::from(&question)).await;
-    take_advice(session, &question, answer);
+    let answer = query_advice_service(host, &HelperQuestion::from(&question)).await;
+    deliver_advice(session, &question, answer);
 }
 
 /// Asks the advice service from this box.
-pub async fn ask_service(host: &CellBox, question: &HelperQuestion) -> Option<AdviceAnswer> {
+pub async fn query_advice_service(
+    host: &CellBox,
+    question: &HelperQuestion,
+) -> Option<AdviceAnswer> {
     let client = host.clients.advice.as_ref()?;
-    match client.ask(question.step, &question.workers, ADVICE_LIMIT).await {
+    match client.ask(question.step, &question.workers, ADVICE_TIMEOUT).await {
         Ok(answer) => Some(answer),
         Err(error) => {
             warn!(host.log, "no advice"; "step" => %question.step, "error" => %error);
@@ -142,7 +145,11 @@
 }
 
 /// Hands an answer to the scheduler.
-pub fn take_advice(session: &LeadSession, question: &AdviceQuestion, answer: Option<AdviceAnswer>) {
+pub fn deliver_advice(
+    session: &LeadSession,
+    question: &AdviceQuestion,
+    answer: Option<AdviceAnswer>,
+) {
     let (good, valid) = match answer {
         Some(answer) => (Some(answer.good), answer.valid),
         None => (None, TimeSpan(0)),
@@ -151,14 +158,14 @@
     session.wake.notify_one();
 }
 
-fn delegate(session: &LeadSession, question: AdviceQuestion) {
-    let frame = PeerFrame::Ask(HelperQuestion::from(&question)).encode();
+fn ask_helper(session: &LeadSession, question: AdviceQuestion) {
+    let frame = PeerFrame::AskAdvice(HelperQuestion::from(&question)).encode();
     let sent = session
         .helpers
         .borrow()
         .get(&question.helper)
         .is_some_and(|queue| queue.try_send(frame).is_ok());
     if !sent {
-        take_advice(session, &question, None);
+        deliver_advice(session, &question, None);
     }
 }
--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -21,24 +21,24 @@
 use super::hedge::{self, AppendCall};
 use super::lead::LeadSession;
 use super::state::CellBox;
-use super::submission::AcceptOutcome;
+use super::submission::SubmissionOutcome;
 use super::topic_follower;
 use crate::{clock, telemetry};
 
 /// The sender of progress: each lead has its token as the epoch, so the store refuses earlier ones.
-const PRODUCER: &str = "lead";
+const PROGRESS_PRODUCER: &str = "lead";
 /// Pause before the next try.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Progress and submissions are gathered for so long before they are put into the store: each call is
 /// paid for, and each job waits half of this.
-const GATHER: Duration = Duration::from_millis(16);
+const BATCH_INTERVAL: Duration = Duration::from_millis(16);
 /// Submissions in one batch, beyond what comes in the longest time that an append takes. With jobs of
 /// some 1.2 KB it stays below the 2 MB that the store takes in one call.
-const BATCH_SUBMISSIONS: usize = 400;
+const MAX_BATCH_SUBMISSIONS: usize = 400;
 /// Jobs that are forgotten with one batch: more than end in the time of one.
-const DROPS_MOST: usize = 64;
+const MAX_BATCH_DROPS: usize = 64;
 /// Submissions that may wait for a batch before further ones are refused: some seconds' worth.
-const SUBMISSIONS_MOST: usize = 1_024;
+const MAX_QUEUED_SUBMISSIONS: usize = 1_024;
 /// How long a new lead tries to fence and to catch up before it gives up.
 const FENCE_LIMIT: TimeSpan = TimeSpan(3_000);
 
@@ -49,14 +49,14 @@
     /// When the append under way was first sent. The answer to a repeated one may be as old as that.
     first_sent: Option<Moment>,
     /// Where progress ended once the store refused earlier leads.
-    pub fence: u64,
+    pub fence_offset: u64,
 }
 
 /// Makes the store refuse the progress of earlier leads, and waits until all that they recorded is
 /// known here.
 pub async fn fence(host: &CellBox, token: FencingToken) -> Option<ProgressRecorder> {
-    let mut recorder = ProgressRecorder { token, sequence: 0, first_sent: None, fence: 0 };
-    let begun = clock::now();
+    let mut recorder = ProgressRecorder { token, sequence: 0, first_sent: None, fence_offset: 0 };
+    let started = clock::now();
     let end = loop {
         match recorder.append(host, None, &[]).await {
             Some(AppendOutcome::Kept { end }) => break end,
@@ -64,15 +64,15 @@
                 info!(host.log, "fencing refused"; "token" => %token, "outcome" => ?outcome);
                 return None;
             }
-            None if clock::now().since(begun) > FENCE_LIMIT => return None,
+            None if clock::now().since(started) > FENCE_LIMIT => return None,
             None => tokio::time::sleep(RETRY_PAUSE).await,
         }
     };
-    recorder.fence = end;
+    recorder.fence_offset = end;
     // The earlier lead may have told this box states alone until now.
-    host.read_anew();
+    host.reload_full_records();
     // Jobs that an earlier lead has seen must be known, or their runs would be taken as foreign.
-    let limit = Duration::from_millis(FENCE_LIMIT.0.saturating_sub(clock::now().since(begun).0));
+    let limit = Duration::from_millis(FENCE_LIMIT.0.saturating_sub(clock::now().since(started).0));
     let reading = async {
         tokio::try_join!(
             topic_follower::catch_up(host, StoreTopic::Progress, end),
@@ -87,21 +87,21 @@
         }
         Err(_) => return None,
     }
-    if !host.could_lead() {
+    if !host.can_lead() {
         // It was told states alone while it read.
         warn!(host.log, "records of earlier leads not whole"; "token" => %token);
         return None;
     }
     info!(host.log, "fenced"; "token" => %token, "end" => end,
-        "took_ms" => clock::now().since(begun).as_millis());
+        "took_ms" => clock::now().since(started).as_millis());
     Some(recorder)
 }
 
 /// What a caller said, on its way into the store by the lead.
-pub struct LedSubmission {
+pub struct LeadSubmission {
     job: JobId,
-    statement: CellRecord,
-    reply: oneshot::Sender<AcceptOutcome>,
+    record: CellRecord,
+    reply: oneshot::Sender<SubmissionOutcome>,
 }
 
 impl LeadSession {
@@ -111,90 +111,91 @@
         &self,
         host: &CellBox,
         job: JobId,
-        statement: &CellRecord,
-    ) -> Option<AcceptOutcome> {
-        if let Some(outcome) = known_outcome(host, job, statement) {
+        record: &CellRecord,
+    ) -> Option<SubmissionOutcome> {
+        if let Some(outcome) = known_outcome(host, job, record) {
             return Some(outcome);
         }
-        if self.is_taken(job, statement) {
-            return Some(AcceptOutcome::Taken);
+        if self.is_taken(job, record) {
+            return Some(SubmissionOutcome::Taken);
         }
-        if self.ended.get() || self.submissions.borrow().len() >= SUBMISSIONS_MOST {
-            return Some(AcceptOutcome::NotDone);
+        if self.ended.get() || self.submissions.borrow().len() >= MAX_QUEUED_SUBMISSIONS {
+            return Some(SubmissionOutcome::NotDone);
         }
-        if self.stuck.get() {
+        if self.append_stuck.get() {
             return Some(self.refusal_of(job));
         }
-        let statement = match statement {
+        let record = match record {
             CellRecord::Job(record) => CellRecord::Led(record.clone()),
             other => other.clone(),
         };
         let (reply, answer) = oneshot::channel();
-        self.submissions.borrow_mut().push(LedSubmission { job, statement, reply });
+        self.submissions.borrow_mut().push(LeadSubmission { job, record, reply });
         answer.await.ok()
     }
 
     /// Whether a job of another organisation with the same id is on its way into the store.
-    fn is_taken(&self, job: JobId, statement: &CellRecord) -> bool {
-        let Some(owner) = statement.owner() else { return false };
+    fn is_taken(&self, job: JobId, record: &CellRecord) -> bool {
+        let Some(owner) = record.owner() else { return false };
         let waiting = self.submissions.borrow();
-        let waiting = waiting.iter().filter(|said| said.job == job);
-        let in_flight = self.in_flight.borrow();
+        let waiting = waiting.iter().filter(|submission| submission.job == job);
+        let in_flight = self.in_flight_owners.borrow();
         let in_flight = in_flight.get(&job).into_iter().cloned();
-        let mut others = waiting.filter_map(|said| said.statement.owner()).chain(in_flight);
+        let mut others =
+            waiting.filter_map(|submission| submission.record.owner()).chain(in_flight);
         others.any(|other| other != owner)
     }
 
     /// What a caller is told while an append is stuck. What that append holds may still be kept.
-    fn refusal_of(&self, job: JobId) -> AcceptOutcome {
-        match self.in_flight.borrow().contains_key(&job) {
-            true => AcceptOutcome::Unknown,
-            false => AcceptOutcome::StoreAway,
+    fn refusal_of(&self, job: JobId) -> SubmissionOutcome {
+        match self.in_flight_owners.borrow().contains_key(&job) {
+            true => SubmissionOutcome::Unknown,
+            false => SubmissionOutcome::StoreAway,
         }
     }
 
     /// The append under way is stuck: whoever waits for the next one is told at once.
-    fn refuse_waiting(&self) {
-        self.stuck.set(true);
-        for said in self.submissions.take() {
-            let outcome = self.refusal_of(said.job);
+    fn refuse_queued(&self) {
+        self.append_stuck.set(true);
+        for submission in self.submissions.take() {
+            let outcome = self.refusal_of(submission.job);
             // A caller that does not wait any more asks again.
-            let _ = said.reply.send(outcome);
+            let _ = submission.reply.send(outcome);
         }
     }
 
-    fn take_submissions(&self) -> Vec<LedSubmission> {
+    fn take_submissions(&self) -> Vec<LeadSubmission> {
         let mut waiting = self.submissions.borrow_mut();
         // A caller that has gone is served by its next try.
         waiting.retain(|submission| !submission.reply.is_closed());
-        let count = waiting.len().min(BATCH_SUBMISSIONS);
+        let count = waiting.len().min(MAX_BATCH_SUBMISSIONS);
         waiting.drain(..count).collect()
     }
 }
 
 /// What came of a statement that is in the store already, or cannot be put there.
-fn known_outcome(host: &CellBox, job: JobId, statement: &CellRecord) -> Option<AcceptOutcome> {
+fn known_outcome(host: &CellBox, job: JobId, record: &CellRecord) -> Option<SubmissionOutcome> {
     let replica = host.replica.borrow();
     let known = replica.job(job)?;
-    match statement.owner() {
-        Some(owner) if !known.is_open_to(owner.as_ref()) => Some(AcceptOutcome::Taken),
-        Some(_) => Some(AcceptOutcome::Kept),
-        None => known.cancelled.then_some(AcceptOutcome::Kept),
+    match record.owner() {
+        Some(owner) if !known.is_open_to(owner.as_ref()) => Some(SubmissionOutcome::Taken),
+        Some(_) => Some(SubmissionOutcome::Kept),
+        None => known.cancelled.then_some(SubmissionOutcome::Kept),
     }
 }
 
 /// One batch: progress, what callers said, and keys that are not needed any more.
 struct RecorderBatch {
     progress: Option<ProgressBatch>,
-    submissions: Vec<LedSubmission>,
+    submissions: Vec<LeadSubmission>,
     dropped: Vec<String>,
 }
 
 impl RecorderBatch {
     /// The jobs that callers spoke of, with their owners.
     fn owners(&self) -> HashMap<JobId, Option<OrganisationName>> {
-        let owner = |said: &LedSubmission| said.statement.owner().unwrap_or_default();
-        self.submissions.iter().map(|said| (said.job, owner(said))).collect()
+        let owner = |submission: &LeadSubmission| submission.record.owner().unwrap_or_default();
+        self.submissions.iter().map(|submission| (submission.job, owner(submission))).collect()
     }
 
     fn records(&self) -> Vec<KeyedRecord> {
@@ -212,7 +213,7 @@
             }));
         }
         let submissions = self.submissions.iter();
-        records.extend(submissions.map(|said| record(said.job, &said.statement)));
+        records.extend(submissions.map(|submission| record(submission.job, &submission.record)));
         let dropped = self.dropped.iter();
         records.extend(dropped.map(|key| KeyedRecord { key: key.clone(), value: Bytes::new() }));
         records
@@ -221,15 +222,15 @@
 
 /// Once a job is over, what was accepted is not needed any more; its state is kept for callers for a
 /// time. So a box that starts reads little more than what is open.
-fn keys_to_drop(host: &CellBox, progress: Option<&ProgressBatch>) -> Vec<String> {
+fn dropped_keys(host: &CellBox, progress: Option<&ProgressBatch>) -> Vec<String> {
     let key = |kind: char, id: JobId| format!("{kind}{id}");
     let replica = host.replica.borrow();
     let jobs = progress.iter().flat_map(|batch| &batch.jobs);
-    let over = jobs.filter(|(_, kept)| kept.state.is_final()).map(|(id, _)| *id);
-    let led = over.filter(|id| replica.job(*id).is_some_and(|job| job.led));
+    let ended = jobs.filter(|(_, kept)| kept.state.is_final()).map(|(id, _)| *id);
+    let led = ended.filter(|id| replica.job(*id).is_some_and(|job| job.led));
     let mut keys: Vec<String> = led.map(|id| key(CellRecord::LED_KEY, id)).collect();
     let limit = Moment(clock::now().0.saturating_sub(host.settings.keep_ended.0));
-    for id in replica.ended_before(limit, DROPS_MOST) {
+    for id in replica.ended_before(limit, MAX_BATCH_DROPS) {
         keys.push(CellRecord::Cancel.key(id));
         keys.push(key(CellRecord::PROGRESS_KEY, id));
     }
@@ -240,44 +241,49 @@
     /// Records batches as they come, until a later lead exists.
     pub async fn run(&mut self, host: &CellBox, session: &LeadSession) {
         loop {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_INTERVAL).await;
             let progress = session.scheduler.borrow_mut().take_batch(clock::now());
             let submissions = session.take_submissions();
-            let dropped = keys_to_drop(host, progress.as_ref());
+            let dropped = dropped_keys(host, progress.as_ref());
             let batch = RecorderBatch { progress, submissions, dropped };
             let records = batch.records();
             let recorded = match records.is_empty() {
                 true => Some(None),
                 false => {
-                    session.in_flight.replace(batch.owners());
+                    session.in_flight_owners.replace(batch.owners());
                     let recording = self.record(host, session, &records);
-                    let refuse = || session.refuse_waiting();
-                    let kept = hedge::unless_stuck(host, recording, refuse).await;
-                    session.stuck.set(false);
-                    kept.map(Some)
+                    let on_stuck = || session.refuse_queued();
+                    let recorded = hedge::await_append(host, recording, on_stuck).await;
+                    session.append_stuck.set(false);
+                    recorded.map(Some)
                 }
             };
-            let Some(kept) = recorded else { return };
-            if let Some(kept) = kept {
-                self.note_roster(host, batch.progress.as_ref(), kept);
-                take_own(host, session, &batch.submissions, &records, kept);
+            let Some(recorded) = recorded else { return };
+            if let Some(recorded) = recorded {
+                self.log_roster(host, batch.progress.as_ref(), recorded);
+                apply_own_batch(host, session, &batch.submissions, &records, recorded);
             }
             if let Some(progress) = &batch.progress {
                 session.scheduler.borrow_mut().batch_recorded(progress);
             }
             session.wake.notify_one();
-            for said in batch.submissions {
+            for submission in batch.submissions {
                 // A caller that does not wait any more asks again.
-                let _ = said.reply.send(AcceptOutcome::Kept);
+                let _ = submission.reply.send(SubmissionOutcome::Kept);
             }
         }
     }
 
     /// A later lead tells by where it stands which roster it goes by.
-    fn note_roster(&self, host: &CellBox, progress: Option<&ProgressBatch>, kept: KeptBatch) {
+    fn log_roster(
+        &self,
+        host: &CellBox,
+        progress: Option<&ProgressBatch>,
+        recorded: RecordedBatch,
+    ) {
         if let Some(roster) = progress.and_then(|batch| batch.roster.as_ref()) {
             info!(host.log, "roster recorded"; "token" => %self.token,
-                "workers" => roster.workers.len(), "mark" => %roster.mark(), "end" => kept.end);
+                "workers" => roster.workers.len(), "mark" => %roster.mark(), "end" => recorded.end);
         }
     }
 
@@ -287,18 +293,18 @@
         host: &CellBox,
         session: &LeadSession,
         records: &[KeyedRecord],
-    ) -> Option<KeptBatch> {
+    ) -> Option<RecordedBatch> {
         loop {
             let sent = clock::now();
             match self.append(host, Some(session), records).await {
-                Some(AppendOutcome::Kept { end }) => return Some(KeptBatch { end, sent }),
+                Some(AppendOutcome::Kept { end }) => return Some(RecordedBatch { end, sent }),
                 Some(outcome) => {
                     info!(host.log, "progress refused";
                         "token" => %self.token, "outcome" => ?outcome);
                     return None;
                 }
                 // Another box may have a path to the store: then there is nothing to wait for.
-                None if session.relays() => {}
+                None if session.is_relaying() => {}
                 None => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
@@ -312,7 +318,7 @@
         records: &[KeyedRecord],
     ) -> Option<AppendOutcome> {
         let condition = AppendCondition::Sequence {
-            producer: PRODUCER.to_owned(),
+            producer: PROGRESS_PRODUCER.to_owned(),
             epoch: self.token.0,
             sequence: self.sequence,
         };
@@ -321,7 +327,7 @@
         let call = AppendCall { topic: StoreTopic::Progress, records, condition: &condition };
         let result = match session {
             Some(session) => session.append(host, call).await,
-            None => hedge::append_twice(host, call).await,
+            None => hedge::append_hedged(host, call).await,
         };
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         telemetry::note_store_append("progress", outcome, sent.elapsed().as_secs_f64());
@@ -347,7 +353,7 @@
 
 /// A batch that is in the store.
 #[derive(Debug, Clone, Copy)]
-struct KeptBatch {
+struct RecordedBatch {
     /// Where the topic ended after it.
     end: u64,
     /// When the try that was answered was sent.
@@ -355,39 +361,39 @@
 }
 
 /// Takes in what this lead has written, without reading it back.
-fn take_own(
+fn apply_own_batch(
     host: &CellBox,
     session: &LeadSession,
-    submissions: &[LedSubmission],
+    submissions: &[LeadSubmission],
     records: &[KeyedRecord],
-    kept: KeptBatch,
+    recorded: RecordedBatch,
 ) {
-    for said in submissions {
-        let CellRecord::Led(record) = &said.statement else { continue };
-        let known = host.replica.borrow().job(said.job).is_some();
-        if !known && host.replica.borrow().is_ordered(said.job) {
+    for submission in submissions {
+        let CellRecord::Led(record) = &submission.record else { continue };
+        let known = host.replica.borrow().job(submission.job).is_some();
+        if !known && host.replica.borrow().is_ordered(submission.job) {
             warn!(host.log, "job of an earlier lead accepted as new"; "token" => %session.token,
-                "job" => %said.job);
+                "job" => %submission.job);
         }
         let mut scheduler = session.scheduler.borrow_mut();
         // A second copy of a job that has come and gone meanwhile must not begin it again.
-        if !known || scheduler.has_job(said.job) {
-            scheduler.add_led_job(said.job, Rc::new(record.clone()), clock::now());
+        if !known || scheduler.has_job(submission.job) {
+            scheduler.add_led_job(submission.job, Rc::new(record.clone()), clock::now());
         }
     }
-    let from = kept.end - records.len() as u64;
+    let from = recorded.end - records.len() as u64;
     let view = &host.progress_view;
-    let follows = view.offset.get() == Some(from);
+    let continues = view.offset.get() == Some(from);
     // Also while something before them is not known here: a job that is over must be known as such, or a second
     // copy of it would begin again.
     for record in records {
         apply::apply(host, StoreTopic::Progress, record);
     }
-    if !follows {
+    if !continues {
         // The topic is read on from where it is known.
         return;
     }
-    view.offset.set(Some(kept.end));
-    view.note_fed(kept.sent);
-    session.feed(StoreTopic::Progress, from, records);
+    view.offset.set(Some(recorded.end));
+    view.note_confirmed(recorded.sent);
+    session.queue_records(StoreTopic::Progress, from, records);
 }
--- a/crates/sedgehilld/src/cell/relay.rs
+++ b/crates/sedgehilld/src/cell/relay.rs
@@ -26,13 +26,13 @@
 use crate::clock;
 
 /// How long a box may take for a relayed read. A slow store takes some 300 ms.
-const READ_LIMIT: Duration = Duration::from_millis(800);
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a box may take for a relayed append. A slow store lets appends wait for up to two seconds.
-const APPEND_LIMIT: Duration = Duration::from_millis(2_500);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// What a box said of its path to the store counts for so long; it says so every 300 ms.
-const SAID: TimeSpan = TimeSpan(900);
+const PATH_REPORT_LIFETIME: TimeSpan = TimeSpan(900);
 /// A path that failed is not used again before it has answered for so long, if there is another.
-const PATH_TRIAL: TimeSpan = TimeSpan(1_000);
+const OWN_PATH_TRIAL: TimeSpan = TimeSpan(1_000);
 
 /// A call to the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -72,16 +72,16 @@
 
 /// The boxes by way of which the lead can call, and the calls under way.
 #[derive(Debug, Default)]
-pub struct RelayDesk {
+pub struct StoreRelay {
     /// Boxes that the store answers, with when they last said so.
     paths: RefCell<HashMap<HelperId, Moment>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<RelayAnswer>>>,
+    pending: RefCell<HashMap<u64, oneshot::Sender<RelayAnswer>>>,
     next_number: Cell<u64>,
     /// Since when the lead's own path is taken as cut.
-    cut: Cell<Option<Moment>>,
+    own_path_cut: Cell<Option<Moment>>,
 }
 
-impl RelayDesk {
+impl StoreRelay {
     /// Notes what a box says of its own path.
     pub fn note_path(&self, helper: HelperId, store_answers: bool) {
         match store_answers {
@@ -97,68 +97,70 @@
 
     /// Notes a call that is about to be sent, and forgets those that were given up since another copy
     /// was answered first.
-    fn expect_answer(&self, number: u64, reply: oneshot::Sender<RelayAnswer>) {
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|_, reply| !reply.is_closed());
-        waiting.insert(number, reply);
+    fn register_call(&self, number: u64, reply: oneshot::Sender<RelayAnswer>) {
+        let mut pending = self.pending.borrow_mut();
+        pending.retain(|_, reply| !reply.is_closed());
+        pending.insert(number, reply);
     }
 
     /// Takes in an answer.
-    pub fn take_answer(&self, number: u64, answer: RelayAnswer) {
-        if let Some(reply) = self.waiting.borrow_mut().remove(&number) {
+    pub fn complete_call(&self, number: u64, answer: RelayAnswer) {
+        if let Some(reply) = self.pending.borrow_mut().remove(&number) {
             // The call may have been given up.
             let _ = reply.send(answer);
         }
     }
 
     /// A box that the store answers, another one each time.
-    fn choose(&self) -> Option<HelperId> {
+    fn choose_helper(&self) -> Option<HelperId> {
         let now = clock::now();
         let paths = self.paths.borrow();
-        let mut fit: Vec<HelperId> = paths
+        let mut candidates: Vec<HelperId> = paths
             .iter()
-            .filter(|(_, said)| now.since(**said) <= SAID)
+            .filter(|(_, reported)| now.since(**reported) <= PATH_REPORT_LIFETIME)
             .map(|(helper, _)| *helper)
             .collect();
-        fit.sort_unstable();
+        candidates.sort_unstable();
         let turn = self.next_number.get() as usize;
-        (!fit.is_empty()).then(|| fit[turn % fit.len()])
+        (!candidates.is_empty()).then(|| candidates[turn % candidates.len()])
     }
 }
 
-fn no_relay() -> CallError {
-    CallError::NotDone("no box to relay the call".to_owned())
+fn no_relay_error() -> CallError {
+    CallError::NotDone("no box can relay the call".to_owned())
 }
 
 impl LeadSession {
     /// Whether the lead's own path to the store is cut while another box has one.
-    pub fn relays(&self) -> bool {
-        self.relay.cut.get().is_some() && self.relay.choose().is_some()
+    pub fn is_relaying(&self) -> bool {
+        self.relay.own_path_cut.get().is_some() && self.relay.choose_helper().is_some()
     }
 
-    async fn relay(
+    async fn call_helper(
         &self,
         helper: HelperId,
         call: RelayCall,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<RelayAnswer, CallError> {
         let number = self.relay.next_number.get();
         self.relay.next_number.set(number + 1);
         let (reply, answer) = oneshot::channel();
-        self.relay.expect_answer(number, reply);
+        self.relay.register_call(number, reply);
         let frame = PeerFrame::Relay { number, call }.encode();
         let sent =
             self.helpers.borrow().get(&helper).is_some_and(|queue| queue.try_send(frame).is_ok());
         if !sent {
-            self.relay.waiting.borrow_mut().remove(&number);
-            return Err(no_relay());
+            self.relay.pending.borrow_mut().remove(&number);
+            return Err(no_relay_error());
         }
-        let answer = tokio::time::timeout(limit, answer).await;
-        self.relay.waiting.borrow_mut().remove(&number);
+        let answer = tokio::time::timeout(timeout, answer).await;
+        self.relay.pending.borrow_mut().remove(&number);
         match answer {
             Ok(Ok(RelayAnswer::Failed(reason))) => Err(CallError::Unknown(reason)),
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) | Err(_) => Err(CallError::Unknown("no relayed answer".to_owned())),
+            Ok(Err(_)) | Err(_) => {
+                Err(CallError::Unknown("the relaying box did not answer".to_owned()))
+            }
         }
     }
 
@@ -170,40 +172,40 @@
         host: &CellBox,
         call: AppendCall<'_>,
     ) -> Result<AppendOutcome, CallError> {
-        let result = match self.relays() {
+        let result = match self.is_relaying() {
             true => self.append_relayed(host, call).await,
-            false => self.append_own(host, call).await,
+            false => self.append_directly(host, call).await,
         };
         if result.is_ok() {
             let was_silent = !self.store_answers(host);
-            self.answered.set(clock::now());
+            self.last_append_answer.set(clock::now());
             if was_silent {
-                self.store_back.notify_waiters();
+                self.store_recovered.notify_waiters();
             }
         }
         result
     }
 
-    async fn append_own(
+    async fn append_directly(
         &self,
         host: &CellBox,
         call: AppendCall<'_>,
     ) -> Result<AppendOutcome, CallError> {
-        let relayed = Cell::new(false);
-        let copies = Cell::new(0);
-        let second = || async {
-            copies.set(copies.get() + 1);
+        let is_relayed = Cell::new(false);
+        let further_copies = Cell::new(0);
+        let send_copy = || async {
+            further_copies.set(further_copies.get() + 1);
             // The first copy may have gone out on a connection that fell silent; the next goes on a new one.
-            let helper = if copies.get() > 1 { self.choose_any() } else { None };
-            relayed.set(helper.is_some());
+            let helper = if further_copies.get() > 1 { self.choose_any_helper() } else { None };
+            is_relayed.set(helper.is_some());
             match helper {
-                Some(helper) => self.relay_append(host, helper, call).await,
+                Some(helper) => self.send_append(host, helper, call).await,
                 None => hedge::append_once(host, call).await,
             }
         };
-        let (copy, result) = hedge::append_hedged(host, call, second).await;
-        let by_relay = relayed.get() && copy == AnsweredCopy::Second;
-        self.note_own_path(host, result.is_ok() && !by_relay);
+        let (copy, result) = hedge::append_hedged_by(host, call, send_copy).await;
+        let answered_by_relay = is_relayed.get() && copy == AnsweredCopy::Second;
+        self.note_own_path(host, result.is_ok() && !answered_by_relay);
         result
     }
 
@@ -212,36 +214,38 @@
         host: &CellBox,
         call: AppendCall<'_>,
     ) -> Result<AppendOutcome, CallError> {
-        let helper = self.relay.choose().ok_or_else(no_relay)?;
-        let result = self.relay_append(host, helper, call).await;
+        let helper = self.relay.choose_helper().ok_or_else(no_relay_error)?;
+        let result = self.send_append(host, helper, call).await;
         match &result {
-            Ok(_) => self.try_own_path(host),
+            Ok(_) => self.restore_own_path(host),
             // The box may be the one that is cut: the own path gets the next try.
-            Err(_) => self.relay.cut.set(None),
+            Err(_) => self.relay.own_path_cut.set(None),
         }
         result
     }
 
     /// A box to try when the own path does not answer: one that the store answers as it says, or else
     /// any. A store that is silent to reads for a moment may answer its appends.
-    fn choose_any(&self) -> Option<HelperId> {
-        let any = || self.helpers.borrow().keys().max().copied();
-        self.relay.choose().or_else(any)
+    fn choose_any_helper(&self) -> Option<HelperId> {
+        let newest_helper = || self.helpers.borrow().keys().max().copied();
+        self.relay.choose_helper().or_else(newest_helper)
     }
 
-    async fn relay_append(
+    async fn send_append(
         &self,
         host: &CellBox,
         helper: HelperId,
         call: AppendCall<'_>,
     ) -> Result<AppendOutcome, CallError> {
-        let limit = host.store_patience.borrow().limit().max(RELAY_LEAST);
+        let timeout = host.store_timeout.borrow().limit().max(MIN_RELAY_TIMEOUT);
         let AppendCall { topic, records, condition } = call;
         let (records, condition) = (records.to_vec(), condition.clone());
         let call = RelayCall::Append { topic, records, condition };
-        match self.relay(helper, call, limit).await? {
+        match self.call_helper(helper, call, timeout).await? {
             RelayAnswer::Appended(outcome) => Ok(outcome),
-            _ => Err(CallError::Unknown("an answer of another kind".to_owned())),
+            _ => Err(CallError::Unknown(
+                "the relaying box returned an answer of the wrong kind".to_owned(),
+            )),
         }
     }
 
@@ -251,24 +255,28 @@
         topic: StoreTopic,
         offset: u64,
     ) -> Result<ReadOutcome, CallError> {
-        let helper = self.relay.choose().ok_or_else(no_relay)?;
-        match self.relay(helper, RelayCall::Read { topic, offset }, READ_LIMIT).await? {
+        let helper = self.relay.choose_helper().ok_or_else(no_relay_error)?;
+        match self.call_helper(helper, RelayCall::Read { topic, offset }, READ_TIMEOUT).await? {
             RelayAnswer::Read(outcome) => Ok(outcome),
-            _ => Err(CallError::Unknown("an answer of another kind".to_owned())),
+            _ => Err(CallError::Unknown(
+                "the relaying box returned an answer of the wrong kind".to_owned(),
+            )),
         }
     }
 
     /// Reads the newest records by way of another box.
     pub async fn newest_relayed(&self, topic: StoreTopic) -> Result<NewestRecords, CallError> {
-        let helper = self.relay.choose().ok_or_else(no_relay)?;
-        match self.relay(helper, RelayCall::Newest(topic), READ_LIMIT).await? {
+        let helper = self.relay.choose_helper().ok_or_else(no_relay_error)?;
+        match self.call_helper(helper, RelayCall::Newest(topic), READ_TIMEOUT).await? {
             RelayAnswer::Newest(newest) => Ok(newest),
-            _ => Err(CallError::Unknown("an answer of another kind".to_owned())),
+            _ => Err(CallError::Unknown(
+                "the relaying box returned an answer of the wrong kind".to_owned(),
+            )),
         }
     }
 
     fn note_own_path(&self, host: &CellBox, answers: bool) {
-        let was_cut = self.relay.cut.get().is_some();
+        let was_cut = self.relay.own_path_cut.get().is_some();
         if answers && was_cut {
             info!(host.log, "own path to the store is back"; "token" => %self.token);
         }
@@ -276,35 +284,37 @@
             warn!(host.log, "own path to the store fails"; "token" => %self.token,
                 "other_paths" => self.relay.paths.borrow().len());
         }
-        let since = self.relay.cut.get().unwrap_or_else(clock::now);
-        self.relay.cut.set((!answers).then_some(since));
+        let since = self.relay.own_path_cut.get().unwrap_or_else(clock::now);
+        self.relay.own_path_cut.set((!answers).then_some(since));
     }
 
     /// Takes the own path again once reads on it have been answered for a time.
-    fn try_own_path(&self, host: &CellBox) {
-        let Some(since) = self.relay.cut.get() else { return };
-        if clock::now().since(since) >= PATH_TRIAL && host.store_contact.heard_after(since) {
+    fn restore_own_path(&self, host: &CellBox) {
+        let Some(since) = self.relay.own_path_cut.get() else { return };
+        if clock::now().since(since) >= OWN_PATH_TRIAL && host.store_contact.answered_after(since) {
             self.note_own_path(host, true);
         }
     }
 }
 
 /// A relayed call takes two more ways than a direct one, and the other box may be slow.
-const RELAY_LEAST: Duration = Duration::from_millis(400);
+const MIN_RELAY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Makes a call for the lead.
-pub async fn carry_out(host: &Rc<CellBox>, call: RelayCall) -> RelayAnswer {
+pub async fn execute(host: &Rc<CellBox>, call: RelayCall) -> RelayAnswer {
     let store = &host.clients.store;
     let result = match call {
         RelayCall::Append { topic, records, condition } => store
-            .append(topic, &records, &condition, APPEND_LIMIT.into())
+            .append(topic, &records, &condition, APPEND_TIMEOUT.into())
             .await
             .map(RelayAnswer::Appended),
         RelayCall::Read { topic, offset } => store
-            .read(topic, offset, Duration::ZERO, READ_LIMIT.into())
+            .read(topic, offset, Duration::ZERO, READ_TIMEOUT.into())
             .await
             .map(RelayAnswer::Read),
-        RelayCall::Newest(topic) => store.newest(topic, READ_LIMIT).await.map(RelayAnswer::Newest),
+        RelayCall::Newest(topic) => {
+            store.newest(topic, READ_TIMEOUT).await.map(RelayAnswer::Newest)
+        }
     };
     result.unwrap_or_else(|error| RelayAnswer::Failed(error.to_string()))
 }
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -6,16 +6,16 @@
 use sedgehill_cell::ids::FencingToken;
 use slog::info;
 
-use super::lead::{LeadSession, WATCH_TURN, append_lead, lead_end};
-use super::lead_log::LeadEnd;
+use super::lead::{CLAIM_CHECK_INTERVAL, LeadSession, append_lead_record, lead_topic_end};
+use super::lead_log::LeadEndReason;
 use super::state::CellBox;
 use crate::clock;
 
 /// Pause before a renewal that failed is tried again.
-const RENEW_RETRY: Duration = Duration::from_millis(100);
+const RENEW_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Gives up the lead, and says so if this box stops or knows of a better one.
-pub async fn give_up(host: &CellBox, session: &LeadSession) {
+pub async fn release_lead(host: &CellBox, session: &LeadSession) {
     if host.stopping.get() || session.should_yield(host) {
         resign(host, session.token).await;
     }
@@ -23,34 +23,36 @@
 }
 
 /// Renews the claim until it is lost or the box stops. Returns why it does so no longer.
-pub async fn renew(host: &CellBox, session: &LeadSession) -> LeadEnd {
+pub async fn renew(host: &CellBox, session: &LeadSession) -> LeadEndReason {
     let every = Duration::from_millis(host.settings.authority.renew.as_millis());
     let mut pause = every;
     loop {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = wait_for_stop(host) => return LeadEnd::Stopping,
+            () = wait_for_stop(host) => return LeadEndReason::Stopping,
         }
         if !host.watch.borrow().is_holder() {
-            return LeadEnd::LaterToken;
+            return LeadEndReason::LaterToken;
         }
         if session.scheduler.borrow().is_fenced_out() {
-            return LeadEnd::FencedByWorker;
+            return LeadEndReason::FencedByWorker;
         }
         if session.should_yield(host) {
             info!(host.log, "yielding to a stronger box"; "token" => %session.token,
                 "own" => %host.settings.strength, "strongest" => %host.watch.borrow().strongest());
-            return LeadEnd::Yielding;
+            return LeadEndReason::Yielding;
         }
         let newest = host.watch.borrow().newest().cloned();
-        let (Some(record), Some(end)) = (newest, lead_end(host)) else {
-            return LeadEnd::LaterToken;
+        let (Some(record), Some(end)) = (newest, lead_topic_end(host)) else {
+            return LeadEndReason::LaterToken;
         };
         // A follower need not wait for leads before this one once their terms are over.
         let sole = session.scheduler.borrow().is_sole(clock::now());
         let record = LeadRecord { sole, ..record };
-        pause = RENEW_RETRY;
-        if record.token == session.token && append_lead(host, Some(session), record, end).await {
+        pause = RENEW_RETRY_PAUSE;
+        if record.token == session.token
+            && append_lead_record(host, Some(session), record, end).await
+        {
             pause = every;
         }
     }
@@ -58,7 +60,7 @@
 
 async fn wait_for_stop(host: &CellBox) {
     while !host.stopping.get() {
-        host.stop.notified().await;
+        host.stop_requested.notified().await;
     }
 }
 
@@ -67,11 +69,11 @@
     const TRIES: usize = 5;
     for _ in 0..TRIES {
         let newest = host.watch.borrow().newest().cloned();
-        let Some(end) = lead_end(host) else { return };
+        let Some(end) = lead_topic_end(host) else { return };
         let Some(record) = newest.filter(|newest| newest.token == token) else { return };
-        if append_lead(host, None, LeadRecord { resigned: true, ..record }, end).await {
+        if append_lead_record(host, None, LeadRecord { resigned: true, ..record }, end).await {
             return;
         }
-        tokio::time::sleep(WATCH_TURN).await;
+        tokio::time::sleep(CLAIM_CHECK_INTERVAL).await;
     }
 }
--- a/crates/sedgehilld/src/cell/settings.rs
+++ b/crates/sedgehilld/src/cell/settings.rs
@@ -16,7 +16,7 @@
 
 /// Where a box listens in cell mode.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CellListen {
+pub struct ListenAddresses {
     /// For callers.
     pub callers: SocketAddr,
     /// For the platform's question whether the box takes callers.
@@ -42,7 +42,7 @@
     /// Its name.
     pub name: BoxName,
     /// Where it listens.
-    pub listen: CellListen,
+    pub listen: ListenAddresses,
     /// The platform's store.
     pub store: SocketAddr,
     /// The service that tells which workers may run a step, if there is one.
@@ -64,22 +64,22 @@
 }
 
 /// Time kept between the last answer and the moment at which the platform ends the process.
-const STOP_RESERVE: TimeSpan = TimeSpan(600);
+const PLATFORM_STOP_RESERVE: TimeSpan = TimeSpan(600);
 /// How long the platform's entry may still send callers: two questions a second apart, and a third
 /// of a second for the connections under way.
-const ENTRY_LAG: TimeSpan = TimeSpan(2_300);
+const BALANCER_LAG: TimeSpan = TimeSpan(2_300);
 
 /// How long after a worker was listed with less it may still be filled by what it had: the platform's usual time.
-const SIZE_KNOWN: TimeSpan = TimeSpan(3_000);
+const DEFAULT_SIZE_KNOWN: TimeSpan = TimeSpan(3_000);
 /// What an order takes on its way at the most, where nothing is held up.
-const ORDER_WAY: TimeSpan = TimeSpan(200);
+const MAX_ORDER_DELAY: TimeSpan = TimeSpan(200);
 /// Added to the time for which ended jobs are kept: boxes hear of an end at different times.
-const KEEP_RESERVE: TimeSpan = TimeSpan(30_000);
+const KEEP_ENDED_RESERVE: TimeSpan = TimeSpan(30_000);
 /// The strength of a box whose settings tell none: that of the platform's usual boxes.
 const DEFAULT_STRENGTH: BoxStrength = BoxStrength(250);
 /// What the link of a box carries whose settings tell nothing: 1,000 Mbit/s, as those of the platform's
 /// usual boxes.
-const DEFAULT_LINK: LinkRate = LinkRate::from_bytes(125_000_000);
+const DEFAULT_LINK_RATE: LinkRate = LinkRate::from_bytes(125_000_000);
 /// Descriptors of a process whose settings tell none: those of the platform's usual boxes.
 const DEFAULT_DESCRIPTORS: usize = 4_096;
 
@@ -97,7 +97,7 @@
         let settings = read_settings(&mut reader);
         reader.finish();
         match settings {
-            Some(settings) if errors.is_empty() && check_times(&settings, &mut errors) => {
+            Some(settings) if errors.is_empty() && check_timing(&settings, &mut errors) => {
                 Ok(settings)
             }
             _ => Err(ManifestErrors(errors)),
@@ -113,21 +113,21 @@
         let peers = group.text("peers");
         let metrics = group.text("metrics");
         let listen =
-            CellListen { callers: callers?, ready: ready?, peers: peers?, metrics: metrics? };
+            ListenAddresses { callers: callers?, ready: ready?, peers: peers?, metrics: metrics? };
         Some(listen)
     });
     let store = reader.text("store");
     let advice = reader.optional_text("advice");
     let strength = reader.text_or("cores", DEFAULT_STRENGTH);
-    let link = reader.text_or("link_mbps", DEFAULT_LINK);
+    let link = reader.text_or("link_mbps", DEFAULT_LINK_RATE);
     let descriptors = reader.text_or("descriptors", DEFAULT_DESCRIPTORS);
     let cell = optional_group(reader, "cell", read_cell);
     let policy = optional_group(reader, "policy", read_policy);
     let grace = reader.text_or("stop_grace", TimeSpan(6_000));
     let keep_ended = reader.text_or("keep_ended", TimeSpan(120_000));
     let name = name?;
-    let limit = TimeSpan(grace?.0.saturating_sub(STOP_RESERVE.0));
-    let linger = ENTRY_LAG.min(limit);
+    let limit = TimeSpan(grace?.0.saturating_sub(PLATFORM_STOP_RESERVE.0));
+    let linger = BALANCER_LAG.min(limit);
     Some(CellSettings {
         name: BoxName::from(name.as_str()),
         listen: listen?,
@@ -138,7 +138,7 @@
         descriptors: descriptors?,
         cell: CellTiming { policy: policy?, ..cell? },
         authority: AuthorityTiming::default(),
-        keep_ended: TimeSpan(keep_ended?.0 + KEEP_RESERVE.0),
+        keep_ended: TimeSpan(keep_ended?.0 + KEEP_ENDED_RESERVE.0),
         stop: StopTiming {
             linger: Duration::from_millis(linger.0),
             limit: Duration::from_millis(limit.0),
@@ -151,11 +151,11 @@
     let lease_most = group.text_or("lease_most", default.lease_most);
     let lease = group.text_or("lease", default.lease);
     let stop = group.text_or("stop", default.stop);
-    let size_known = group.text_or("size_known", SIZE_KNOWN);
+    let size_known = group.text_or("size_known", DEFAULT_SIZE_KNOWN);
     let authority_term = AuthorityTiming::default().term;
     let lease_most = lease_most?;
     let lease = lease?.min(lease_most);
-    let list_fresh = TimeSpan(size_known?.0.saturating_sub(ORDER_WAY.0));
+    let list_fresh = TimeSpan(size_known?.0.saturating_sub(MAX_ORDER_DELAY.0));
     Some(CellTiming { lease_most, lease, stop: stop?, authority_term, list_fresh, ..default })
 }
 
@@ -186,13 +186,13 @@
 }
 
 /// Times that only make sense together.
-fn check_times(settings: &CellSettings, errors: &mut Vec<ManifestError>) -> bool {
+fn check_timing(settings: &CellSettings, errors: &mut Vec<ManifestError>) -> bool {
     let cell = &settings.cell;
-    let least = TimeSpan(cell.hold_wait.0 * 2);
-    if cell.lease < least {
+    let min_lease = TimeSpan(cell.hold_wait.0 * 2);
+    if cell.lease < min_lease {
         errors.push(ManifestError {
             path: "cell.lease".to_owned(),
-            message: format!("expected at least {least}, found {}", cell.lease),
+            message: format!("expected at least {min_lease}, found {}", cell.lease),
         });
         return false;
     }
--- a/crates/sedgehilld/src/cell/stop.rs
+++ b/crates/sedgehilld/src/cell/stop.rs
@@ -12,13 +12,13 @@
 use crate::connection::StopPhase;
 
 /// Time between two looks at what is still open.
-const TURN: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Kept of the time for a stop, to end the connections that are idle by then.
-const CLOSING_TIME: Duration = Duration::from_millis(1_100);
+const CLOSING_RESERVE: Duration = Duration::from_millis(1_100);
 
 /// Waits for the signal to stop, and stops. A signal to reload changes nothing by itself.
-pub async fn wait(host: &CellBox) {
+pub async fn run_until_stopped(host: &CellBox) {
     let stop = signal(SignalKind::terminate());
     let reload = signal(SignalKind::hangup());
     let (mut stop, mut reload) = match (stop, reload) {
@@ -31,38 +31,38 @@
     loop {
         tokio::select! {
             _ = reload.recv() => info!(host.log, "reload asked for"),
-            () = received(&mut stop) => break,
+            () = wait_for_signal(&mut stop) => break,
         }
     }
-    finish(host).await;
+    stop_box(host).await;
 }
 
-async fn received(signal: &mut Signal) {
+async fn wait_for_signal(signal: &mut Signal) {
     signal.recv().await;
 }
 
-async fn finish(host: &CellBox) {
+async fn stop_box(host: &CellBox) {
     let StopTiming { linger, limit } = host.settings.stop;
     let connections = &host.connections;
     info!(host.log, "stopping"; "connections" => connections.open());
     host.stopping.set(true);
-    host.stop.notify_waiters();
-    let begun = clock::now();
+    host.stop_requested.notify_waiters();
+    let started = clock::now();
     connections.begin(StopPhase::Noticing);
     tokio::time::sleep(linger).await;
     connections.begin(StopPhase::Ending);
-    let is_over = || connections.open() == 0 && host.session.borrow().is_none();
-    wait_until(begun, limit.saturating_sub(CLOSING_TIME), is_over).await;
+    let is_idle = || connections.open() == 0 && host.session.borrow().is_none();
+    wait_until(started, limit.saturating_sub(CLOSING_RESERVE), is_idle).await;
     connections.begin(StopPhase::Closing);
-    wait_until(begun, limit, is_over).await;
+    wait_until(started, limit, is_idle).await;
     info!(host.log, "stopped"; "connections" => connections.open(),
-        "ended_idle" => connections.ended_idle(), "took_ms" => clock::now().since(begun).as_millis());
+        "ended_idle" => connections.ended_idle(), "took_ms" => clock::now().since(started).as_millis());
 }
 
 /// Waits until a check holds, but not longer than `limit` after `begun`.
-async fn wait_until(begun: Moment, limit: Duration, check: impl Fn() -> bool) {
+async fn wait_until(started: Moment, limit: Duration, check: impl Fn() -> bool) {
     let limit = TimeSpan(limit.as_millis() as u64);
-    while !check() && clock::now().since(begun) < limit {
-        tokio::time::sleep(TURN).await;
+    while !check() && clock::now().since(started) < limit {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/sedgehilld/src/cell/submission.rs
+++ b/crates/sedgehilld/src/cell/submission.rs
@@ -22,9 +22,9 @@
 use crate::{clock, telemetry};
 
 /// Records in one append.
-const BATCH_RECORDS: usize = 128;
+const MAX_BATCH_RECORDS: usize = 128;
 /// Submissions that wait for an append before further ones are refused.
-const QUEUE_LENGTH: usize = 512;
+const QUEUE_CAPACITY: usize = 512;
 /// How long an append whose answer was lost is tried again.
 const SETTLE_LIMIT: TimeSpan = TimeSpan(6_000);
 /// Pause before the next try.
@@ -32,7 +32,7 @@
 
 /// What came of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AcceptOutcome {
+pub enum SubmissionOutcome {
     /// It is in the store.
     Kept,
     /// It is not in the store and will not be.
@@ -49,20 +49,20 @@
 /// A record on its way into the store.
 pub struct Submission {
     record: KeyedRecord,
-    reply: oneshot::Sender<AcceptOutcome>,
+    reply: oneshot::Sender<SubmissionOutcome>,
 }
 
 /// Hands records over to the appender.
 #[derive(Clone)]
-pub struct AcceptHandle {
+pub struct SubmissionHandle {
     queue: mpsc::Sender<Submission>,
 }
 
-impl AcceptHandle {
+impl SubmissionHandle {
     /// The handle and the queue that [`run`] works off.
-    pub fn new() -> (AcceptHandle, mpsc::Receiver<Submission>) {
-        let (queue, inbox) = mpsc::channel(QUEUE_LENGTH);
-        (AcceptHandle { queue }, inbox)
+    pub fn new() -> (SubmissionHandle, mpsc::Receiver<Submission>) {
+        let (queue, inbox) = mpsc::channel(QUEUE_CAPACITY);
+        (SubmissionHandle { queue }, inbox)
     }
 
     /// Puts a record into the store, if possible through the lead, which gathers the records of all
@@ -71,27 +71,31 @@
         &self,
         host: &CellBox,
         job: JobId,
-        statement: &CellRecord,
-        patience: Duration,
-    ) -> AcceptOutcome {
-        let begun = Instant::now();
-        let by_lead = submit_to_lead(host, job, statement);
-        let led = match tokio::time::timeout(patience, by_lead).await {
-            Ok(LedOutcome::Told(
-                done @ (AcceptOutcome::Kept | AcceptOutcome::Taken | AcceptOutcome::StoreAway),
-            )) => return done,
-            Ok(led) => led,
+        record: &CellRecord,
+        timeout: Duration,
+    ) -> SubmissionOutcome {
+        let started = Instant::now();
+        let submitting = submit_to_lead(host, job, record);
+        let lead_outcome = match tokio::time::timeout(timeout, submitting).await {
+            Ok(LeadOutcome::Answered(
+                settled @ (SubmissionOutcome::Kept
+                | SubmissionOutcome::Taken
+                | SubmissionOutcome::StoreAway),
+            )) => return settled,
+            Ok(lead_outcome) => lead_outcome,
             // The lead lives, or the link to it would be lost: no other box has a better way.
-            Err(_) => return AcceptOutcome::Unknown,
+            Err(_) => return SubmissionOutcome::Unknown,
         };
-        let left = patience.saturating_sub(begun.elapsed());
-        let own = self.append(job, statement, left).await;
-        match (led, own) {
+        let remaining = timeout.saturating_sub(started.elapsed());
+        let own_outcome = self.append(job, record, remaining).await;
+        match (lead_outcome, own_outcome) {
             // What the lead may have recorded cannot be called not done.
-            (LedOutcome::Told(AcceptOutcome::Unknown), own) if own != AcceptOutcome::Kept => {
-                AcceptOutcome::Unknown
+            (LeadOutcome::Answered(SubmissionOutcome::Unknown), own_outcome)
+                if own_outcome != SubmissionOutcome::Kept =>
+            {
+                SubmissionOutcome::Unknown
             }
-            (_, own) => own,
+            (_, own_outcome) => own_outcome,
         }
     }
 
@@ -99,53 +103,53 @@
     async fn append(
         &self,
         job: JobId,
-        statement: &CellRecord,
-        patience: Duration,
-    ) -> AcceptOutcome {
-        let record = KeyedRecord { key: statement.key(job), value: statement.encode().into() };
+        record: &CellRecord,
+        timeout: Duration,
+    ) -> SubmissionOutcome {
+        let keyed_record = KeyedRecord { key: record.key(job), value: record.encode().into() };
         let (reply, answer) = oneshot::channel();
-        if self.queue.try_send(Submission { record, reply }).is_err() {
-            return AcceptOutcome::NotDone;
+        if self.queue.try_send(Submission { record: keyed_record, reply }).is_err() {
+            return SubmissionOutcome::NotDone;
         }
-        match tokio::time::timeout(patience, answer).await {
+        match tokio::time::timeout(timeout, answer).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) | Err(_) => AcceptOutcome::Unknown,
+            Ok(Err(_)) | Err(_) => SubmissionOutcome::Unknown,
         }
     }
 }
 
 /// What came of handing a record to the lead.
-enum LedOutcome {
+enum LeadOutcome {
     /// There is no lead within reach that could take it.
     NoLead,
     /// What the lead told, or that it told nothing.
-    Told(AcceptOutcome),
+    Answered(SubmissionOutcome),
 }
 
-async fn submit_to_lead(host: &CellBox, job: JobId, statement: &CellRecord) -> LedOutcome {
+async fn submit_to_lead(host: &CellBox, job: JobId, record: &CellRecord) -> LeadOutcome {
     let session = host.session.borrow().clone();
     let link = host.link.borrow().clone();
     let outcome = match (session, link) {
         (Some(session), _) if session.store_answers(host) => {
-            session.submit(host, job, statement).await
+            session.submit(host, job, record).await
         }
-        (None, Some(link)) if link.takes_submissions() => link.submit(job, statement).await,
-        _ => return LedOutcome::NoLead,
+        (None, Some(link)) if link.takes_submissions() => link.submit(job, record).await,
+        _ => return LeadOutcome::NoLead,
     };
-    LedOutcome::Told(outcome.unwrap_or(AcceptOutcome::Unknown))
+    LeadOutcome::Answered(outcome.unwrap_or(SubmissionOutcome::Unknown))
 }
 
 /// Works off the queue, one append at a time: the store takes the appends of a topic in turn, so when it
 /// is slow more of them would only make a longer queue there, while records that wait here go together.
 pub async fn run(host: Rc<CellBox>, mut inbox: mpsc::Receiver<Submission>) {
     let mut batch = Vec::new();
-    while inbox.recv_many(&mut batch, BATCH_RECORDS).await > 0 {
+    while inbox.recv_many(&mut batch, MAX_BATCH_RECORDS).await > 0 {
         let batch = std::mem::take(&mut batch);
-        let keys: HashSet<String> =
+        let batch_keys: HashSet<String> =
             batch.iter().map(|submission| submission.record.key.clone()).collect();
         let is_stuck = Cell::new(false);
         let stuck = Notify::new();
-        let appending = hedge::unless_stuck(&host, append_batch(&host, batch), || {
+        let appending = hedge::await_append(&host, append_batch(&host, batch), || {
             is_stuck.set(true);
             stuck.notify_one();
         });
@@ -154,17 +158,17 @@
             tokio::select! {
                 () = appending.as_mut() => break,
                 () = stuck.notified() => {}
-                Some(submission) = inbox.recv(), if is_stuck.get() => refuse(submission, &keys),
+                Some(submission) = inbox.recv(), if is_stuck.get() => refuse(submission, &batch_keys),
             }
         }
     }
 }
 
 /// Refuses a submission while an append is stuck. One that the stuck append holds may still be kept.
-fn refuse(submission: Submission, stuck: &HashSet<String>) {
-    let outcome = match stuck.contains(&submission.record.key) {
-        true => AcceptOutcome::Unknown,
-        false => AcceptOutcome::StoreAway,
+fn refuse(submission: Submission, stuck_keys: &HashSet<String>) {
+    let outcome = match stuck_keys.contains(&submission.record.key) {
+        true => SubmissionOutcome::Unknown,
+        false => SubmissionOutcome::StoreAway,
     };
     // A caller that does not wait any more asks again.
     let _ = submission.reply.send(outcome);
@@ -178,39 +182,43 @@
     }
     let records: Vec<KeyedRecord> =
         batch.iter().map(|submission| submission.record.clone()).collect();
-    let outcome = settle_append(host, &records, clock::now()).await;
+    let outcome = append_until_settled(host, &records, clock::now()).await;
     for submission in batch {
         // A caller that does not wait any more asks again.
         let _ = submission.reply.send(outcome);
     }
 }
 
-async fn settle_append(host: &CellBox, records: &[KeyedRecord], begun: Moment) -> AcceptOutcome {
-    let mut doubtful = false;
+async fn append_until_settled(
+    host: &CellBox,
+    records: &[KeyedRecord],
+    started: Moment,
+) -> SubmissionOutcome {
+    let mut maybe_done = false;
     loop {
         let sent = Instant::now();
         let condition = &AppendCondition::None;
         let call = AppendCall { topic: StoreTopic::Jobs, records, condition };
-        let result = hedge::append_twice(host, call).await;
+        let result = hedge::append_hedged(host, call).await;
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         telemetry::note_store_append("jobs", outcome, sent.elapsed().as_secs_f64());
         match result {
-            Ok(AppendOutcome::Kept { .. }) => return AcceptOutcome::Kept,
+            Ok(AppendOutcome::Kept { .. }) => return SubmissionOutcome::Kept,
             Ok(outcome) => {
                 // No condition was set, so none can have failed.
                 warn!(host.log, "append refused"; "outcome" => ?outcome);
-                doubtful = true;
+                maybe_done = true;
             }
             Err(error) => {
                 warn!(host.log, "append failed"; "records" => records.len(), "error" => %error);
-                doubtful |= !error.is_surely_not_done();
-                if !doubtful {
-                    return AcceptOutcome::NotDone;
+                maybe_done |= !error.is_surely_not_done();
+                if !maybe_done {
+                    return SubmissionOutcome::NotDone;
                 }
             }
         }
-        if clock::now().since(begun) > SETTLE_LIMIT {
-            return AcceptOutcome::Unknown;
+        if clock::now().since(started) > SETTLE_LIMIT {
+            return SubmissionOutcome::Unknown;
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
--- a/crates/sedgehilld/src/cell/topic_follower.rs
+++ b/crates/sedgehilld/src/cell/topic_follower.rs
@@ -20,11 +20,11 @@
 /// How long a read waits for a record. An empty answer proves that nothing is missing.
 const READ_WAIT: Duration = Duration::from_millis(500);
 /// How long an answer may take on top of that. A slow store takes some 300 ms.
-const READ_LIMIT: Duration = Duration::from_millis(1_200);
+const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// The same while the store does not answer at all: short tries find out soon when it is back.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+const SILENT_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long reading the newest records may take, a page.
-const NEWEST_LIMIT: Duration = Duration::from_millis(2_500);
+const NEWEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause after a call that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
 /// Pause between two reads of who leads by a box that does not lead: renewals are of no use to it
@@ -37,14 +37,14 @@
 /// for which callers allow seconds.
 const JOBS_PAUSE: Duration = Duration::from_millis(200);
 /// The same for the lead, which waits for jobs to place.
-const JOBS_PAUSE_LEAD: Duration = Duration::from_millis(14);
+const LEAD_JOBS_PAUSE: Duration = Duration::from_millis(14);
 
 /// Pause after a read by way of another box, which does not wait for records.
 const RELAYED_PAUSE: Duration = Duration::from_millis(100);
 /// Time between two looks whether a box that has just started has to read the jobs.
-const FIRST_PAUSE: Duration = Duration::from_millis(5);
+const DEFERRED_READ_PAUSE: Duration = Duration::from_millis(5);
 /// Time between two looks whether a topic is still proved to be known.
-const FED_PAUSE: Duration = Duration::from_millis(50);
+const CONFIRMED_PAUSE: Duration = Duration::from_millis(50);
 
 /// Follows the configuration.
 pub async fn follow_config(host: Rc<CellBox>) {
@@ -63,7 +63,7 @@
 /// Follows jobs and cancellations.
 pub async fn follow_jobs(host: Rc<CellBox>) {
     let pause = |host: &CellBox| match host.session.borrow().is_some() {
-        true => JOBS_PAUSE_LEAD,
+        true => LEAD_JOBS_PAUSE,
         false => JOBS_PAUSE,
     };
     follow(&host, StoreTopic::Jobs, &host.jobs_view, pause).await;
@@ -84,20 +84,21 @@
     let mut failing = false;
     loop {
         // Who led last tells whether this box has to read the jobs.
-        let unready = host.lead_view.offset.get().is_none();
-        let waits = is_cell(topic) && (unready || host.defers_reading() || host.asks_lead());
-        if waits {
-            tokio::time::sleep(FIRST_PAUSE).await;
+        let lead_unknown = host.lead_view.offset.get().is_none();
+        let defers_reading =
+            is_cell_topic(topic) && (lead_unknown || host.defers_reads() || host.queries_lead());
+        if defers_reading {
+            tokio::time::sleep(DEFERRED_READ_PAUSE).await;
             continue;
         }
-        if !reads_for_itself(host, topic, view) {
-            tokio::time::sleep(FED_PAUSE).await;
+        if !must_read(host, topic, view) {
+            tokio::time::sleep(CONFIRMED_PAUSE).await;
             continue;
         }
         let result = match view.offset.get() {
             None => read_newest(host, topic, view).await,
             Some(offset) => {
-                read_on(host, topic, view, offset, READ_WAIT).await.map(|read| read.records)
+                read_from(host, topic, view, offset, READ_WAIT).await.map(|read| read.records)
             }
         };
         match result {
@@ -127,7 +128,7 @@
 async fn pause_reading(host: &CellBox, topic: StoreTopic, pause: Duration) {
     tokio::select! {
         () = tokio::time::sleep(pause) => {}
-        () = host.lead_doubted.notified(), if topic == StoreTopic::Leads => {}
+        () = host.lead_record_stale.notified(), if topic == StoreTopic::Leads => {}
     }
 }
 
@@ -141,7 +142,7 @@
             // The newest records hold all that was appended before.
             None => drop(read_newest(host, topic, view).await?),
             Some(offset) if offset < end => {
-                read_on(host, topic, view, offset, Duration::ZERO).await?;
+                read_from(host, topic, view, offset, Duration::ZERO).await?;
             }
             Some(_) => return Ok(()),
         }
@@ -152,34 +153,34 @@
 pub async fn catch_up_now(host: &CellBox, topic: StoreTopic) -> Result<(), CallError> {
     let Some(view) = host.view(topic) else { return Ok(()) };
     let end = match view.offset.get() {
-        Some(offset) => read_on(host, topic, view, offset, Duration::ZERO).await?.end,
+        Some(offset) => read_from(host, topic, view, offset, Duration::ZERO).await?.end,
         None => return read_newest(host, topic, view).await.map(|_| ()),
     };
     catch_up(host, topic, end).await
 }
 
 /// Whether a box has to read a topic itself. What the lead proves to be known needs no reading.
-fn reads_for_itself(host: &CellBox, topic: StoreTopic, view: &TopicView) -> bool {
-    let fed = match topic {
+fn must_read(host: &CellBox, topic: StoreTopic, view: &TopicView) -> bool {
+    let is_confirmable = match topic {
         StoreTopic::Jobs => host.session.borrow().is_none(),
         StoreTopic::Progress => true,
         StoreTopic::Operators | StoreTopic::Leads | StoreTopic::Workers => false,
     };
-    !(fed && view.is_fed() && view.offset.get().is_some())
+    !(is_confirmable && view.is_confirmed() && view.offset.get().is_some())
 }
 
 /// Whether a topic holds what only the boxes write.
-fn is_cell(topic: StoreTopic) -> bool {
+fn is_cell_topic(topic: StoreTopic) -> bool {
     matches!(topic, StoreTopic::Jobs | StoreTopic::Progress)
 }
 
 /// The lead passes on what it reads of the jobs. Each box reads the configuration by itself: passed on to
 /// 96 boxes, one of 256 KB would take a second of a link of 200 Mbit/s.
-fn pass_on(host: &CellBox, topic: StoreTopic, from: u64, records: &[KeyedRecord]) {
+fn forward_to_helpers(host: &CellBox, topic: StoreTopic, from: u64, records: &[KeyedRecord]) {
     if let Some(session) = &*host.session.borrow()
-        && is_cell(topic)
+        && is_cell_topic(topic)
     {
-        session.feed(topic, from, records);
+        session.queue_records(topic, from, records);
     }
 }
 
@@ -188,37 +189,37 @@
     topic: StoreTopic,
     view: &TopicView,
 ) -> Result<usize, CallError> {
-    let asked = clock::now();
-    let known = match topic {
+    let sent = clock::now();
+    let known_led = match topic {
         StoreTopic::Progress => host.replica.borrow().led_ids(),
         _ => Vec::new(),
     };
     let newest = match relaying_session(host, topic) {
         Some(session) => session.newest_relayed(topic).await?,
         None => {
-            let newest = host.clients.store.newest(topic, NEWEST_LIMIT).await?;
+            let newest = host.clients.store.newest(topic, NEWEST_TIMEOUT).await?;
             host.store_contact.note_answer();
             newest
         }
     };
-    if view.whole.get() && view.offset.get().is_some_and(|read| read >= newest.end) {
+    if view.full_records.get() && view.offset.get().is_some_and(|read| read >= newest.end) {
         // Another reading was faster. What it brought, and what came since, must not be undone by older records.
         return Ok(0);
     }
     for record in &newest.records {
         apply(host, topic, record);
     }
-    host.replica.borrow_mut().forget_dropped(&known, &kept_jobs(&newest.records));
+    host.replica.borrow_mut().forget_dropped(&known_led, &recorded_jobs(&newest.records));
     view.offset.set(Some(newest.end));
-    view.whole.set(true);
-    view.note_complete(asked);
+    view.full_records.set(true);
+    view.note_complete(sent);
     info!(host.log, "topic read";
         "topic" => ?topic, "records" => newest.records.len(), "end" => newest.end);
     Ok(newest.records.len())
 }
 
 /// The jobs of which there are records.
-fn kept_jobs(records: &[KeyedRecord]) -> HashSet<JobId> {
+fn recorded_jobs(records: &[KeyedRecord]) -> HashSet<JobId> {
     let decoded = records.iter().map(|record| CellRecord::decode_key(&record.key));
     decoded.filter_map(|key| key.ok().map(|(_, id)| id)).collect()
 }
@@ -227,38 +228,38 @@
 /// that goes the same way as the jobs.
 fn relaying_session(host: &CellBox, topic: StoreTopic) -> Option<Rc<LeadSession>> {
     let session = host.session.borrow().clone()?;
-    let relayed = is_cell(topic) || topic == StoreTopic::Operators;
-    (relayed && session.relays()).then_some(session)
+    let is_relayed = is_cell_topic(topic) || topic == StoreTopic::Operators;
+    (is_relayed && session.is_relaying()).then_some(session)
 }
 
 /// What one read brought.
-struct ReadStretch {
+struct ReadProgress {
     /// How many records.
     records: usize,
     /// Where the topic ended.
     end: u64,
 }
 
-async fn read_on(
+async fn read_from(
     host: &CellBox,
     topic: StoreTopic,
     view: &TopicView,
     offset: u64,
     wait: Duration,
-) -> Result<ReadStretch, CallError> {
-    let asked = clock::now();
+) -> Result<ReadProgress, CallError> {
+    let sent = clock::now();
     let (wait, limit) = match host.store_contact.is_silent() {
-        true => (Duration::ZERO, PROBE_LIMIT),
-        false => (wait, READ_LIMIT),
+        true => (Duration::ZERO, SILENT_READ_TIMEOUT),
+        false => (wait, READ_TIMEOUT),
     };
     let relayed = relaying_session(host, topic);
     let outcome = match &relayed {
         Some(session) => session.read_relayed(topic, offset).await?,
         None => {
-            let limits = CallLimits::new(limit.min(read_doubt(host)), limit);
+            let limits = CallLimits::new(limit.min(connection_suspect_delay(host)), limit);
             let reading = host.clients.store.read(topic, offset, wait, limits);
             let outcome = tokio::select! {
-                outcome = host.store_contact.unless_regained(reading) => outcome?,
+                outcome = host.store_contact.abort_on_recovery(reading) => outcome?,
                 () = host.clients.store.wait_for_silence() => {
                     return Err(CallError::Unknown("the connection fell silent".to_owned()));
                 }
@@ -278,37 +279,37 @@
                 view.offset.set(None);
             }
             view.gaps.set(view.gaps.get() + 1);
-            Ok(ReadStretch { records: 0, end: offset })
+            Ok(ReadProgress { records: 0, end: offset })
         }
         ReadOutcome::Records { records, end } => {
-            let read = offset + records.len() as u64;
+            let next_offset = offset + records.len() as u64;
             // Meanwhile the records may have come over the link, or have been written by this box.
             let known = view.offset.get().unwrap_or(offset).max(offset);
             let new = records.get((known - offset) as usize..).unwrap_or_default();
             for record in new {
                 apply(host, topic, record);
             }
-            if read > known {
-                pass_on(host, topic, known, new);
-                view.offset.set(Some(read));
+            if next_offset > known {
+                forward_to_helpers(host, topic, known, new);
+                view.offset.set(Some(next_offset));
             }
             // An empty answer was sent when the wait was over; it may have been read much later.
-            let waits = records.is_empty() && relayed.is_none();
-            let waited = if waits { wait } else { Duration::ZERO };
-            if waits {
-                let took = Duration::from_millis(clock::now().since(asked).0);
-                host.store_patience.borrow_mut().note_answer(took.saturating_sub(wait));
+            let is_long_poll = records.is_empty() && relayed.is_none();
+            let complete_after = if is_long_poll { wait } else { Duration::ZERO };
+            if is_long_poll {
+                let took = Duration::from_millis(clock::now().since(sent).0);
+                host.store_timeout.borrow_mut().note_answer(took.saturating_sub(wait));
             }
-            if read.max(known) >= end {
-                let complete = asked.after(TimeSpan(waited.as_millis() as u64));
-                view.note_complete(complete.min(clock::now()));
+            if next_offset.max(known) >= end {
+                let complete_at = sent.after(TimeSpan(complete_after.as_millis() as u64));
+                view.note_complete(complete_at.min(clock::now()));
             }
-            Ok(ReadStretch { records: records.len(), end })
+            Ok(ReadProgress { records: records.len(), end })
         }
     }
 }
 
 /// When the connection of a read is doubted.
-fn read_doubt(host: &CellBox) -> Duration {
-    host.store_patience.borrow().limit()
+fn connection_suspect_delay(host: &CellBox) -> Duration {
+    host.store_timeout.borrow().limit()
 }
