--- a/crates/sedgehilld/src/cell/worker_watch.rs
+++ b/crates/sedgehilld/src/cell/worker_watch.rs
@@ -17,53 +17,55 @@
 use crate::{clock, telemetry};
 
 /// Time between two readings of the list. A leaving worker is seen within it.
-const LIST_EVERY: Duration = Duration::from_millis(400);
+const LIST_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a reading of the list may take.
-const LIST_LIMIT: Duration = Duration::from_millis(1_000);
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause after an account that failed for the second time in a row, or more often.
-const HOLD_RETRY: Duration = Duration::from_millis(100);
+const FAILED_HOLD_PAUSE: Duration = Duration::from_millis(100);
 /// The most doublings of that pause where nobody has answered to this life yet: the address may be that of
 /// anything, and each look is paid for.
-const STRANGER_DOUBLINGS: u32 = 3;
+const MAX_STRANGER_DOUBLINGS: u32 = 3;
 /// Pause after an account: ends that come together are read together.
 const HOLD_PAUSE: Duration = Duration::from_millis(10);
 
 /// Reads the list again and again, and watches each worker on it.
-pub async fn follow(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
+pub async fn run(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
     let roster = host.replica.borrow().roster().clone();
-    let known = session.scheduler.borrow_mut().add_roster(&roster, clock::now());
-    watch_all(host, session, known);
-    let mut reader = ListReader::new(addresses_of_others(host));
+    let listed = session.scheduler.borrow_mut().add_roster(&roster, clock::now());
+    spawn_watches(host, session, listed);
+    let mut reader = ListReader::new(reserved_addresses(host));
     loop {
-        let reading = match session.relays() {
+        let result = match session.is_relaying() {
             true => session.newest_relayed(StoreTopic::Workers).await,
-            false => host.clients.store.newest(StoreTopic::Workers, LIST_LIMIT).await,
+            false => host.clients.store.newest(StoreTopic::Workers, LIST_TIMEOUT).await,
         };
-        match reading {
+        match result {
             Ok(newest) => {
                 let reading = reader.read(&newest.records);
-                tell_unreadable(host, &reading);
+                log_unreadable_entries(host, &reading);
                 let ListReading { entries, unreadable, .. } = reading;
                 let now = clock::now();
-                let new = session.scheduler.borrow_mut().update_workers(entries, &unreadable, now);
-                watch_all(host, session, new);
+                let added =
+                    session.scheduler.borrow_mut().update_workers(entries, &unreadable, now);
+                spawn_watches(host, session, added);
                 session.wake.notify_one();
             }
             Err(error) => warn!(host.log, "worker list not read"; "error" => %error),
         }
-        tokio::time::sleep(LIST_EVERY).await;
+        tokio::time::sleep(LIST_INTERVAL).await;
     }
 }
 
 /// Where others than workers answer, as far as this box knows.
-fn addresses_of_others(host: &CellBox) -> Vec<SocketAddr> {
+fn reserved_addresses(host: &CellBox) -> Vec<SocketAddr> {
     let listen = &host.settings.listen;
-    let own = [listen.callers, listen.ready, listen.peers, listen.metrics, host.settings.store];
-    own.into_iter().chain(host.settings.advice).collect()
+    let own_addresses =
+        [listen.callers, listen.ready, listen.peers, listen.metrics, host.settings.store];
+    own_addresses.into_iter().chain(host.settings.advice).collect()
 }
 
 /// Tells once of each entry that it cannot be read, and once that it can again or is gone.
-fn tell_unreadable(host: &CellBox, reading: &ListReading) {
+fn log_unreadable_entries(host: &CellBox, reading: &ListReading) {
     for (worker, error) in &reading.worse {
         telemetry::count_unreadable_entry(error.name());
         warn!(host.log, "worker entry not readable"; "worker" => worker, "error" => %error);
@@ -73,15 +75,15 @@
     }
 }
 
-fn watch_all(host: &Rc<CellBox>, session: &Rc<LeadSession>, keys: Vec<WorkerKey>) {
+fn spawn_watches(host: &Rc<CellBox>, session: &Rc<LeadSession>, keys: Vec<WorkerKey>) {
     for key in keys {
-        tokio::task::spawn_local(watch(host.clone(), session.clone(), key));
+        tokio::task::spawn_local(watch_worker(host.clone(), session.clone(), key));
     }
 }
 
 /// Renews a worker's lease and reads its accounts for as long as it is of interest.
-async fn watch(host: Rc<CellBox>, session: Rc<LeadSession>, key: WorkerKey) {
-    let target = target_of(&session, key);
+async fn watch_worker(host: Rc<CellBox>, session: Rc<LeadSession>, key: WorkerKey) {
+    let target = worker_target(&session, key);
     let mut failures = 0;
     loop {
         if session.ended.get() || !session.scheduler.borrow().is_watched(key) {
@@ -91,15 +93,15 @@
             tokio::time::sleep(HOLD_PAUSE).await;
             continue;
         }
-        let order = next_hold(&host, &session, key);
+        let order = next_hold_order(&host, &session, key);
         // A process that stands still after the look at the term must not ask for a lease beyond it.
         if !session.may_order(&host) {
             continue;
         }
-        let answered = ask_account(&host, &session, &target, key, order).await;
+        let answered = request_report(&host, &session, &target, key, order).await;
         failures = if answered { 0 } else { failures + 1 };
-        let stranger = session.scheduler.borrow().is_stranger(key);
-        tokio::time::sleep(hold_pause(failures, stranger)).await;
+        let is_stranger = session.scheduler.borrow().is_stranger(key);
+        tokio::time::sleep(hold_pause(failures, is_stranger)).await;
     }
     session.scheduler.borrow_mut().unwatch(key);
     if !session.scheduler.borrow().watches_address(target.address) {
@@ -108,36 +110,37 @@
 }
 
 /// How long to wait before the next account, after so many failed ones in a row.
-fn hold_pause(failures: u32, stranger: bool) -> Duration {
-    let doublings = if stranger { failures.saturating_sub(2).min(STRANGER_DOUBLINGS) } else { 0 };
+fn hold_pause(failures: u32, is_stranger: bool) -> Duration {
+    let doublings =
+        if is_stranger { failures.saturating_sub(2).min(MAX_STRANGER_DOUBLINGS) } else { 0 };
     match failures {
         0 | 1 => HOLD_PAUSE,
-        _ => HOLD_RETRY * 2u32.pow(doublings),
+        _ => FAILED_HOLD_PAUSE * 2u32.pow(doublings),
     }
 }
 
 /// Asks a worker for its account at once, without waiting for an end.
-pub async fn look(
+pub async fn poll_worker(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
     target: &WorkerTarget,
     key: WorkerKey,
 ) {
-    let order = HoldOrder { wait: TimeSpan(0), ..next_hold(host, session, key) };
+    let order = HoldOrder { wait: TimeSpan(0), ..next_hold_order(host, session, key) };
     if !session.may_order(host) {
         return;
     }
-    ask_account(host, session, target, key, order).await;
+    request_report(host, session, target, key, order).await;
 }
 
-fn next_hold(host: &CellBox, session: &LeadSession, key: WorkerKey) -> HoldOrder {
+fn next_hold_order(host: &CellBox, session: &LeadSession, key: WorkerKey) -> HoldOrder {
     let store_answers = session.store_answers(host);
     session.scheduler.borrow_mut().hold_order(key, store_answers, clock::now())
 }
 
 /// Asks a worker for its account and takes it in, also when it comes late. Returns whether it came in
 /// time.
-async fn ask_account(
+async fn request_report(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
     target: &WorkerTarget,
@@ -145,39 +148,39 @@
     order: HoldOrder,
 ) -> bool {
     let sent = clock::now();
-    let usual = session.order_patience.borrow().limit();
-    let limits = late_answer::limits_for(usual);
+    let timeout = session.order_timeout.borrow().limit();
+    let limits = late_answer::limits_for(timeout);
     let waiting_limits = limits.with_wait(Duration::from_millis(order.wait.as_millis()));
     let calling = {
         let (host, target) = (host.clone(), target.clone());
         let order = order.clone();
         async move { host.clients.workers.hold(&target, &order, limits).await }
     };
-    let take_late = {
+    let apply_late = {
         let (host, session) = (host.clone(), session.clone());
         move |answer: WorkerAnswer<HoldReport>| {
             if let WorkerAnswer::Done(_) = answer
                 && !session.ended.get()
             {
                 let took = clock::now().since(sent).0.saturating_sub(order.wait.0);
-                session.order_patience.borrow_mut().note_answer(Duration::from_millis(took));
-                take_account(&host, &session, key, answer, sent);
+                session.order_timeout.borrow_mut().note_answer(Duration::from_millis(took));
+                apply_report(&host, &session, key, answer, sent);
             }
         }
     };
     let answer = tokio::select! {
-        answer = late_answer::wait_for(calling, waiting_limits, take_late) => answer,
+        answer = late_answer::wait_or_detach(calling, waiting_limits, apply_late) => answer,
         // Asked again on a new connection, the worker may answer at once.
         () = host.clients.http.wait_for_silence(target.address) => return true,
     };
     let answer = answer.unwrap_or(WorkerAnswer::Unknown);
     let answered = matches!(answer, WorkerAnswer::Done(_));
-    take_account(host, session, key, answer, sent);
+    apply_report(host, session, key, answer, sent);
     answered
 }
 
 /// Takes in what came of a call for an account. If another life answered, that is asked from now on.
-fn take_account(
+fn apply_report(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
     key: WorkerKey,
@@ -185,13 +188,13 @@
     sent: Moment,
 ) {
     session.scheduler.borrow_mut().hold_answered(key, answer, sent, clock::now());
-    let next = session.scheduler.borrow_mut().take_next_lives();
-    watch_all(host, session, next);
+    let new_lives = session.scheduler.borrow_mut().take_next_lives();
+    spawn_watches(host, session, new_lives);
     session.wake.notify_one();
 }
 
 /// Where a worker takes orders.
-pub fn target_of(session: &LeadSession, key: WorkerKey) -> WorkerTarget {
+pub fn worker_target(session: &LeadSession, key: WorkerKey) -> WorkerTarget {
     let scheduler = session.scheduler.borrow();
     let entry = scheduler.entry(key);
     WorkerTarget { address: entry.address, life: entry.life.clone() }
