--- a/crates/sedgehilld/src/cell/apply.rs
+++ b/crates/sedgehilld/src/cell/apply.rs
@@ -1,5 +1,5 @@
-//! Takes in records of the store's topics, wherever they come from: a read, the link to the lead, or this
-//! box's own appends.
+//! Applies records of the store's topics to the state of the box, whether they come from a read,
+//! from the link to the lead, or from an append of this box.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 use super::state::CellBox;
 use crate::clock;
 
-/// Takes in a record of a topic.
+/// Applies a record of a topic.
 pub fn apply(host: &CellBox, topic: StoreTopic, record: &KeyedRecord) {
     match topic {
         StoreTopic::Operators if is_config(record) => apply_config(host, record.value.clone()),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Takes in the record of a configuration. An older one than that in force changes nothing.
+/// Applies a record of the configuration. A version older than the one in force changes nothing.
 pub fn apply_config(host: &CellBox, record: Bytes) {
     match decode_config(&record) {
         Ok(config) if config.version > host.config.borrow().version => {
@@ -94,8 +94,8 @@
     }
 }
 
-/// The lead dropped a key. A job is forgotten with its progress; what was accepted is dropped earlier,
-/// once the job is over.
+/// Applies the removal of a key by the lead. A job is forgotten together with its progress; the
+/// record of its submission is removed earlier, once the job has ended.
 fn forget_key(host: &CellBox, key: &str) {
     match CellRecord::decode_key(key) {
         Ok((CellRecord::PROGRESS_KEY, id)) => host.replica.borrow_mut().forget(id),
