--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -1,4 +1,4 @@
-//! Serves callers, who hand in jobs, ask for their state and cancel them.
+//! Serves callers, who submit jobs, ask for their state and cancel them.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -32,38 +32,40 @@
 use crate::connection::{CallerConnection, ConnectionLimits};
 use crate::{clock, telemetry};
 
-/// The most header bytes of a call. A connection's buffer begins small and grows up to it.
+/// The most header bytes of a call. The buffer of a connection starts small and grows up to this
+/// size.
 const MAX_HEADER_BYTES: usize = 16 << 10;
-/// How long a caller may take to send a call.
+/// Time limit for a caller to send a call.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// How long a caller waits that names no time.
+/// The time limit of a call that does not state one.
 const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Kept of a caller's time for the way back.
+/// Part of a call's time limit that is kept for the answer to reach the caller.
 const ANSWER_RESERVE: Duration = Duration::from_millis(120);
-/// A submission that takes longer is left to itself, whatever the caller's patience: a slow store
-/// takes about a second for a batch, and one may have to wait for the one before it.
+/// The longest wait for a submission, whatever the caller's time limit. A slow store takes about a
+/// second for a batch, and a batch may have to wait for the one before it.
 const MAX_SUBMIT_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// When a refused caller should come again.
+/// The time after which a caller with a refused call should retry.
 const RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// How long to wait after the machine could not take a connection.
+/// Pause after the operating system could not accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What serving a caller needs.
+/// What the handling of a call needs.
 struct CallContext {
     host: Rc<CellBox>,
     submissions: SubmissionHandle,
 }
 
-/// The bounds of a caller's connection.
+/// The limits of a caller's connection.
 pub const CONNECTION_LIMITS: ConnectionLimits =
     ConnectionLimits { header_bytes: MAX_HEADER_BYTES, headers: None, head_time: None };
 
-/// What a caller is told whose call may cross the end of its idle connection.
+/// Returns the answer that is sent when an idle connection is closed, in case a call crosses it:
+/// nothing was done, retry later.
 pub fn idle_close_answer() -> Response<Full<Bytes>> {
     encode_answer(&CallerAnswer::NotDone(RETRY_AFTER))
 }
 
-/// Serves callers until the stop has come to its end.
+/// Serves callers until the planned stop is complete.
 pub async fn serve(host: Rc<CellBox>, submissions: SubmissionHandle, listener: TcpListener) {
     let context = Rc::new(CallContext { host: host.clone(), submissions });
     let spawn = |connection: CallerConnection| {
@@ -129,8 +131,9 @@
     answer
 }
 
-/// On whose behalf a call is made; nobody's where no key is needed. A box whose configuration may be out of
-/// date neither lets a key pass, which may have been taken away, nor calls one unknown, which may be new.
+/// Returns the key owner on whose behalf a call is made; none if no key is needed. A box whose
+/// configuration may be outdated decides nothing by it: it must not admit a key that may have been
+/// revoked, nor reject one that may be new.
 fn identify(
     host: &CellBox,
     config: &CellConfig,
@@ -150,13 +153,14 @@
     host.config_view.age().map(|age| age.as_millis())
 }
 
-/// Reads a body that is not used, so that the answer is not lost with the connection.
+/// Reads a body that is not used. Closing the connection with unread bytes could destroy the
+/// answer.
 async fn drain_body(body: Incoming, max_bytes: usize) {
-    // Whether it came whole does not matter.
+    // It does not matter whether the body was complete.
     let _ = tokio::time::timeout(RECEIVE_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
 }
 
-/// Serves metrics in the text form of Prometheus.
+/// Serves metrics in the text format of Prometheus.
 pub async fn serve_metrics(metrics: PrometheusHandle, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -170,7 +174,7 @@
         });
         tokio::task::spawn_local(async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Who asks sees for itself that the connection ended.
+            // The client notices by itself that the connection has ended.
             let _ = connection.await;
         });
     }
@@ -222,7 +226,7 @@
     answer
 }
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 struct JobSubmission<'a> {
     id: JobId,
     route: &'a QueueRoute,
@@ -269,7 +273,7 @@
         "gangs" => spec.steps.iter().filter(|step| step.gang).count(),
         "chain_ms" => spec.longest_chain().0);
     if !host.can_accept() || timeout < host.store_timeout.borrow().usual() {
-        // Nothing can be put into the store in time, and nothing was sent there.
+        // Nothing can be appended in time, and nothing was sent to the store.
         return CallerAnswer::NotDone(RETRY_AFTER);
     }
     let record = JobRecord {
@@ -289,7 +293,7 @@
     }
 }
 
-/// Answers the platform's question whether callers should come here.
+/// Answers the platform's readiness checks.
 pub async fn serve_ready(host: Rc<CellBox>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -305,7 +309,7 @@
             let connection = http1::Builder::new()
                 .max_buf_size(MAX_HEADER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
-            // Who asks sees for itself that the connection ended.
+            // The client notices by itself that the connection has ended.
             let _ = connection.await;
         });
     }
