--- a/crates/sedgehilld/src/cell/events.rs
+++ b/crates/sedgehilld/src/cell/events.rs
@@ -1,4 +1,4 @@
-//! A log line and a count for each decision of the scheduler.
+//! Logs and counts the decisions of the scheduler.
 
 use sedgehill_cell::ids::{FencingToken, WorkerLife};
 use sedgehill_cell::scheduler::{
@@ -212,7 +212,7 @@
         "unheard_some" => names.join(" "), "jobs" => settled.jobs);
 }
 
-/// What settled the orders of earlier leads, where there may have been any.
+/// Log field with how the orders of earlier leads were settled; empty if there can have been none.
 struct EarlierField(Option<EarlierSettled>);
 
 impl KV for EarlierField {
@@ -224,7 +224,7 @@
     }
 }
 
-/// What a run is taken as gone by.
+/// Log fields with the reason why a run counts as lost.
 struct CauseFields<'a>(&'a LossCause);
 
 impl KV for CauseFields<'_> {
@@ -249,7 +249,7 @@
     }
 }
 
-/// What the lead takes as true of a task instead.
+/// Log fields with what the lead knows of a task of which a worker lists an unwanted run.
 struct BeliefFields<'a>(&'a TaskBelief);
 
 impl KV for BeliefFields<'_> {
