--- a/crates/sedgehilld/src/cell/frames.rs
+++ b/crates/sedgehilld/src/cell/frames.rs
@@ -1,4 +1,4 @@
-//! What boxes say to each other on their links to the lead.
+//! The frames that boxes exchange with the lead on their links, encoded with postcard.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -18,18 +18,18 @@
 use super::relay::{RelayAnswer, RelayCall};
 use super::submission::SubmissionOutcome;
 
-/// The longest frame, in bytes. One job takes some 5 KB at the most, a question on a hundred workers
-/// some 4 KB; records are packed into frames of [`RECORD_BYTES`].
+/// The longest frame that is accepted, in bytes. A job takes up to 5 KB, a question about a hundred
+/// workers 4 KB; records are packed into frames of about [`RECORD_FRAME_BYTES`].
 const MAX_FRAME_BYTES: u32 = 1 << 20;
-/// Records are gathered into one frame up to this many bytes.
+/// Keys and values of records are packed into one frame until they reach this many bytes.
 pub const RECORD_FRAME_BYTES: usize = 128 << 10;
 
-/// A question that a box asks on the lead's behalf.
+/// A question to the advice service that a box asks on behalf of the lead.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HelperQuestion {
-    /// The step.
+    /// The step whose tasks are to be placed.
     pub step: StepId,
-    /// The workers in question.
+    /// The workers that the question is about.
     pub workers: Vec<WorkerId>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Records of a topic as the store holds them, one after the other.
+/// Consecutive records of a topic, as the store holds them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TopicRecords {
     /// The topic.
@@ -51,12 +51,12 @@
 }
 
 impl TopicRecords {
-    /// The offset after the last record.
+    /// Returns the offset after the last record.
     pub fn end(&self) -> u64 {
         self.from + self.records.len() as u64
     }
 
-    /// Packs records that begin at offset `from` into parts that fit into frames.
+    /// Packs records that begin at offset `from` into parts that each fit into a frame.
     pub fn pack(topic: StoreTopic, from: u64, records: &[KeyedRecord]) -> Vec<TopicRecords> {
         let mut parts: Vec<TopicRecords> = Vec::new();
         let mut part_bytes = RECORD_FRAME_BYTES;
@@ -73,22 +73,22 @@
     }
 }
 
-/// What the records of a stretch of a topic mean for the states of jobs.
+/// The job states that follow from a range of records of a topic.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TopicSummary {
     /// The topic.
     pub topic: StoreTopic,
-    /// The offset of the first record.
+    /// The offset of the first record of the range.
     pub from: u64,
-    /// The offset after the last.
+    /// The offset after the last record of the range.
     pub end: u64,
-    /// The jobs that the records speak of, as they are known now.
+    /// The jobs that the records are about, with their state at the time of sending.
     pub jobs: Vec<JobBrief>,
 }
 
 impl TopicSummary {
-    /// The states of all jobs, with the ends of the topics that they come from. Some 12 bytes a job: a frame
-    /// holds 80,000.
+    /// Returns the states of all jobs, with the ends of the topics that they come from. A job takes
+    /// 12 bytes, so a frame holds 80,000 jobs.
     pub fn of_all(replica: &CellReplica, jobs_end: u64, progress_end: u64) -> [TopicSummary; 2] {
         let jobs = replica.ids().map(|job| JobBrief::of(replica, job)).collect();
         [
@@ -97,7 +97,9 @@
         ]
     }
 
-    /// Sums up what is news in records, as `replica` knows their jobs, a stretch for each topic.
+    /// Summarizes records, with one summary for each contiguous range of a topic. A summary holds
+    /// the jobs of its records whose state in `replica` differs from what `ledger` says was sent
+    /// before.
     pub fn summarize(
         parts: &[TopicRecords],
         replica: &CellReplica,
@@ -131,134 +133,136 @@
     }
 }
 
-/// How far the lead's own views reach.
+/// Proves up to which point the lead knows the store, and when that was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ViewProof {
-    /// The version of the configuration in force.
+    /// The version of the configuration in force at the lead.
     pub config: u64,
-    /// How long ago that was surely the newest version.
+    /// How long ago this version was known to be the newest.
     pub config_age: TimeSpan,
-    /// Where the lead has read the jobs to.
+    /// The offset up to which the lead has read the jobs topic.
     pub jobs_end: u64,
-    /// Where the lead has read the progress to.
+    /// The offset up to which the lead has read the progress topic.
     pub progress_end: u64,
-    /// How long ago jobs and progress surely ended there.
+    /// How long ago both topics were known to end at these offsets.
     pub cell_age: TimeSpan,
 }
 
-/// What is known of a job.
+/// The answer to a question for the state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateAnswer {
-    /// Its state.
+    /// The job is known and has this state.
     Known(JobState),
-    /// There is no such job.
+    /// There is no such job, or it belongs to another organisation.
     NoJob,
-    /// That cannot be told at the moment.
+    /// The box that was asked cannot tell at the moment.
     Untold,
 }
 
-/// What goes over a link.
+/// A message on the link between a box and the lead.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// The first frame of a box that offers to help.
+    /// The first frame on a connection: a box introduces itself to the lead.
     Hello {
-        /// Its name.
+        /// The name of the box.
         name: BoxName,
-        /// What it can bear.
+        /// The share of a core that the box can use if it leads.
         strength: BoxStrength,
     },
-    /// The lead lives.
+    /// Sent regularly by the lead as a sign of life.
     Ping {
-        /// Whether the store answers it. If not, the boxes that the store answers need not wait as
-        /// long before one of them follows.
+        /// Whether the store answers the lead. If not, boxes that the store does answer claim the
+        /// lead sooner.
         store_answers: bool,
-        /// The strength of the strongest box that the lead has heard of.
+        /// The strength of the strongest box that the lead knows of.
         strongest: BoxStrength,
     },
-    /// The lead asks for advice.
+    /// The lead asks a box to query the advice service.
     AskAdvice(HelperQuestion),
-    /// The helper has an answer of the advice service, or none.
+    /// A box returns the answer of the advice service.
     Advice {
-        /// What was asked.
+        /// The question as it was asked.
         question: HelperQuestion,
-        /// The workers that may run the step, with their tickets.
+        /// The workers that may run the step, with their tickets; none if the service did not
+        /// answer.
         good: Option<Vec<(WorkerId, std::sync::Arc<str>)>>,
         /// How long the tickets are valid.
         valid: TimeSpan,
     },
-    /// A box hands in what a caller said.
+    /// A box hands in a job or a cancellation of a caller.
     Submit {
-        /// Told again in the answer.
+        /// Identifies the submission; the answer repeats it.
         number: u64,
         /// The job.
         job: JobId,
         /// The job itself, or its cancellation.
         record: CellRecord,
     },
-    /// What came of a submission.
+    /// The lead returns the outcome of a submission.
     Submitted {
         /// The number of the submission.
         number: u64,
-        /// What came of it.
+        /// Whether the record is in the store.
         outcome: SubmissionOutcome,
     },
-    /// A box that does not know the jobs yet asks for the state of one.
+    /// A box that does not know the jobs asks for the state of one.
     AskState {
-        /// Told again in the answer.
+        /// Identifies the question; the answer repeats it.
         number: u64,
         /// The job.
         job: JobId,
-        /// On whose behalf; none for nobody's.
+        /// The organisation of the caller; none if callers need no key.
         caller: Option<OrganisationName>,
     },
-    /// The state of a job.
+    /// The lead returns the state of a job.
     State {
         /// The number of the question.
         number: u64,
-        /// What the lead knows.
+        /// The state, as far as the lead knows it.
         answer: StateAnswer,
     },
-    /// What the lead has read or written, for boxes that stand by to lead.
+    /// Records that the lead has read or written, for boxes that stand by to lead.
     Records(TopicRecords),
-    /// The same in short, for the others.
+    /// The job states that follow from such records, for the boxes that do not stand by.
     Summary(TopicSummary),
-    /// A box that knows nothing yet asks for the states of all jobs.
+    /// A box that knows no job states asks for those of all jobs.
     AskSummaries,
-    /// Whether the box is to stand by.
+    /// Tells a box whether it is to stand by, that is, to follow all records so that it could lead.
     StandBy(bool),
-    /// Whether the lead tells states to the boxes that do not stand by. If not, they ask.
+    /// Whether the lead sends job states to the boxes that do not stand by. If not, they ask for
+    /// each state that a caller wants.
     SendsSummaries(bool),
-    /// A box that is not told states asks how many jobs of a queue wait.
+    /// A box that is sent no job states asks how many jobs of a queue wait.
     AskWaiting {
-        /// Told again in the answer.
+        /// Identifies the question; the answer repeats it.
         number: u64,
         /// The queue.
         queue: QueueName,
     },
-    /// How many jobs of a queue wait.
+    /// The lead returns how many jobs of a queue wait.
     Waiting {
         /// The number of the question.
         number: u64,
-        /// How many; none if the lead cannot tell.
+        /// The count; none if the lead does not know the jobs at the moment.
         count: Option<u64>,
     },
-    /// The lead has a box call the store for it.
+    /// The lead asks a box to make a call to the store.
     Relay {
-        /// Told again in the answer.
+        /// Identifies the call; the answer repeats it.
         number: u64,
-        /// The call.
+        /// The call to make.
         call: RelayCall,
     },
-    /// What came of that.
+    /// A box returns the outcome of a relayed call.
     Relayed {
         /// The number of the call.
         number: u64,
-        /// What came of it.
+        /// The answer of the store, or the error.
         answer: RelayAnswer,
     },
-    /// A box asks how far the lead's views reach.
+    /// A box asks the lead for a [`ViewProof`], and says whether it could relay calls to the store.
     Probe {
-        /// Told again in the answer.
+        /// Identifies the question; the answer repeats it.
         number: u64,
         /// Whether the store answers this box.
         store_answers: bool,
@@ -267,22 +271,22 @@
     Fetch {
         /// The topic.
         topic: StoreTopic,
-        /// The first offset that is missing.
+        /// The first missing offset.
         from: u64,
     },
-    /// The newest record of the configuration, for a box that cannot read it.
+    /// The newest record of the configuration, for a box that cannot read it from the store.
     Config(Vec<u8>),
-    /// How far they reach; none if the lead cannot tell.
+    /// The lead answers a probe.
     Proof {
         /// The number of the question.
         number: u64,
-        /// How far they reach.
+        /// How far the views of the lead reach; none if it has not read all topics yet.
         proof: Option<ViewProof>,
     },
 }
 
 impl PeerFrame {
-    /// The frame with its length before it.
+    /// Encodes the frame with its length in front.
     pub fn encode(&self) -> Rc<[u8]> {
         let body = postcard::to_stdvec(self).expect("every frame can be encoded");
         let length = u32::try_from(body.len()).expect("frames are shorter than 4 GiB");
@@ -293,12 +297,13 @@
     }
 }
 
-/// Sends a frame.
+/// Writes a frame to a link.
 pub async fn write_frame(stream: &mut OwnedWriteHalf, frame: &PeerFrame) -> std::io::Result<()> {
     stream.write_all(&frame.encode()).await
 }
 
-/// Receives a frame. Not to be given up midway: the rest would be taken as another frame.
+/// Reads a frame from a link. It must not be cancelled midway: the rest of the frame would be taken
+/// as the next one.
 pub async fn read_frame(stream: &mut OwnedReadHalf) -> std::io::Result<PeerFrame> {
     let length = stream.read_u32().await?;
     if length > MAX_FRAME_BYTES {
