--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -1,10 +1,11 @@
-//! Appends of which a second copy is sent while the first is still waited for.
+//! Hedged appends: a second copy is sent while the first is still waiting for its answer.
 //!
-//! An answer that does not come is either lost, or the store is slow, or the path is cut, and only time
-//! tells which. Giving the first copy up would cost a slow store's answer; waiting for it alone would
-//! cost as much when it is lost. A second copy does no harm: every append here carries a condition that
-//! the store checks, or records that may stand twice. With the learned limit and renewals while
-//! fencing, 129 of some 1,500 calls ended as unknown instead of 227 on a day whose store turned slow.
+//! If an answer is late, it may be lost, the store may be slow, or the path may be cut, and only
+//! time tells which. Giving up the first copy would lose the answer of a slow store; waiting for it
+//! alone would cost as much when it is lost. Further copies do no harm: each append here has a
+//! condition that the store checks, or holds records that may be stored twice. Together with the
+//! learned timeout and lead renewals during fencing, hedging lowered the calls with unknown outcome
+//! from 227 to 129 of 1,500 in a run whose store turned slow.
 
 use std::time::{Duration, Instant};
 
@@ -15,53 +16,54 @@
 
 use super::state::CellBox;
 
-/// How long the answer to either copy is waited for. A slow store lets appends wait for two seconds.
+/// Timeout of each copy that this box sends. A slow store may delay appends for two seconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The second copy goes on a new connection; a third follows after so many usual answers' time ...
+/// How long the second copy, which uses a new connection, is waited for before a third is sent, as
+/// a multiple of the usual answer time.
 const THIRD_COPY_FACTOR: u32 = 3;
-/// ... and at least this: a new connection and an answer take some 10 ms.
+/// The minimum of that wait. A new connection and an answer take 10 ms.
 const MIN_THIRD_COPY_DELAY: Duration = Duration::from_millis(40);
 
-/// Pause before a second copy that failed is sent again, perhaps by way of another box.
+/// Pause after a copy that failed, before the next one is sent.
 const COPY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The least time after which an append without an answer means that the store does not answer: an
-/// answer of a store that turns slow takes some 400 ms.
+/// The minimum time after which an unanswered append means that the store does not answer appends.
+/// A store that turns slow answers after 400 ms.
 const MIN_STUCK_DELAY: Duration = Duration::from_millis(600);
-/// The same as a multiple of the time after which a second copy is sent.
+/// The same time, as a multiple of the time after which a second copy is sent.
 const STUCK_FACTOR: u32 = 2;
 
-/// An append that is to be carried out.
+/// An append to a topic of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct AppendCall<'a> {
-    /// Where.
+    /// The topic.
     pub topic: StoreTopic,
-    /// What.
+    /// The records to append.
     pub records: &'a [KeyedRecord],
-    /// On what condition.
+    /// The condition under which the store keeps them.
     pub condition: &'a AppendCondition,
 }
 
-/// Which copy was answered.
+/// Which copy of an append was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnsweredCopy {
-    /// The first, which this box sent.
+    /// The first copy, sent by this box.
     First,
-    /// The second.
+    /// The second copy or a later one.
     Second,
 }
 
-/// What came of an append, and which copy told it.
+/// The outcome of an append, and the copy whose answer it is.
 pub type HedgedOutcome = (AnsweredCopy, Result<AppendOutcome, CallError>);
 
-/// Limits of a copy that is sent from this box now.
+/// Returns the time limits of a copy that is sent from this box now.
 fn copy_limits(host: &CellBox) -> CallLimits {
     let suspect_after = host.store_timeout.borrow().limit();
     CallLimits::new(suspect_after, ANSWER_TIMEOUT.max(suspect_after))
 }
 
-/// Sends one copy from this box, without a second.
+/// Sends a single copy from this box, without hedging.
 pub async fn append_once(host: &CellBox, call: AppendCall<'_>) -> Result<AppendOutcome, CallError> {
     append_within(host, call, copy_limits(host)).await
 }
@@ -76,7 +78,8 @@
     let append = store.append(call.topic, call.records, call.condition, limits);
     let result = host.store_contact.abort_on_recovery(append).await;
     if result.is_ok() {
-        // An answer that ends a silence tells how long that was, not how long answers take.
+        // An answer that ends a silence took as long as the silence, and says nothing about the
+        // usual answer time.
         if !host.store_contact.is_silent() {
             host.store_timeout.borrow_mut().note_answer(sent.elapsed());
         }
@@ -85,8 +88,8 @@
     result
 }
 
-/// Sends an append from this box, and `second` as well if there is no answer within the usual time. A
-/// second copy that fails is sent again for as long as the first is waited for.
+/// Sends an append from this box, and calls `send_copy` for further copies if there is no answer
+/// within the usual time. Failed copies are repeated for as long as the first copy waits.
 pub async fn append_hedged_by<F>(
     host: &CellBox,
     call: AppendCall<'_>,
@@ -107,22 +110,24 @@
     tokio::select! {
         result = first.as_mut() => (AnsweredCopy::First, result.map_err(as_unknown)),
         outcome = second.as_mut() => match outcome {
-            // The topic may have been moved by the first copy: only its own answer tells.
+            // The first copy itself may have moved the end of the topic, so only its own answer
+            // counts.
             AppendOutcome::Moved { .. } => (AnsweredCopy::First, first.await.map_err(as_unknown)),
             outcome => (AnsweredCopy::Second, Ok(outcome)),
         },
     }
 }
 
-/// What became of the first copy does not tell what became of the others: that it was surely not done
-/// must not be taken for the append.
+/// Turns an error of the first copy into an unknown outcome: even if the first copy was surely not
+/// carried out, another one may have been.
 fn as_unknown(error: CallError) -> CallError {
     CallError::Unknown(format!("another copy was sent; the first one failed: {error}"))
 }
 
-/// Sends copies until one is answered. The first goes out on a new connection and is answered `soon` if the
-/// one before it had fallen silent. One that is not answered gives way to the next after a time that doubles,
-/// since its answer may be lost as well.
+/// Sends copies until one is answered. The first one goes out on a new connection, and is answered
+/// within `first_wait` if only the previous connection had fallen silent. Each copy that is not
+/// answered in time is replaced by the next, since its answer may be lost too; the wait doubles
+/// from twice `limit`.
 async fn until_answered<F>(
     send: impl Fn() -> F,
     first_wait: Duration,
@@ -144,7 +149,7 @@
     }
 }
 
-/// Waits for an append, and calls `refuse` if that takes so long that the store must be taken as not
+/// Waits for an append. Calls `on_stuck` once it takes so long that the store counts as not
 /// answering appends.
 pub async fn await_append<T>(
     host: &CellBox,
@@ -163,7 +168,7 @@
     }
 }
 
-/// Sends an append from this box, twice if need be.
+/// Sends an append from this box, with further copies if there is no answer in the usual time.
 pub async fn append_hedged(
     host: &CellBox,
     call: AppendCall<'_>,
