--- a/crates/sedgehilld/src/cell/late_answer.rs
+++ b/crates/sedgehilld/src/cell/late_answer.rs
@@ -1,25 +1,25 @@
-//! Calls whose answers are taken also when they come late.
+//! Calls whose answers are used even if they come late.
 //!
-//! A worker that lists an end has told it, whether or not the answer comes in time: the end must not be
-//! lost, or the task would begin again after its worker's lease. So a call that is not answered in the
-//! usual time counts as unanswered for what is decided next, but it goes on. Where links of 6 Mbit/s were full, 0.96
-//! of the jobs were served instead of 0.51, and no task began again after its end.
+//! A worker's report of an ended run must not be lost because it came late, or the task would start
+//! again once the worker's lease has expired. So a call without an answer in the usual time counts
+//! as unanswered for the next decisions, but continues. In runs with saturated links of 6 Mbit/s,
+//! this raised the share of jobs served from 0.51 to 0.96, and no ended task started again.
 
 use std::time::Duration;
 
 use sedgehill_adapter::http_client::CallLimits;
 
-/// How long a late answer is waited for. A run whose worker is not heard for longer than its lease of 4 s
-/// begins elsewhere, so the answers until then matter.
+/// How long a late answer is waited for. The tasks of a worker that has not answered for longer
+/// than its lease of 4 s start elsewhere, so answers are useful up to then.
 const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(4_500);
 
-/// The limits of a call of which `limit` is waited for.
+/// Returns the limits of a call that is waited for during `timeout`.
 pub fn limits_for(timeout: Duration) -> CallLimits {
     CallLimits::new(timeout, timeout + LATE_ANSWER_LIMIT)
 }
 
-/// Waits for a call until it is doubted. If there is no answer by then, the call goes on, and `late` is
-/// told its answer.
+/// Waits for a call until its answer is overdue. After that the call continues in the background,
+/// and its answer is passed to `on_late_answer`.
 pub async fn wait_or_detach<T: 'static>(
     call: impl Future<Output = T> + 'static,
     limits: CallLimits,
