--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -1,4 +1,4 @@
-//! Claims the lead, renews it, and does the lead's work while the claim lasts.
+//! Claims the lead, and leads the cell for as long as the claim lasts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,89 +27,92 @@
 use super::{events, lead_log, lead_metrics, link_server, orders, recorder, worker_watch};
 use crate::{clock, telemetry};
 
-/// Time between two looks at who leads.
+/// Interval at which a box checks whether it should claim the lead.
 pub const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// The least time between two turns of the scheduler: changes of a few milliseconds are taken
-/// together.
+/// The minimum pause between two rounds of the scheduler, so that changes within a few milliseconds
+/// are handled together.
 const MIN_SCHEDULE_PAUSE: Duration = Duration::from_millis(4);
-/// After a turn the box does other things for at least this many times as long as the turn took, so
-/// that answers of workers and renewals are not late when many jobs wait.
+/// After a round of the scheduler, other tasks may run for at least this many times the duration of
+/// the round. Otherwise answers of workers and renewals would be late when many jobs wait.
 const SCHEDULE_REST_FACTOR: u32 = 2;
-/// The most time between two turns of the scheduler.
+/// The maximum wait before the next round of the scheduler.
 const MAX_SCHEDULE_WAIT: Duration = Duration::from_millis(40);
-/// The key under which claims stand.
+/// The key of lead records in the leads topic.
 const LEAD_RECORD_KEY: &str = "lead";
-/// A store that has not answered for so long is taken as not answering. Several times the answer of
-/// a sound store, several times less than the term of a lead.
+/// The store counts as silent this long after its last answer to an append, in addition to its
+/// usual delay. This is several times the answer time of a healthy store, and well below the term
+/// of a lead.
 const STORE_SILENT_AFTER: TimeSpan = TimeSpan(900);
 
-/// A much stronger box must have kept its link for so long before the lead is handed over: longer
-/// than all boxes take to find the lead at a start.
+/// How long a much stronger box must be linked before this lead yields to it, longer than all boxes
+/// need to find the lead after a start.
 const YIELD_DELAY: TimeSpan = TimeSpan(1_500);
 
-/// How much longer a box waits that does not know what a lead needs: longer than all boxes take that stand
-/// by.
+/// How much longer a box without the records that a lead needs waits before it acts on a lost lead,
+/// longer than all boxes that stand by need to claim.
 const NON_STANDBY_DELAY: TimeSpan = TimeSpan(1_200);
 
-/// What a box does while it leads.
+/// The state of a box while it leads.
 pub struct LeadSession {
-    /// The token of this lead.
+    /// The fencing token of this lead.
     pub token: FencingToken,
-    /// The state of the cell.
+    /// The scheduler, which holds the state of the cell.
     pub scheduler: RefCell<Scheduler>,
-    /// Rung when the scheduler should take a turn.
+    /// Wakes the scheduler for another round.
     pub wake: Notify,
-    /// Set when the lead is over.
+    /// Whether the lead has ended.
     pub ended: Cell<bool>,
-    /// The boxes that keep a link, with the queue of frames for each.
+    /// The boxes that are linked to this lead, with the queue of frames for each.
     pub helpers: RefCell<HashMap<HelperId, FrameQueue>>,
-    /// Which of them a box is.
+    /// The helper id of each linked box.
     pub helper_ids: RefCell<HashMap<BoxName, HelperId>>,
-    /// Calls to the store by way of them.
+    /// Relays calls to the store through linked boxes.
     pub relay: StoreRelay,
-    /// How long a start or a stop may take.
+    /// The timeout of calls to workers, learned from their answers.
     pub order_timeout: RefCell<CallPatience>,
-    /// How many starts may be sent again.
+    /// Limits how many unanswered starts are sent again.
     pub start_resends: RefCell<RepeatBudget>,
-    /// Records that are to be passed on to them.
+    /// Records that are to be forwarded to linked boxes.
     pub outgoing_records: RefCell<Vec<TopicRecords>>,
-    /// What they were told of jobs.
+    /// The job states that were sent to linked boxes.
     pub sent_summaries: RefCell<BriefLedger>,
-    /// What callers said, on its way into the store.
+    /// Submissions that wait to be appended.
     pub submissions: RefCell<Vec<LeadSubmission>>,
-    /// The jobs in the append under way, with their owners.
+    /// The jobs of the submissions in the append under way, with their owners.
     pub in_flight_owners: RefCell<HashMap<JobId, Option<OrganisationName>>>,
-    /// The append under way takes so long that the store is taken as not answering.
+    /// Whether the append under way takes so long that the store counts as not answering.
     pub append_stuck: Cell<bool>,
-    /// The strengths of those boxes.
+    /// The strengths of the linked boxes.
     pub helper_strengths: RefCell<HashMap<HelperId, BoxStrength>>,
-    /// Which of them stand by to lead.
+    /// Which linked boxes stand by to lead.
     pub standbys: RefCell<StandbySet>,
-    /// Since when a much stronger box has helped.
+    /// Since when a much stronger box has been linked.
     pub stronger_helper_since: Cell<Option<Moment>>,
-    /// The version of the configuration whose limits the scheduler goes by.
+    /// The version of the configuration whose limits the scheduler uses.
     pub config_version: Cell<u64>,
     /// When the store last answered an append.
     pub last_append_answer: Cell<Moment>,
-    /// Rung when the store answers appends again: boxes that refuse callers are told at once.
+    /// Notified when the store answers appends again, so that boxes that refuse callers learn of it
+    /// at once.
     pub store_recovered: Notify,
 }
 
 impl LeadSession {
-    /// Whether orders may be given now. A lead that a worker has told of a later one gives none.
+    /// Returns whether orders may be given now: this box has authority under the session's token,
+    /// and no worker has reported a later one.
     pub fn may_order(&self, host: &CellBox) -> bool {
         let token = host.watch.borrow().authority(clock::now());
         let fenced_out = self.scheduler.borrow().is_fenced_out();
         !self.ended.get() && !fenced_out && token == Some(self.token)
     }
 
-    /// Whether the store has answered an append lately.
+    /// Returns whether the store has recently answered an append.
     pub fn store_answers(&self, host: &CellBox) -> bool {
         let silence = clock::now().since(self.last_append_answer.get());
         silence.0 < STORE_SILENT_AFTER.0 + host.store_lag().0
     }
 
-    /// Notes the strength of a box that helps.
+    /// Records the strength of a linked box.
     pub fn note_helper_strength(&self, host: &CellBox, helper: HelperId, strength: BoxStrength) {
         self.helper_strengths.borrow_mut().insert(helper, strength);
         if host.settings.strength.yields_to(strength) && self.stronger_helper_since.get().is_none()
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Whether a much stronger box helps, and has for long enough to be relied on.
+    /// Returns whether a much stronger box has been linked for [`YIELD_DELAY`].
     pub fn should_yield(&self, host: &CellBox) -> bool {
         let own_strength = host.settings.strength;
         let has_stronger_helper =
@@ -131,7 +134,7 @@
             .is_some_and(|since| clock::now().since(since) >= YIELD_DELAY)
     }
 
-    /// Takes in the limits of organisations, if the configuration changed.
+    /// Passes the limits of organisations to the scheduler if the configuration has changed.
     fn apply_limits(&self, host: &CellBox) {
         let config = host.config();
         if self.config_version.replace(config.version) != config.version {
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Takes in a job that was accepted.
+    /// Passes an accepted job to the scheduler.
     pub fn add_job(&self, host: &CellBox, id: JobId) {
         let replica = host.replica.borrow();
         let Some(job) = replica.job(id) else { return };
@@ -158,14 +161,14 @@
         self.wake.notify_one();
     }
 
-    /// Takes in a cancellation.
+    /// Passes a cancellation to the scheduler.
     pub fn cancel_job(&self, id: JobId) {
         self.scheduler.borrow_mut().cancel_job(id, clock::now());
         self.wake.notify_one();
     }
 }
 
-/// Claims the lead when nobody holds it, and holds it.
+/// Claims the lead whenever no box holds it, and leads until the lead ends.
 pub async fn run(host: Rc<CellBox>) {
     let rank = claim_rank(&host);
     loop {
@@ -176,7 +179,7 @@
         let now = clock::now();
         host.watch.borrow_mut().note_store_lag(host.store_lag());
         if !host.can_lead() {
-            // Boxes that stand by go first. If none is left, this one begins to follow everything.
+            // Boxes that stand by claim first. If none does, this box begins to read all records.
             let shifted_now = Moment(now.0.saturating_sub(NON_STANDBY_DELAY.0));
             if host.watch.borrow().should_claim(shifted_now, rank, &host.settings.authority) {
                 info!(host.log, "no box that stands by leads"; "lag_ms" => host.store_lag().0);
@@ -195,7 +198,7 @@
     }
 }
 
-/// Spreads the claims of several boxes over some moments.
+/// Returns a rank that spreads the claims of several boxes in time.
 fn claim_rank(host: &CellBox) -> u64 {
     const RANKS: u64 = 8;
     host.life % RANKS
@@ -208,14 +211,15 @@
     append_lead_record(host, None, record, end).await
 }
 
-/// Where the topic of leads ends, as far as this box knows. Reads may be seconds behind its own last
-/// renewal.
+/// Returns the end of the leads topic as far as this box knows. Its reads may be seconds behind its
+/// own last renewal.
 pub fn lead_topic_end(host: &CellBox) -> Option<u64> {
     let read = host.lead_view.offset.get()?;
     Some(read.max(host.watch.borrow().own_end()))
 }
 
-/// Appends a lead record if the topic still ends at `end`. Returns whether it stands as the newest.
+/// Appends a lead record if the topic still ends at `end`. Returns whether the record is in the
+/// store and still the newest.
 pub async fn append_lead_record(
     host: &CellBox,
     session: Option<&LeadSession>,
@@ -255,7 +259,7 @@
     }
 }
 
-/// Does the lead's work until the lead is over.
+/// Leads the cell until the lead ends.
 async fn lead_cell(host: &Rc<CellBox>, has_predecessor: bool, claim_context: &ClaimContext) {
     let Some(token) = host.watch.borrow().newest().map(|record| record.token) else { return };
     telemetry::count_cell_event("lead", "claimed");
@@ -294,7 +298,7 @@
         last_append_answer: Cell::new(clock::now()),
         store_recovered: Notify::new(),
     });
-    // Renewals go on while the store is slow to fence, or another box would claim meanwhile.
+    // The claim is renewed while the store is slow to fence, or another box would claim meanwhile.
     let mut renewing = std::pin::pin!(renew(host, &session));
     let fenced = tokio::select! {
         fenced = recorder::fence(host, token) => fenced.ok_or(LeadEndReason::NotFenced),
@@ -329,14 +333,14 @@
     session.ended.set(true);
     lead_log::log_end(host, &session, end);
     lead_metrics::reset(&session);
-    // Whoever waits for one of them puts it into the store by itself.
+    // Whoever waits for one of these submissions appends it from its own box.
     session.submissions.borrow_mut().clear();
     *host.session.borrow_mut() = None;
     release_lead(host, &session).await;
     telemetry::count_cell_event("lead", "ended");
 }
 
-/// Lets the scheduler decide, and carries out its orders.
+/// Runs the rounds of the scheduler, and carries out its orders.
 async fn run_scheduler(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
     let mut monitor = AuthorityMonitor::new();
     loop {
