--- a/crates/sedgehilld/src/cell/lead_link.rs
+++ b/crates/sedgehilld/src/cell/lead_link.rs
@@ -1,4 +1,4 @@
-//! What a box asks the lead over its link, and the questions that wait for an answer.
+//! Requests of a box to the lead over its link, and the requests that wait for an answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,16 +14,16 @@
 use super::state::CellBox;
 use super::submission::SubmissionOutcome;
 
-/// How long the lead may take to tell a state.
+/// Timeout of a question for the state of a job or for the length of a queue.
 const STATE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A question to the lead, which is asked again when the connection is replaced.
+/// A request that waits for an answer. It is sent again when the connection is replaced.
 struct PendingRequest<T> {
     frame: PeerFrame,
     reply: oneshot::Sender<T>,
 }
 
-/// Questions of one kind that wait for an answer, by number.
+/// Pending requests of one kind, by number.
 struct PendingRequests<T>(RefCell<HashMap<u64, PendingRequest<T>>>);
 
 impl<T> Default for PendingRequests<T> {
@@ -41,7 +41,7 @@
 
     fn complete(&self, number: u64, answer: T) {
         if let Some(pending) = self.0.borrow_mut().remove(&number) {
-            // A caller that does not wait any more asks again.
+            // A caller that no longer waits will retry.
             let _ = pending.reply.send(answer);
         }
     }
@@ -54,7 +54,7 @@
         self.0.borrow_mut().clear();
     }
 
-    /// Forgets questions for whose answer nobody waits any more.
+    /// Removes the requests whose answer nobody waits for any more.
     fn drop_abandoned(&self) {
         self.0.borrow_mut().retain(|_, pending| !pending.reply.is_closed());
     }
@@ -64,24 +64,24 @@
     }
 }
 
-/// A link to the lead.
+/// The link of this box to the lead. It outlives a replaced connection.
 pub struct LeadLink {
-    /// Frames that are to be sent.
+    /// Frames to send to the lead.
     pub outbox: mpsc::Sender<PeerFrame>,
-    /// The last question how far the lead's views reach, with when it was asked.
+    /// The number of the last probe of the lead's views, and when it was sent.
     pub last_probe: Cell<Option<(u64, Moment)>>,
-    /// Whether the store answers the lead, as it says.
+    /// Whether the store answers the lead, by the lead's last ping.
     store_answers: Cell<bool>,
     next_number: Cell<u64>,
     submit_requests: PendingRequests<SubmissionOutcome>,
     state_requests: PendingRequests<StateAnswer>,
     count_requests: PendingRequests<Option<u64>>,
-    /// Whether the last proof named a configuration that this box did not have.
+    /// Whether the last proof named a newer configuration than this box has.
     config_behind: Cell<bool>,
 }
 
 impl LeadLink {
-    /// A link whose frames go into `outbox`.
+    /// Creates a link whose frames are put into `outbox`.
     pub fn new(outbox: mpsc::Sender<PeerFrame>) -> LeadLink {
         LeadLink {
             outbox,
@@ -95,17 +95,17 @@
         }
     }
 
-    /// Whether the lead can put things into the store.
+    /// Returns whether the lead can append submissions to the store.
     pub fn takes_submissions(&self) -> bool {
         self.store_answers.get()
     }
 
-    /// Notes whether the store answers the lead.
+    /// Records whether the store answers the lead.
     pub fn note_store_answers(&self, answers: bool) {
         self.store_answers.set(answers);
     }
 
-    /// Sends a question. None if the link is overfull.
+    /// Sends a request. Returns none if the outbox is full.
     fn ask<T>(
         &self,
         requests: &PendingRequests<T>,
@@ -121,7 +121,8 @@
         Some(answer)
     }
 
-    /// Hands in what a caller said. None if the link was lost before an answer.
+    /// Submits a job or a cancellation to the lead. Returns none if the link was lost before the
+    /// answer.
     pub async fn submit(&self, job: JobId, record: &CellRecord) -> Option<SubmissionOutcome> {
         let record = record.clone();
         let build_frame = |number| PeerFrame::Submit { number, job, record };
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Asks for the state of a job.
+    /// Asks the lead for the state of a job.
     pub async fn ask_state(&self, job: JobId, caller: Option<OrganisationName>) -> StateAnswer {
         let build_frame = |number| PeerFrame::AskState { number, job, caller };
         let Some(answer) = self.ask(&self.state_requests, build_frame) else {
@@ -143,17 +144,18 @@
         }
     }
 
-    /// Asks how many jobs of a queue wait.
+    /// Asks the lead how many jobs of a queue wait.
     pub async fn ask_waiting(&self, queue: QueueName) -> Option<u64> {
         let build_frame = |number| PeerFrame::AskWaiting { number, queue };
         let answer = self.ask(&self.count_requests, build_frame)?;
         tokio::time::timeout(STATE_TIMEOUT, answer).await.ok()?.ok()?
     }
 
-    /// Asks the lead for what this box cannot read itself.
+    /// Asks the lead for records that this box lacks and cannot read from the store itself.
     pub fn fetch_missing(&self, host: &CellBox, proof: &ViewProof) {
         let is_behind = host.config.borrow().version < proof.config;
-        // A version that was proved before and is still missing will hardly come by the own path.
+        // A version that is still missing since the previous proof will probably not arrive from
+        // the store.
         if self.config_behind.replace(is_behind) && is_behind {
             self.fetch(StoreTopic::Operators, 0);
         }
@@ -170,33 +172,33 @@
     }
 
     fn fetch(&self, topic: StoreTopic, from: u64) {
-        // A link that is overfull is of no use, and the next proof asks again.
+        // If the outbox is full, the next proof causes another request.
         let _ = self.outbox.try_send(PeerFrame::Fetch { topic, from });
     }
 
-    /// The number of the next question.
+    /// Returns a new request number.
     pub fn next_request_number(&self) -> u64 {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         number
     }
 
-    /// Takes in what came of a submission.
+    /// Completes a submission with its outcome.
     pub fn complete_submission(&self, number: u64, outcome: SubmissionOutcome) {
         self.submit_requests.complete(number, outcome);
     }
 
-    /// Takes in the state of a job.
+    /// Completes a question for the state of a job.
     pub fn complete_state(&self, number: u64, answer: StateAnswer) {
         self.state_requests.complete(number, answer);
     }
 
-    /// Takes in how many jobs of a queue wait.
+    /// Completes a question for the number of waiting jobs.
     pub fn complete_count(&self, number: u64, count: Option<u64>) {
         self.count_requests.complete(number, count);
     }
 
-    /// The link is lost: whoever waits for an answer on it waits no longer.
+    /// Ends the link: all pending requests end without an answer.
     pub fn close(&self) {
         self.store_answers.set(false);
         self.submit_requests.clear();
@@ -204,14 +206,15 @@
         self.count_requests.clear();
     }
 
-    /// Forgets questions for whose answer nobody waits any more.
+    /// Removes all requests whose answer nobody waits for any more.
     pub fn drop_abandoned(&self) {
         self.submit_requests.drop_abandoned();
         self.state_requests.drop_abandoned();
         self.count_requests.drop_abandoned();
     }
 
-    /// The questions that wait for an answer. A job that the lead took already stays one job.
+    /// Returns the pending requests, to send them on a new connection. A job that the lead receives
+    /// twice remains one job.
     pub fn pending_frames(&self) -> Vec<PeerFrame> {
         self.drop_abandoned();
         let frames = [
