--- a/crates/sedgehilld/src/cell/lead_log.rs
+++ b/crates/sedgehilld/src/cell/lead_log.rs
@@ -1,5 +1,5 @@
-//! Lines that tell what a lead goes by, with the age of each input: when it takes over, when it gives
-//! no orders for a time, and when it is over. Nothing here decides.
+//! Logs when a box takes over the lead, when it may not give orders for a time, and when its lead
+//! ends, with the age of the inputs. Nothing here decides anything.
 
 use sedgehill_cell::authority::{LeadRecord, LeadSign};
 use sedgehill_cell::ids::FencingToken;
@@ -13,17 +13,17 @@
 /// Why a box claimed the lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClaimReason {
-    /// Nobody led before.
+    /// There was no lead before.
     First,
-    /// It held the claim itself, and its work as the lead had ended.
+    /// The box held the claim already, but its work as the lead had ended.
     Again,
     /// The lead resigned.
     Resigned,
-    /// The lead was an earlier life of this box.
+    /// The lead was an earlier process of this box.
     OwnRestart,
     /// Nothing listens at the lead's address.
     Gone,
-    /// The lead is silent, though its link stands.
+    /// The lead is silent, although there is a link to it and the store answered it.
     Silent,
     /// The lead is silent, and there is no link to it or the store does not answer it.
     Unreachable,
@@ -43,22 +43,22 @@
     }
 }
 
-/// Why a lead is over.
+/// Why a lead ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadEndReason {
-    /// The box stops.
+    /// The box is stopping.
     Stopping,
-    /// A later claim was read.
+    /// The box read a later claim.
     LaterToken,
-    /// The store refused progress, as a later lead has fenced.
+    /// The store refused progress, because a later lead has fenced.
     FencedByStore,
     /// A worker has seen a later token.
     FencedByWorker,
-    /// A much stronger box is there.
+    /// A much stronger box is available.
     Yielding,
-    /// It could not fence and catch up in time.
+    /// The lead could not fence earlier leads and catch up in time.
     NotFenced,
-    /// A part of its work ended by itself, which should not happen.
+    /// A task of the lead returned by itself, which should not happen.
     Halted,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// What a box knew of the lead that it follows, at the moment of its claim.
+/// What a box knew of the previous lead when it claimed the lead.
 #[derive(Debug)]
 pub struct ClaimContext {
     predecessor: Option<LeadRecord>,
@@ -87,7 +87,7 @@
 }
 
 impl ClaimContext {
-    /// What this box knows now.
+    /// Captures what this box knows now.
     pub fn of(host: &CellBox) -> ClaimContext {
         let watch = host.watch.borrow();
         let claimed_at = clock::now();
@@ -106,12 +106,12 @@
         ClaimContext { predecessor, sign, reason, claimed_at, gaps_before: gaps(host) }
     }
 
-    /// The token of the lead that is followed; none if there was none.
+    /// Returns the token of the previous lead; none if there was none.
     pub fn predecessor_token(&self) -> Option<FencingToken> {
         self.predecessor.as_ref().map(|predecessor| predecessor.token)
     }
 
-    /// Counts the claim.
+    /// Counts the claim in the metrics.
     pub fn count(&self) {
         telemetry::count_lead("begun", self.reason.name());
     }
@@ -123,7 +123,7 @@
         if let Some(predecessor) = &self.predecessor {
             serializer.emit_arguments("follows_token", &format_args!("{}", predecessor.token))?;
             serializer.emit_str("follows_holder", &predecessor.holder.0)?;
-            // As a text: it is beyond what many readers of JSON keep of a number.
+            // Written as a string: JSON readers often lose precision in numbers of 64 bits.
             serializer.emit_arguments("follows_life", &format_args!("{}", predecessor.life))?;
             serializer.emit_bool("follows_resigned", predecessor.resigned)?;
             serializer.emit_bool("reachable", self.sign.reachable)?;
@@ -133,13 +133,14 @@
     }
 }
 
-/// How often this box found that the store had dropped what it was to read next.
+/// Returns how often the store had already dropped the records that this box was to read next.
 fn gaps(host: &CellBox) -> u64 {
     host.jobs_view.gaps.get() + host.progress_view.gaps.get()
 }
 
-/// A lead has caught up: what it goes by until earlier leads are settled. `fence` is where progress
-/// ended once the store refused earlier leads.
+/// Logs the state of a lead that has fenced and caught up, before the orders of earlier leads are
+/// settled. `fence_offset` is the end of the progress topic when the store began to refuse earlier
+/// leads.
 pub fn log_take_over(
     host: &CellBox,
     session: &LeadSession,
@@ -170,7 +171,7 @@
     age.map(|age| age.0)
 }
 
-/// What takes away a lead's authority.
+/// Log fields that explain why a lead may not give orders.
 struct AuthorityLoss<'a> {
     host: &'a CellBox,
     token: FencingToken,
@@ -194,19 +195,19 @@
     }
 }
 
-/// Tells when a lead may not give orders for a time, and when it may again.
+/// Logs when a lead loses its authority to give orders, and when it regains it.
 #[derive(Debug)]
 pub struct AuthorityMonitor {
     may_order: bool,
 }
 
 impl AuthorityMonitor {
-    /// The sight of a lead that has just claimed.
+    /// Creates the monitor of a lead that has just claimed.
     pub fn new() -> AuthorityMonitor {
         AuthorityMonitor { may_order: true }
     }
 
-    /// Takes in whether orders may be given now.
+    /// Records whether orders may be given now, and logs a change.
     pub fn update(&mut self, host: &CellBox, session: &LeadSession, may_order: bool) {
         if std::mem::replace(&mut self.may_order, may_order) == may_order {
             return;
@@ -232,7 +233,7 @@
     }
 }
 
-/// A lead is over.
+/// Logs the end of a lead.
 pub fn log_end(host: &CellBox, session: &LeadSession, end: LeadEndReason) {
     let token = session.token;
     telemetry::count_lead("ended", end.name());
