--- a/crates/sedgehilld/src/cell/lead_metrics.rs
+++ b/crates/sedgehilld/src/cell/lead_metrics.rs
@@ -1,4 +1,4 @@
-//! What the lead shows of organisations and of stalled steps, as metrics.
+//! Exports metrics of organisations, stalled steps and late restarts while this box leads.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,17 +9,16 @@
 use super::lead::LeadSession;
 use crate::{clock, telemetry};
 
-/// Time between two updates.
+/// Interval at which the metrics are updated.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Thousandths in a core, and in a job a second.
+/// The units of core counts and of organisation weights are thousandths.
 const THOUSANDTHS_PER_UNIT: f64 = 1_000.0;
 /// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Shown where there is no limit, as Prometheus writes it.
+/// The value of a limit that is not set, which Prometheus writes as `+Inf`.
 const NO_LIMIT: f64 = f64::INFINITY;
 
-/// Shows what organisations have running for as long as the lead lasts. A box that does not lead any more
-/// shows that nothing runs by its orders.
+/// Updates the metrics until the lead ends. [`reset`] then clears them.
 pub async fn run(session: &LeadSession) {
     let mut exported = BTreeSet::new();
     loop {
@@ -30,7 +29,8 @@
     }
 }
 
-/// Shows the stalled steps. Reasons that were shown and hold for none any more are set to nothing.
+/// Sets the metrics of stalled steps. A reason that was exported before and no longer applies is
+/// set to zero.
 fn set_stall_metrics(figures: &[StallFigures], exported: &mut BTreeSet<StallReason>) {
     for stall in figures {
         exported.insert(stall.reason);
@@ -47,12 +47,12 @@
     }
 }
 
-/// Shows the long-running tasks without a run.
+/// Sets the metrics of long-running tasks that have no run.
 fn set_restart_metrics(figures: RestartFigures) {
     telemetry::set_restarts(figures.tasks, figures.longest.0 as f64 / MILLIS_PER_SECOND);
 }
 
-/// Shows that nothing runs by the orders of a lead that is over.
+/// Clears the metrics of a lead that has ended, since nothing runs by its orders any more.
 pub fn reset(session: &LeadSession) {
     let mut figures = session.scheduler.borrow().organisation_figures();
     for organisation in &mut figures {
