--- a/crates/sedgehilld/src/cell/link_client.rs
+++ b/crates/sedgehilld/src/cell/link_client.rs
@@ -1,9 +1,9 @@
-//! The link of a box to the lead.
+//! Keeps the link of this box to the lead.
 //!
-//! Over it the box hands callers' jobs to the lead, is fed with the records that the lead reads or
-//! writes, and asks the advice service on the lead's behalf. It also learns at once when the lead's
-//! process is gone. Losing a link costs time and calls to the store only: all that must last or be
-//! agreed on goes through the store.
+//! Over the link the box submits callers' jobs, receives the records that the lead reads or writes,
+//! and queries the advice service for the lead. It also notices at once if the lead's process has
+//! ended. Losing the link only costs time and calls to the store: everything durable or agreed goes
+//! through the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,21 +22,21 @@
 use super::{apply, orders, relay};
 use crate::clock;
 
-/// A lead that was silent for longer on the link is taken as lost. It speaks every 300 ms.
+/// A lead that has sent nothing for longer than this counts as lost. It sends a ping every 300 ms.
 const LEAD_SILENT_AFTER: Duration = Duration::from_millis(900);
-/// A link on which the lead was silent for longer is replaced: the connection may have fallen silent while
-/// the lead lives.
+/// The connection is replaced once the lead has sent nothing on it for this long: it may have
+/// fallen silent while the lead is alive.
 const RECONNECT_AFTER: Duration = Duration::from_millis(400);
-/// Pause before the lead is connected to again.
+/// Pause before the next attempt to connect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// How long a connection may take to be made.
+/// Timeout of an attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time between two questions how far the lead's views reach.
+/// Time between two probes of the lead's views.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Frames that may wait to be sent. A link that is so far behind is of no use.
+/// The most frames that wait to be sent. A link with a longer backlog is useless.
 const OUTBOX_CAPACITY: usize = 1_024;
 
-/// Keeps a link to whoever leads.
+/// Keeps a link to the lead, whichever box that is.
 pub async fn run(host: Rc<CellBox>) {
     loop {
         let Some(address) = lead_address(&host) else {
@@ -55,7 +55,7 @@
             Some(Ok(Err(error))) if is_connection_refused(&error) => {
                 host.watch.borrow_mut().note_gone()
             }
-            // Silence says nothing of the lead's process.
+            // A timeout or another error does not tell whether the lead's process has ended.
             Some(Ok(Err(_)) | Err(_)) | None => {}
         }
         if let Some(link) = host.link.take() {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Waits before the next try, or until another box leads.
+/// Waits before the next attempt, or until the lead changes.
 async fn pause_or_lead_change(host: &CellBox) {
     tokio::select! {
         () = tokio::time::sleep(RECONNECT_PAUSE) => {}
@@ -77,9 +77,10 @@
     }
 }
 
-/// Waits for what is done with the lead at `address`, unless another box leads meanwhile. None if one does. A
-/// dial to a machine without power, or a quiet link to it, kept boxes for 0.6 s from a successor that was known
-/// already; meanwhile that had nobody to ask advice through.
+/// Runs `work` with the lead at `address`, but returns none as soon as another box leads. Without
+/// this, an attempt to connect to a machine that lost power, or a silent link to it, kept boxes for
+/// 0.6 s from connecting to a successor that they knew already, and the successor had no boxes to
+/// query the advice service.
 async fn unless_lead_moves<T>(
     host: &CellBox,
     address: SocketAddr,
@@ -91,10 +92,11 @@
     }
 }
 
-/// Returns once a box at another address leads. A lead that has resigned may still answer what it took.
+/// Returns once a box at another address leads. If the lead merely resigns, this keeps waiting: it
+/// may still answer what it has accepted.
 async fn wait_for_other_lead(host: &CellBox, address: SocketAddr) {
     loop {
-        // Begun before the look, so that no change is missed.
+        // Registered before the check, so that no change is missed.
         let changed = host.lead_changed.notified();
         if lead_address(host).is_some_and(|current| current != address) {
             return;
@@ -103,7 +105,7 @@
     }
 }
 
-/// Whether an error says that nothing listens there.
+/// Returns whether an error means that nothing listens at the address.
 fn is_connection_refused(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{ConnectionRefused, ConnectionReset};
     matches!(error.kind(), ConnectionRefused | ConnectionReset)
@@ -150,17 +152,17 @@
     }
 }
 
-/// Why a connection to the lead is not used any more.
+/// Why a connection to the lead is no longer used.
 enum LinkEnd {
     /// Another box leads.
     OtherLead,
-    /// It was quiet, and there is a new one.
+    /// The connection was silent, and a new one has been made.
     Replaced(TcpStream),
 }
 
-/// Waits for a frame. If none comes for a while, a new connection is made: it may work where the old one has
-/// fallen silent. The machine takes connections for a process that stands still, so a new one has only what is
-/// left of the time after which a lead counts as silent.
+/// Waits for a frame. If none arrives within [`RECONNECT_AFTER`], connects again, since the old
+/// connection may have fallen silent. The kernel accepts connections even for a frozen process, so
+/// a replacement gets only the rest of [`LEAD_SILENT_AFTER`] and is not replaced itself.
 async fn next_frame(
     reader: &mut OwnedReadHalf,
     address: SocketAddr,
@@ -220,7 +222,7 @@
     first_timeout: Duration,
 ) -> std::io::Result<LinkEnd> {
     let mut timeout = first_timeout;
-    // Whether this box stands by for the lead of this link.
+    // Whether the lead of this link has this box stand by.
     let mut is_standby = false;
     loop {
         let frame = match next_frame(&mut reader, address, timeout).await? {
@@ -281,7 +283,7 @@
                     host.set_query_mode(!sends);
                 }
                 if sends && !is_standby && host.progress_view.offset.get().is_none() {
-                    // A link that is overfull is of no use.
+                    // A link with a full outbox is useless.
                     let _ = link.outbox.try_send(PeerFrame::AskSummaries);
                 }
             }
@@ -311,7 +313,7 @@
     }
 }
 
-/// Takes in records that follow those already known. Others are read from the store.
+/// Applies records that continue what this box has read. Other records are read from the store.
 fn apply_records(host: &CellBox, received: TopicRecords) {
     let Some(view) = host.view(received.topic) else { return };
     let (from, end) = (received.from, received.end());
@@ -322,17 +324,18 @@
     view.offset.set(Some(end));
 }
 
-/// Takes in states that follow what is known. What is missing before them is read from the store.
+/// Applies job states that continue what this box knows. Records missing before them are read from
+/// the store.
 fn apply_summary(host: &CellBox, summary: TopicSummary) {
     let Some(view) = host.view(summary.topic) else { return };
     if host.watch.borrow().is_holder() {
-        // A box that has claimed the lead needs more than states.
+        // A box that has claimed the lead needs full records.
         return;
     }
     let (from, end) = (summary.from, summary.end);
     let follows = match view.offset.get() {
         Some(known) => (from..end).contains(&known),
-        // All that is known of the topic.
+        // The summary starts at the first record of the topic.
         None => from == 0 && !view.full_records.get(),
     };
     if !follows {
@@ -347,7 +350,8 @@
     view.offset.set(Some(end));
 }
 
-/// Takes in how far the lead's views reached after `sent`.
+/// Applies the proof that answers a probe sent at `sent`: views that reach as far as the lead's
+/// were complete at `sent` less the age in the proof.
 fn apply_proof(host: &CellBox, proof: &ViewProof, sent: Moment) {
     let moment_before = |age: TimeSpan| Moment(sent.0.saturating_sub(age.0));
     if host.config.borrow().version >= proof.config {
