--- a/crates/sedgehilld/src/cell/link_server.rs
+++ b/crates/sedgehilld/src/cell/link_server.rs
@@ -1,4 +1,5 @@
-//! The lead's side of the links between boxes: each box keeps one to the lead (see [`super::link_client`]).
+//! The lead's side of the links. Each other box keeps one link to the lead, see
+//! [`super::link_client`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,24 +22,24 @@
 use super::state::CellBox;
 use crate::clock;
 
-/// Time between two signs of life of the lead.
+/// Time between two pings to a box.
 const PING_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause after the machine could not take a connection.
+/// Pause after the operating system could not accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Frames that may wait for one box. One that is so far behind, or frozen, is cut off: it reads from
-/// the store what it missed.
+/// The most frames that wait for one box. A box that falls further behind, or is frozen, is
+/// disconnected; it reads from the store what it missed.
 const QUEUE_CAPACITY: usize = 512;
-/// Records are passed on to boxes this often: callers may be told of an end so much later, and each
-/// passing on costs a write for every box.
+/// Interval at which records are forwarded to boxes. Callers may learn of the end of a job this
+/// much later; each forwarding costs one write a box.
 const FORWARD_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long reading for another box may take. A slow store takes some 300 ms.
+/// Timeout of a read for another box. A slow store takes 300 ms.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The queue of frames for one box.
+/// Queue of encoded frames for one box.
 pub type FrameQueue = mpsc::Sender<Rc<[u8]>>;
 
-/// Takes the links of other boxes.
+/// Accepts the links of other boxes while this box leads.
 pub async fn run(host: Rc<CellBox>, listener: TcpListener) {
     let mut next = 1;
     loop {
@@ -47,7 +48,7 @@
             continue;
         };
         let session = host.session.borrow().clone();
-        // A box that does not lead has nothing to say; the other one connects again.
+        // A box that does not lead closes the connection; the other box tries again.
         let Some(session) = session else { continue };
         let helper = HelperId(next);
         next += 1;
@@ -65,7 +66,7 @@
     let (mut reader, writer) = stream.into_split();
     let Ok(PeerFrame::Hello { name, strength }) = read_frame(&mut reader).await else { return };
     let (queue, frames) = mpsc::channel(QUEUE_CAPACITY);
-    // A box that comes again has found its earlier link quiet.
+    // A box that connects again has found its earlier connection silent.
     let earlier = session.helper_ids.borrow_mut().insert(name.clone(), helper);
     if let Some(earlier) = earlier {
         session.remove_helper(earlier);
@@ -95,7 +96,7 @@
     session.update_standbys();
     session.decide_summaries(host);
     let sends = session.standbys.borrow().tells();
-    // A box whose queue is full already is of no use.
+    // If the queue is already full, the box is disconnected with the next records.
     if let Some(queue) = session.helpers.borrow().get(&helper) {
         let _ = queue.try_send(PeerFrame::SendsSummaries(sends).encode());
     }
@@ -171,7 +172,7 @@
             }
             PeerFrame::Fetch { topic: StoreTopic::Operators, .. } => {
                 let record = host.config_record.borrow().clone();
-                // A box whose queue is full asks again.
+                // If the queue is full, the box asks again.
                 let _ = queue.try_send(PeerFrame::Config(record.to_vec()).encode());
             }
             PeerFrame::Fetch { topic, from } => {
@@ -207,7 +208,7 @@
     }
 }
 
-/// Tells a box the states of all jobs. Returns whether its queue took them.
+/// Sends a box the states of all jobs. Returns whether its queue took them.
 fn send_all_summaries(host: &CellBox, queue: &FrameQueue) -> bool {
     let offsets = (host.jobs_view.offset.get(), host.progress_view.offset.get());
     let (Some(jobs_end), Some(progress_end)) = offsets else { return true };
@@ -223,13 +224,13 @@
     queue: FrameQueue,
     (number, job, record): (u64, JobId, CellRecord),
 ) {
-    // Without an outcome the lead is over: the box finds out and helps itself.
+    // Without an outcome this lead has ended: the box notices and submits in another way.
     if let Some(outcome) = session.submit(&host, job, &record).await {
         let _ = queue.try_send(PeerFrame::Submitted { number, outcome }.encode());
     }
 }
 
-/// Reads records for a box that the store does not answer.
+/// Reads records from the store for a box that cannot.
 async fn answer_fetch(host: Rc<CellBox>, queue: FrameQueue, topic: StoreTopic, from: u64) {
     match host.clients.store.read(topic, from, Duration::ZERO, FETCH_TIMEOUT.into()).await {
         Ok(ReadOutcome::Records { records, .. }) => {
@@ -244,7 +245,8 @@
     }
 }
 
-/// How far this box's views reach. What was passed on before this answer is ahead of it on the link.
+/// Returns how far the views of this lead reach. Records are forwarded first, so they arrive before
+/// the proof.
 fn prove_views(host: &CellBox, session: &LeadSession) -> Option<ViewProof> {
     session.forward_records(host);
     Some(ViewProof {
@@ -256,7 +258,7 @@
     })
 }
 
-/// Passes records on to the other boxes as long as the lead lasts.
+/// Forwards records to the other boxes until the lead ends.
 pub async fn run_forwarding(host: &CellBox, session: &LeadSession) {
     loop {
         tokio::time::sleep(FORWARD_INTERVAL).await;
@@ -265,15 +267,15 @@
 }
 
 impl LeadSession {
-    /// Has records that were read or written passed on.
+    /// Queues records that were read or written, to forward them to other boxes.
     pub fn queue_records(&self, topic: StoreTopic, from: u64, records: &[KeyedRecord]) {
         if !self.helpers.borrow().is_empty() {
             self.outgoing_records.borrow_mut().extend(TopicRecords::pack(topic, from, records));
         }
     }
 
-    /// Passes on what was read and written: the records to the boxes that stand by, and what they mean to
-    /// the others.
+    /// Forwards the queued records: in full to the boxes that stand by, as job states to the
+    /// others. Disconnects boxes whose queue is full.
     fn forward_records(&self, host: &CellBox) {
         let parts = std::mem::take(&mut *self.outgoing_records.borrow_mut());
         if parts.is_empty() {
@@ -298,7 +300,8 @@
         });
     }
 
-    /// Tells all boxes if they are told states from now on, or not any more.
+    /// Decides whether job states are sent to the boxes that do not stand by, and informs all boxes
+    /// if that changes.
     fn decide_summaries(&self, host: &CellBox) {
         let known_jobs = host.replica.borrow().len();
         if !self.standbys.borrow_mut().choose_telling(known_jobs, clock::now()) {
@@ -309,17 +312,17 @@
         info!(host.log, "states told"; "token" => %self.token, "tells" => sends,
             "boxes" => self.helpers.borrow().len());
         let frame: Rc<[u8]> = PeerFrame::SendsSummaries(sends).encode();
-        // A box whose queue is full is cut off with the next records.
+        // A box whose queue is full is disconnected with the next records.
         self.helpers.borrow().values().for_each(|queue| drop(queue.try_send(frame.clone())));
     }
 
-    /// Tells boxes that are to stand by from now on, or not any more.
+    /// Decides which boxes stand by, and informs those for which that changes.
     fn update_standbys(&self) {
         let changes = self.standbys.borrow_mut().choose(clock::now());
         let helpers = self.helpers.borrow();
         for (helper, stands_by) in changes {
             let Some(queue) = helpers.get(&helper) else { continue };
-            // A box whose queue is full is cut off with the next records.
+            // A box whose queue is full is disconnected with the next records.
             let _ = queue.try_send(PeerFrame::StandBy(stands_by).encode());
         }
     }
