--- a/crates/sedgehilld/src/cell/mod.rs
+++ b/crates/sedgehilld/src/cell/mod.rs
@@ -1,8 +1,9 @@
-//! Cell mode: jobs are accepted, placed on workers and followed on the users' platform.
+//! Cell mode: accepts jobs, places their tasks on workers and follows them, on the users' platform.
 //!
-//! Every box does the same. It takes callers, keeps what must last in the platform's store, follows
-//! what the store holds, and leads the cell while it holds the claim. No box is set aside and none
-//! keeps anything on disk. All tasks run on one thread, since a box has a fraction of one core.
+//! All boxes run the same code. Each box serves callers, writes durable state to the platform's
+//! store, follows the topics of the store, and leads the cell while it holds the claim. No box has
+//! a fixed role, and none keeps state on disk. All tasks run on one thread, since a box has a
+//! fraction of one core.
 
 mod apply;
 mod callers;
@@ -38,7 +39,7 @@
 use self::state::CellBox;
 use crate::{DaemonError, logging, telemetry};
 
-/// Runs a box until it is asked to stop.
+/// Runs a box in cell mode until it receives the signal to stop.
 pub fn run(settings: CellSettings) -> Result<(), DaemonError> {
     let log = logging::build_stdout_logger(&settings.name.to_string());
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,7 +50,7 @@
     local.block_on(&runtime, serve(settings, log))
 }
 
-/// Logs when connections that fell silent are replaced.
+/// Logs and counts each replacement of connections that fell silent.
 async fn log_replacements(host: Rc<CellBox>) {
     loop {
         let peer = host.clients.http.next_replacement().await;
