--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler orders.
+//! Carries out the orders of the scheduler.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,11 +20,12 @@
 use super::worker_watch::{self, worker_target};
 use crate::clock;
 
-/// How long a question may take. The scheduler has it asked elsewhere and gives it up much earlier, by what it costs; a
-/// late answer is of use all the same, the only one where the service is slow for every box.
+/// Timeout of a question to the advice service. The scheduler asks elsewhere much earlier,
+/// depending on what a question costs. A late answer is still useful, and the only one if the
+/// service is slow for every box.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(20_000);
 
-/// Carries out an order without waiting for it.
+/// Starts to carry out an order, without waiting for it.
 pub fn execute(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: CellOrder) {
     let (host, session) = (host.clone(), session.clone());
     match order {
@@ -45,9 +46,9 @@
     let target = worker_target(session, order.worker);
     session.start_resends.borrow_mut().note_first();
     let answer = match try_start(host, session, &target, &order).await {
-        // The same run again: it begins once at the most, and a worker that left one order unanswered
-        // mostly answers the next. Only "done" settles it, since the first copy may still be carried out
-        // whatever the second meets.
+        // The same start is sent again: the run starts at most once, and a worker that left one
+        // order unanswered usually answers the next. Only `Done` settles the outcome, since the
+        // first copy may still be carried out whatever happens to the second.
         WorkerAnswer::Unknown if session.start_resends.borrow_mut().take() => {
             match try_start(host, session, &target, &order).await {
                 WorkerAnswer::Done(clock) => WorkerAnswer::Done(clock),
@@ -75,8 +76,8 @@
     call_with_timeout(session, call).await
 }
 
-/// Makes a call to a worker and waits for as long as answers of workers usually take. One that comes later
-/// tells how long they take now.
+/// Calls a worker and waits for the usual time of an answer. A later answer still updates that
+/// time.
 async fn call_with_timeout<F>(
     session: &Rc<LeadSession>,
     call: impl FnOnce(CallLimits) -> F,
@@ -98,7 +99,7 @@
             answer
         }
     };
-    // A late answer has told all it can once it was learned from.
+    // The late answer itself needs no handling.
     let answer = late_answer::wait_or_detach(measured, limits, drop).await;
     answer.unwrap_or(WorkerAnswer::Unknown)
 }
@@ -118,8 +119,8 @@
     session.scheduler.borrow_mut().stop_answered(&order, answer, clock::now());
     session.wake.notify_one();
     if answered {
-        // An account asked for now tells at once whether there was such a run; the one under way may
-        // wait for an end that never comes.
+        // A report requested now shows at once whether there was such a run; the hold call under
+        // way may wait for a run to end that does not exist.
         worker_watch::poll_worker(host, session, &target, order.worker).await;
     }
 }
@@ -129,7 +130,8 @@
     deliver_advice(session, &question, answer);
 }
 
-/// Asks the advice service from this box.
+/// Asks the advice service from this box. Returns none if it did not answer or there is no such
+/// service.
 pub async fn query_advice_service(
     host: &CellBox,
     question: &HelperQuestion,
@@ -144,7 +146,7 @@
     }
 }
 
-/// Hands an answer to the scheduler.
+/// Passes an answer of the advice service to the scheduler.
 pub fn deliver_advice(
     session: &LeadSession,
     question: &AdviceQuestion,
