--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -1,7 +1,8 @@
-//! Puts the progress of jobs into the store, in order and only as long as no later lead exists.
+//! Appends the progress of jobs to the store, in order, and only until a later lead exists.
 //!
-//! What callers hand in at any box comes the same way: one append holds the progress and the jobs of
-//! some milliseconds, and a job that the lead accepted may be started as soon as it is recorded.
+//! Submissions that callers hand in at any box are appended in the same way: one append holds the
+//! progress and the submissions of a few milliseconds, and a job that the lead accepted may be
+//! started as soon as it is recorded.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -25,35 +26,38 @@
 use super::topic_follower;
 use crate::{clock, telemetry};
 
-/// The sender of progress: each lead has its token as the epoch, so the store refuses earlier ones.
+/// The producer name of progress appends. The epoch is the token of the lead, so the store refuses
+/// earlier leads.
 const PROGRESS_PRODUCER: &str = "lead";
-/// Pause before the next try.
+/// Pause between two tries of an append.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Progress and submissions are gathered for so long before they are put into the store: each call is
-/// paid for, and each job waits half of this.
+/// How long progress and submissions are collected before they are appended. Each append has a
+/// cost, and each job waits half of this time on average.
 const BATCH_INTERVAL: Duration = Duration::from_millis(16);
-/// Submissions in one batch, beyond what comes in the longest time that an append takes. With jobs of
-/// some 1.2 KB it stays below the 2 MB that the store takes in one call.
+/// The most submissions in one batch, more than arrive during the slowest append. With jobs of 1.2
+/// KB a batch stays below the 2 MB that the store accepts in one call.
 const MAX_BATCH_SUBMISSIONS: usize = 400;
-/// Jobs that are forgotten with one batch: more than end in the time of one.
+/// The most old jobs that are forgotten with one batch, more than end in the time of a batch.
 const MAX_BATCH_DROPS: usize = 64;
-/// Submissions that may wait for a batch before further ones are refused: some seconds' worth.
+/// The most submissions that wait for a batch before further ones are refused, enough for some
+/// seconds.
 const MAX_QUEUED_SUBMISSIONS: usize = 1_024;
 /// How long a new lead tries to fence and to catch up before it gives up.
 const FENCE_LIMIT: TimeSpan = TimeSpan(3_000);
 
-/// Records progress under one token.
+/// Records progress under the token of one lead.
 pub struct ProgressRecorder {
     token: FencingToken,
     sequence: u64,
-    /// When the append under way was first sent. The answer to a repeated one may be as old as that.
+    /// When the append under way was first sent. The answer to a repeated append may stem from that
+    /// first copy.
     first_sent: Option<Moment>,
-    /// Where progress ended once the store refused earlier leads.
+    /// The end of the progress topic when the store began to refuse earlier leads.
     pub fence_offset: u64,
 }
 
-/// Makes the store refuse the progress of earlier leads, and waits until all that they recorded is
-/// known here.
+/// Makes the store refuse the progress of earlier leads, and reads everything that they recorded.
+/// Returns none if that fails or takes too long.
 pub async fn fence(host: &CellBox, token: FencingToken) -> Option<ProgressRecorder> {
     let mut recorder = ProgressRecorder { token, sequence: 0, first_sent: None, fence_offset: 0 };
     let started = clock::now();
@@ -69,9 +73,10 @@
         }
     };
     recorder.fence_offset = end;
-    // The earlier lead may have told this box states alone until now.
+    // The earlier lead may have sent this box only job states.
     host.reload_full_records();
-    // Jobs that an earlier lead has seen must be known, or their runs would be taken as foreign.
+    // Jobs that an earlier lead knew must be known here, or their runs would be taken for foreign
+    // ones.
     let limit = Duration::from_millis(FENCE_LIMIT.0.saturating_sub(clock::now().since(started).0));
     let reading = async {
         tokio::try_join!(
@@ -88,7 +93,7 @@
         Err(_) => return None,
     }
     if !host.can_lead() {
-        // It was told states alone while it read.
+        // The box received only job states while it was reading.
         warn!(host.log, "records of earlier leads not whole"; "token" => %token);
         return None;
     }
@@ -97,7 +102,7 @@
     Some(recorder)
 }
 
-/// What a caller said, on its way into the store by the lead.
+/// A job or a cancellation of a caller that the lead is to append.
 pub struct LeadSubmission {
     job: JobId,
     record: CellRecord,
@@ -105,8 +110,8 @@
 }
 
 impl LeadSession {
-    /// Puts what a caller said into the store with the next batch. None if the lead ends before it is
-    /// known whether it is there.
+    /// Appends a job or a cancellation with the next batch. Returns none if the lead ends before it
+    /// is known whether the record is in the store.
     pub async fn submit(
         &self,
         host: &CellBox,
@@ -134,7 +139,7 @@
         answer.await.ok()
     }
 
-    /// Whether a job of another organisation with the same id is on its way into the store.
+    /// Returns whether a job of another organisation with the same id is being appended.
     fn is_taken(&self, job: JobId, record: &CellRecord) -> bool {
         let Some(owner) = record.owner() else { return false };
         let waiting = self.submissions.borrow();
@@ -146,7 +151,8 @@
         others.any(|other| other != owner)
     }
 
-    /// What a caller is told while an append is stuck. What that append holds may still be kept.
+    /// Returns the outcome of a submission that is refused while an append is stuck. If the stuck
+    /// append holds the same job, the store may still keep it.
     fn refusal_of(&self, job: JobId) -> SubmissionOutcome {
         match self.in_flight_owners.borrow().contains_key(&job) {
             true => SubmissionOutcome::Unknown,
@@ -154,26 +160,27 @@
         }
     }
 
-    /// The append under way is stuck: whoever waits for the next one is told at once.
+    /// Marks the append under way as stuck, and refuses all submissions that wait for the next one.
     fn refuse_queued(&self) {
         self.append_stuck.set(true);
         for submission in self.submissions.take() {
             let outcome = self.refusal_of(submission.job);
-            // A caller that does not wait any more asks again.
+            // A caller that no longer waits will retry.
             let _ = submission.reply.send(outcome);
         }
     }
 
     fn take_submissions(&self) -> Vec<LeadSubmission> {
         let mut waiting = self.submissions.borrow_mut();
-        // A caller that has gone is served by its next try.
+        // A caller that no longer waits will retry.
         waiting.retain(|submission| !submission.reply.is_closed());
         let count = waiting.len().min(MAX_BATCH_SUBMISSIONS);
         waiting.drain(..count).collect()
     }
 }
 
-/// What came of a statement that is in the store already, or cannot be put there.
+/// Returns the outcome of a submission that is already in the store or cannot be put there; none if
+/// it has to be appended.
 fn known_outcome(host: &CellBox, job: JobId, record: &CellRecord) -> Option<SubmissionOutcome> {
     let replica = host.replica.borrow();
     let known = replica.job(job)?;
@@ -184,7 +191,7 @@
     }
 }
 
-/// One batch: progress, what callers said, and keys that are not needed any more.
+/// One batch: progress, submissions, and keys that are no longer needed.
 struct RecorderBatch {
     progress: Option<ProgressBatch>,
     submissions: Vec<LeadSubmission>,
@@ -192,7 +199,7 @@
 }
 
 impl RecorderBatch {
-    /// The jobs that callers spoke of, with their owners.
+    /// Returns the jobs of the submissions with their owners.
     fn owners(&self) -> HashMap<JobId, Option<OrganisationName>> {
         let owner = |submission: &LeadSubmission| submission.record.owner().unwrap_or_default();
         self.submissions.iter().map(|submission| (submission.job, owner(submission))).collect()
@@ -220,8 +227,9 @@
     }
 }
 
-/// Once a job is over, what was accepted is not needed any more; its state is kept for callers for a
-/// time. So a box that starts reads little more than what is open.
+/// Returns the keys to remove from the topic. The record of a submission is removed once its job
+/// has ended, and the state of the job after the time set by `keep_ended`. So a box that starts
+/// reads little more than the open jobs.
 fn dropped_keys(host: &CellBox, progress: Option<&ProgressBatch>) -> Vec<String> {
     let key = |kind: char, id: JobId| format!("{kind}{id}");
     let replica = host.replica.borrow();
@@ -238,7 +246,7 @@
 }
 
 impl ProgressRecorder {
-    /// Records batches as they come, until a later lead exists.
+    /// Records batches until a later lead exists.
     pub async fn run(&mut self, host: &CellBox, session: &LeadSession) {
         loop {
             tokio::time::sleep(BATCH_INTERVAL).await;
@@ -268,13 +276,14 @@
             }
             session.wake.notify_one();
             for submission in batch.submissions {
-                // A caller that does not wait any more asks again.
+                // A caller that no longer waits will retry.
                 let _ = submission.reply.send(SubmissionOutcome::Kept);
             }
         }
     }
 
-    /// A later lead tells by where it stands which roster it goes by.
+    /// Logs where a roster was recorded: a later lead logs the same position, so the log shows
+    /// which roster it uses.
     fn log_roster(
         &self,
         host: &CellBox,
@@ -287,7 +296,7 @@
         }
     }
 
-    /// Records one batch, however often it has to be tried. None if a later lead exists.
+    /// Records one batch, with as many tries as it takes. Returns none if a later lead exists.
     async fn record(
         &mut self,
         host: &CellBox,
@@ -303,14 +312,14 @@
                         "token" => %self.token, "outcome" => ?outcome);
                     return None;
                 }
-                // Another box may have a path to the store: then there is nothing to wait for.
+                // Another box can relay the append, so there is no need to wait.
                 None if session.is_relaying() => {}
                 None => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    /// One try. The sequence number goes on only when the store has answered.
+    /// Tries an append once. The sequence number advances only when the store has answered.
     async fn append(
         &mut self,
         host: &CellBox,
@@ -354,13 +363,13 @@
 /// A batch that is in the store.
 #[derive(Debug, Clone, Copy)]
 struct RecordedBatch {
-    /// Where the topic ended after it.
+    /// The end of the topic after the batch.
     end: u64,
     /// When the try that was answered was sent.
     sent: Moment,
 }
 
-/// Takes in what this lead has written, without reading it back.
+/// Applies what this lead has appended, without reading it back.
 fn apply_own_batch(
     host: &CellBox,
     session: &LeadSession,
@@ -376,7 +385,7 @@
                 "job" => %submission.job);
         }
         let mut scheduler = session.scheduler.borrow_mut();
-        // A second copy of a job that has come and gone meanwhile must not begin it again.
+        // A second copy of a job that has ended meanwhile must not start it again.
         if !known || scheduler.has_job(submission.job) {
             scheduler.add_led_job(submission.job, Rc::new(record.clone()), clock::now());
         }
@@ -384,13 +393,13 @@
     let from = recorded.end - records.len() as u64;
     let view = &host.progress_view;
     let continues = view.offset.get() == Some(from);
-    // Also while something before them is not known here: a job that is over must be known as such, or a second
-    // copy of it would begin again.
+    // The records are applied even if earlier ones have not been read: a job that has ended must be
+    // known as such, or a second copy of it would start it again.
     for record in records {
         apply::apply(host, StoreTopic::Progress, record);
     }
     if !continues {
-        // The topic is read on from where it is known.
+        // The follower continues from the present offset, and reads these records again.
         return;
     }
     view.offset.set(Some(recorded.end));
