--- a/crates/sedgehilld/src/cell/relay.rs
+++ b/crates/sedgehilld/src/cell/relay.rs
@@ -1,8 +1,8 @@
-//! Calls of the lead to the store by way of another box.
+//! Relays calls of the lead to the store through another box.
 //!
-//! When the store does not answer the lead but answers a box that keeps a link to it, the lead has
-//! that box make the call. A relayed call is the same call: its condition, and the token in it, are
-//! checked by the store, and one without an answer may have been done.
+//! If the store does not answer the lead but answers a box that is linked to it, that box makes the
+//! call. The store checks the condition of a relayed call, with its token, like that of a direct
+//! one, and a relayed call without an answer may have been carried out as well.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,64 +25,66 @@
 use super::state::CellBox;
 use crate::clock;
 
-/// How long a box may take for a relayed read. A slow store takes some 300 ms.
+/// Timeout of a relayed read. A slow store takes 300 ms.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a box may take for a relayed append. A slow store lets appends wait for up to two seconds.
+/// Timeout of a relayed append at the box that relays it. A slow store may delay appends for up to
+/// two seconds.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// What a box said of its path to the store counts for so long; it says so every 300 ms.
+/// How long a box's report that the store answers it stays valid. Boxes report every 300 ms.
 const PATH_REPORT_LIFETIME: TimeSpan = TimeSpan(900);
-/// A path that failed is not used again before it has answered for so long, if there is another.
+/// The lead's own path is used again at the earliest this long after it failed, while another box
+/// can relay.
 const OWN_PATH_TRIAL: TimeSpan = TimeSpan(1_000);
 
 /// A call to the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RelayCall {
-    /// Append records.
+    /// Appends records.
     Append {
         /// The topic.
         topic: StoreTopic,
         /// The records.
         records: Vec<KeyedRecord>,
-        /// On what condition.
+        /// The condition under which the store keeps them.
         condition: AppendCondition,
     },
-    /// Read from an offset on, without waiting.
+    /// Reads from an offset on, without waiting for new records.
     Read {
         /// The topic.
         topic: StoreTopic,
         /// The offset.
         offset: u64,
     },
-    /// Read the newest record of each key.
+    /// Reads the newest record of each key of a topic.
     Newest(StoreTopic),
 }
 
-/// What came of a relayed call.
+/// The outcome of a relayed call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RelayAnswer {
-    /// Of an append.
+    /// The answer to an append.
     Appended(AppendOutcome),
-    /// Of a read.
+    /// The answer to a read.
     Read(ReadOutcome),
-    /// Of a read of the newest records.
+    /// The answer to a read of the newest records.
     Newest(NewestRecords),
-    /// No answer of use; it may have been done.
+    /// The call failed; an append may have been carried out.
     Failed(String),
 }
 
-/// The boxes by way of which the lead can call, and the calls under way.
+/// Knows the boxes that can relay calls of the lead, and the calls under way.
 #[derive(Debug, Default)]
 pub struct StoreRelay {
-    /// Boxes that the store answers, with when they last said so.
+    /// Boxes that the store answers, with the time of their last report.
     paths: RefCell<HashMap<HelperId, Moment>>,
     pending: RefCell<HashMap<u64, oneshot::Sender<RelayAnswer>>>,
     next_number: Cell<u64>,
-    /// Since when the lead's own path is taken as cut.
+    /// When the lead's own path to the store failed; none while it works.
     own_path_cut: Cell<Option<Moment>>,
 }
 
 impl StoreRelay {
-    /// Notes what a box says of its own path.
+    /// Records whether the store answers a box.
     pub fn note_path(&self, helper: HelperId, store_answers: bool) {
         match store_answers {
             true => self.paths.borrow_mut().insert(helper, clock::now()),
@@ -90,28 +92,28 @@
         };
     }
 
-    /// A box cannot be asked any more.
+    /// Removes a box whose link has ended.
     pub fn remove(&self, helper: HelperId) {
         self.paths.borrow_mut().remove(&helper);
     }
 
-    /// Notes a call that is about to be sent, and forgets those that were given up since another copy
-    /// was answered first.
+    /// Registers a call that is about to be sent. Removes calls that were abandoned because another
+    /// copy was answered first.
     fn register_call(&self, number: u64, reply: oneshot::Sender<RelayAnswer>) {
         let mut pending = self.pending.borrow_mut();
         pending.retain(|_, reply| !reply.is_closed());
         pending.insert(number, reply);
     }
 
-    /// Takes in an answer.
+    /// Hands an answer to the call that waits for it.
     pub fn complete_call(&self, number: u64, answer: RelayAnswer) {
         if let Some(reply) = self.pending.borrow_mut().remove(&number) {
-            // The call may have been given up.
+            // The call may have been abandoned.
             let _ = reply.send(answer);
         }
     }
 
-    /// A box that the store answers, another one each time.
+    /// Returns a box that the store answers. Successive calls rotate through these boxes.
     fn choose_helper(&self) -> Option<HelperId> {
         let now = clock::now();
         let paths = self.paths.borrow();
@@ -131,7 +133,7 @@
 }
 
 impl LeadSession {
-    /// Whether the lead's own path to the store is cut while another box has one.
+    /// Returns whether the lead's own path to the store has failed while another box can relay.
     pub fn is_relaying(&self) -> bool {
         self.relay.own_path_cut.get().is_some() && self.relay.choose_helper().is_some()
     }
@@ -164,9 +166,10 @@
         }
     }
 
-    /// Appends by the lead's own path, or by another box while the own path is cut. An append that is
-    /// not answered in the usual time goes the other way as well: if that is answered first, the own
-    /// path is cut, and otherwise the store is slow.
+    /// Appends directly, or through another box while the own path is down. If a direct append is
+    /// not answered in the usual time, more copies are sent: one from this box on a new connection,
+    /// and later ones through another box. If a relayed copy is answered first, the own path counts
+    /// as down; otherwise the store is merely slow.
     pub async fn append(
         &self,
         host: &CellBox,
@@ -195,7 +198,8 @@
         let further_copies = Cell::new(0);
         let send_copy = || async {
             further_copies.set(further_copies.get() + 1);
-            // The first copy may have gone out on a connection that fell silent; the next goes on a new one.
+            // The first copy may have been sent on a connection that fell silent, so the second
+            // goes out from this box on a new connection, and later ones through another box.
             let helper = if further_copies.get() > 1 { self.choose_any_helper() } else { None };
             is_relayed.set(helper.is_some());
             match helper {
@@ -218,14 +222,15 @@
         let result = self.send_append(host, helper, call).await;
         match &result {
             Ok(_) => self.restore_own_path(host),
-            // The box may be the one that is cut: the own path gets the next try.
+            // The path of the relaying box may be the one that fails, so the next try is direct.
             Err(_) => self.relay.own_path_cut.set(None),
         }
         result
     }
 
-    /// A box to try when the own path does not answer: one that the store answers as it says, or else
-    /// any. A store that is silent to reads for a moment may answer its appends.
+    /// Returns a box to try when the own path does not answer: one that the store answers by its
+    /// own report, or else the one with the newest link. A store may leave reads unanswered for a
+    /// moment but still answer appends.
     fn choose_any_helper(&self) -> Option<HelperId> {
         let newest_helper = || self.helpers.borrow().keys().max().copied();
         self.relay.choose_helper().or_else(newest_helper)
@@ -249,7 +254,7 @@
         }
     }
 
-    /// Reads a topic by way of another box.
+    /// Reads a topic through another box.
     pub async fn read_relayed(
         &self,
         topic: StoreTopic,
@@ -264,7 +269,7 @@
         }
     }
 
-    /// Reads the newest records by way of another box.
+    /// Reads the newest records of a topic through another box.
     pub async fn newest_relayed(&self, topic: StoreTopic) -> Result<NewestRecords, CallError> {
         let helper = self.relay.choose_helper().ok_or_else(no_relay_error)?;
         match self.call_helper(helper, RelayCall::Newest(topic), READ_TIMEOUT).await? {
@@ -288,7 +293,8 @@
         self.relay.own_path_cut.set((!answers).then_some(since));
     }
 
-    /// Takes the own path again once reads on it have been answered for a time.
+    /// Marks the own path as working once [`OWN_PATH_TRIAL`] has passed and a read on it has been
+    /// answered since it failed.
     fn restore_own_path(&self, host: &CellBox) {
         let Some(since) = self.relay.own_path_cut.get() else { return };
         if clock::now().since(since) >= OWN_PATH_TRIAL && host.store_contact.answered_after(since) {
@@ -297,10 +303,11 @@
     }
 }
 
-/// A relayed call takes two more ways than a direct one, and the other box may be slow.
+/// Minimum timeout of a relayed append: it crosses two more links than a direct one, and the
+/// relaying box may be slow.
 const MIN_RELAY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Makes a call for the lead.
+/// Makes a call to the store for the lead.
 pub async fn execute(host: &Rc<CellBox>, call: RelayCall) -> RelayAnswer {
     let store = &host.clients.store;
     let result = match call {
