--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -1,4 +1,4 @@
-//! Renews a claim of the lead, and gives it up.
+//! Renews the claim of a lead, and releases it.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
 use super::state::CellBox;
 use crate::clock;
 
-/// Pause before a renewal that failed is tried again.
+/// Pause after a renewal that failed.
 const RENEW_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Gives up the lead, and says so if this box stops or knows of a better one.
+/// Gives up the lead. Resigns in the store if this box is stopping or should yield to a stronger
+/// one, so that another box can claim at once.
 pub async fn release_lead(host: &CellBox, session: &LeadSession) {
     if host.stopping.get() || session.should_yield(host) {
         resign(host, session.token).await;
@@ -22,7 +23,7 @@
     host.watch.borrow_mut().step_down();
 }
 
-/// Renews the claim until it is lost or the box stops. Returns why it does so no longer.
+/// Renews the claim until it is lost or has to be given up. Returns the reason.
 pub async fn renew(host: &CellBox, session: &LeadSession) -> LeadEndReason {
     let every = Duration::from_millis(host.settings.authority.renew.as_millis());
     let mut pause = every;
@@ -46,7 +47,7 @@
         let (Some(record), Some(end)) = (newest, lead_topic_end(host)) else {
             return LeadEndReason::LaterToken;
         };
-        // A follower need not wait for leads before this one once their terms are over.
+        // Once the terms of all earlier leads are over, a successor need not wait for them.
         let sole = session.scheduler.borrow().is_sole(clock::now());
         let record = LeadRecord { sole, ..record };
         pause = RENEW_RETRY_PAUSE;
@@ -64,7 +65,7 @@
     }
 }
 
-/// Tells the other boxes that this one gives no further orders.
+/// Records in the store that this box gives no further orders.
 async fn resign(host: &CellBox, token: FencingToken) {
     const TRIES: usize = 5;
     for _ in 0..TRIES {
