--- a/crates/sedgehilld/src/cell/settings.rs
+++ b/crates/sedgehilld/src/cell/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a box in cell mode, from JSON to checked types.
+//! The settings of a box in cell mode, read from a JSON file and checked.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,83 +14,89 @@
 
 use crate::settings::{SettingsError, optional_group, read_object, required_group};
 
-/// Where a box listens in cell mode.
+/// The addresses on which a box listens in cell mode.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListenAddresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the platform's question whether the box takes callers.
+    /// For the platform's readiness checks.
     pub ready: SocketAddr,
-    /// For other boxes.
+    /// For the links of other boxes.
     pub peers: SocketAddr,
-    /// For whoever reads metrics.
+    /// For metrics, in the text format of Prometheus.
     pub metrics: SocketAddr,
 }
 
-/// How a box stops in cell mode.
+/// The time limits of a planned stop.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StopTiming {
-    /// How long callers may still come after the box said that it is not ready.
+    /// How long callers may still arrive after the box has reported that it is not ready.
     pub linger: Duration,
-    /// When the box ends at the latest, from the signal on.
+    /// Time from the signal to the end of the process.
     pub limit: Duration,
 }
 
 /// The settings of a box in cell mode.
 #[derive(Debug, Clone)]
 pub struct CellSettings {
-    /// Its name.
+    /// The name of the box.
     pub name: BoxName,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub listen: ListenAddresses,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The service that tells which workers may run a step, if there is one.
+    /// The address of the advice service, which names the workers that may run a step; none if
+    /// there is no such service.
     pub advice: Option<SocketAddr>,
-    /// What the box can bear: stronger boxes lead.
+    /// The share of a core that the box can use, bounded by the rate of its link. Stronger boxes
+    /// lead.
     pub strength: BoxStrength,
-    /// What the box's link carries.
+    /// The data rate of the box's network link.
     pub link: LinkRate,
-    /// Descriptors that the process may use.
+    /// The file descriptors that the process may use.
     pub descriptors: usize,
-    /// Times of the scheduler.
+    /// The timing and the policy of the scheduler.
     pub cell: CellTiming,
-    /// Times of claims and renewals.
+    /// The timing of claims and renewals of the lead.
     pub authority: AuthorityTiming,
-    /// How long the state of a job that is over is kept.
+    /// How long the state of an ended job is kept.
     pub keep_ended: TimeSpan,
-    /// How the box stops.
+    /// The time limits of a planned stop.
     pub stop: StopTiming,
 }
 
-/// Time kept between the last answer and the moment at which the platform ends the process.
+/// Time left between the end of a planned stop and the moment at which the platform kills the
+/// process.
 const PLATFORM_STOP_RESERVE: TimeSpan = TimeSpan(600);
-/// How long the platform's entry may still send callers: two questions a second apart, and a third
-/// of a second for the connections under way.
+/// How long the platform's load balancer may still send callers after a box has reported that it is
+/// not ready: two readiness checks a second apart, and 0.3 s for connections that are being made.
 const BALANCER_LAG: TimeSpan = TimeSpan(2_300);
 
-/// How long after a worker was listed with less it may still be filled by what it had: the platform's usual time.
+/// How long after a worker is listed with a smaller size tasks may still be started by its earlier
+/// size.
 const DEFAULT_SIZE_KNOWN: TimeSpan = TimeSpan(3_000);
-/// What an order takes on its way at the most, where nothing is held up.
+/// The longest usual time that an order takes to reach a worker.
 const MAX_ORDER_DELAY: TimeSpan = TimeSpan(200);
-/// Added to the time for which ended jobs are kept: boxes hear of an end at different times.
+/// Added to the time for which ended jobs are kept, since boxes learn of an end at different times.
 const KEEP_ENDED_RESERVE: TimeSpan = TimeSpan(30_000);
-/// The strength of a box whose settings tell none: that of the platform's usual boxes.
+/// The strength of a box without the setting `cores`: a quarter of a core, as the platform's usual
+/// boxes have.
 const DEFAULT_STRENGTH: BoxStrength = BoxStrength(250);
-/// What the link of a box carries whose settings tell nothing: 1,000 Mbit/s, as those of the platform's
-/// usual boxes.
+/// The link rate of a box without the setting `link_mbps`: 1,000 Mbit/s, as the platform's usual
+/// boxes have.
 const DEFAULT_LINK_RATE: LinkRate = LinkRate::from_bytes(125_000_000);
-/// Descriptors of a process whose settings tell none: those of the platform's usual boxes.
+/// The file descriptors of a process without the setting `descriptors`, as on the platform's usual
+/// boxes.
 const DEFAULT_DESCRIPTORS: usize = 4_096;
 
 impl CellSettings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<CellSettings, SettingsError> {
         let fields = read_object(path)?;
         CellSettings::parse(&fields).map_err(|errors| SettingsError::Check(path.to_owned(), errors))
     }
 
-    /// Checks settings.
+    /// Checks settings, and collects all errors.
     pub fn parse(fields: &Map<String, Value>) -> Result<CellSettings, ManifestErrors> {
         let mut errors = Vec::new();
         let mut reader = FieldReader::new("", fields, &mut errors);
@@ -185,7 +191,7 @@
     })
 }
 
-/// Times that only make sense together.
+/// Checks times that depend on each other.
 fn check_timing(settings: &CellSettings, errors: &mut Vec<ManifestError>) -> bool {
     let cell = &settings.cell;
     let min_lease = TimeSpan(cell.hold_wait.0 * 2);
