--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a box in cell mode share. They run on one thread.
+//! The state that the tasks of a box in cell mode share. All of them run on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -27,29 +27,31 @@
 use crate::clock;
 use crate::connection::ConnectionDesk;
 
-/// A view of the store that was last proved complete longer ago is not taken as fresh. Reads wait
-/// half a second at the most, so a box in touch proves it more often.
+/// A view of the store counts as fresh for this long after it was last known to be complete. Reads
+/// wait up to half a second at the store, so a box that is connected to it confirms its views more
+/// often.
 const MAX_FRESH_AGE: TimeSpan = TimeSpan(1_800);
 
-/// A following of one topic: how far it was read, and when that was last complete.
+/// How far a topic was read, and when it was last read to its end.
 #[derive(Debug, Default)]
 pub struct TopicView {
-    /// The offset to read next; none before the first reading.
+    /// The offset to read next; none before the first read.
     pub offset: Cell<Option<u64>>,
-    /// Whether every record up to there was taken in, and not only what it says of states.
+    /// Whether all records up to the offset were applied, rather than only the job states that
+    /// follow from them.
     pub full_records: Cell<bool>,
-    /// How often the store had dropped what was to be read next.
+    /// How often the store had already dropped the record to be read next.
     pub gaps: Cell<u64>,
     complete_at: Cell<Option<Moment>>,
     confirmed_at: Cell<Option<Moment>>,
 }
 
-/// A view that the lead proved complete less long ago is not read from the store: each read is paid
-/// for. Proofs come every 300 ms.
+/// A view that the lead confirmed as complete within this time is not read from the store, since
+/// each read has a cost. Confirmations come every 300 ms.
 const MAX_CONFIRMATION_AGE: TimeSpan = TimeSpan(800);
 
 impl TopicView {
-    /// What was read is out of date from now on.
+    /// Marks the view as unread.
     fn forget(&self) {
         self.offset.set(None);
         self.full_records.set(false);
@@ -57,30 +59,32 @@
         self.confirmed_at.set(None);
     }
 
-    /// Notes that all records up to a moment not before `asked` were read.
+    /// Records that the view was complete at a moment not before `complete_at`, by a read of this
+    /// box.
     pub fn note_complete(&self, complete_at: Moment) {
         self.complete_at.set(self.complete_at.get().max(Some(complete_at)));
     }
 
-    /// Notes that the view was complete at a moment not before `asked`, without a read of its own.
+    /// Records that the view was complete at a moment not before `complete_at`, without a read of
+    /// this box.
     pub fn note_confirmed(&self, complete_at: Moment) {
         self.confirmed_at.set(self.confirmed_at.get().max(Some(complete_at)));
         self.complete_at.set(self.complete_at.get().max(Some(complete_at)));
     }
 
-    /// Whether the view was proved complete lately without a read.
+    /// Returns whether the view was recently confirmed as complete without a read.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed_at
             .get()
             .is_some_and(|confirmed_at| clock::now().since(confirmed_at) <= MAX_CONFIRMATION_AGE)
     }
 
-    /// How long ago the view was complete; none if it never was.
+    /// Returns how long ago the view was complete; none if it never was.
     pub fn age(&self) -> Option<TimeSpan> {
         self.complete_at.get().map(|complete_at| clock::now().since(complete_at))
     }
 
-    /// Whether the view is complete but for the last moments.
+    /// Returns whether the view is complete except for the last two seconds.
     pub fn is_fresh(&self) -> bool {
         self.complete_at
             .get()
@@ -88,12 +92,13 @@
     }
 }
 
-/// A box that has heard nothing from the store for longer is cut from it. Reads wait half a second at
-/// the most, and a slow store takes some 300 ms more: a store that is merely idle or slow must never
-/// count as silent, since the first answer after a silence repeats all other calls.
+/// A box counts as cut off from the store after this time without an answer. Reads wait up to half
+/// a second at the store, and a slow store takes 300 ms more. A store that is only idle or slow
+/// must not count as silent, since the first answer after a silence makes all pending calls repeat.
 const SILENT_AFTER: TimeSpan = TimeSpan(1_100);
 
-/// A box that has heard nothing for longer is not asked to call for others. Reads wait half a second.
+/// After this time without an answer from the store, the lead does not relay calls through this
+/// box. Reads wait up to half a second at the store.
 const DOUBTFUL_AFTER: TimeSpan = TimeSpan(750);
 
 /// When the store last answered this box.
@@ -104,12 +109,12 @@
 }
 
 impl StoreContact {
-    /// The contact of a box that has just started.
+    /// Creates the contact of a box that has just started. The silence is counted from now.
     pub fn new() -> StoreContact {
         StoreContact { last_answer: Cell::new(clock::now()), recovered: Notify::new() }
     }
 
-    /// Notes an answer.
+    /// Records an answer of the store.
     pub fn note_answer(&self) {
         let was_silent = self.is_silent();
         self.last_answer.set(clock::now());
@@ -118,8 +123,9 @@
         }
     }
 
-    /// Waits for a call, but no longer than until the store answers others again after a silence: a
-    /// call that was sent before will hardly be answered, and is worth repeating.
+    /// Awaits a call to the store, but aborts it once the store answers another call after a
+    /// silence: a call sent before the silence will probably not be answered, and should be
+    /// repeated.
     pub async fn abort_on_recovery<T>(
         &self,
         call: impl Future<Output = Result<T, CallError>>,
@@ -132,96 +138,99 @@
         }
     }
 
-    /// Whether the store has answered after a moment.
+    /// Returns whether the store has answered after a moment.
     pub fn answered_after(&self, moment: Moment) -> bool {
         self.last_answer.get() > moment
     }
 
-    /// Whether the store has not answered for longer than reads usually wait.
+    /// Returns whether the store has not answered for longer than reads usually wait.
     pub fn is_doubtful(&self) -> bool {
         clock::now().since(self.last_answer.get()) > DOUBTFUL_AFTER
     }
 
-    /// Whether the store has not answered for too long.
+    /// Returns whether the box counts as cut off from the store.
     pub fn is_silent(&self) -> bool {
         clock::now().since(self.last_answer.get()) > SILENT_AFTER
     }
 }
 
-/// Calls to the platform.
+/// The clients for the services of the platform.
 pub struct PlatformClients {
-    /// To the store.
+    /// Calls the store.
     pub store: StoreClient,
-    /// To workers.
+    /// Calls workers.
     pub workers: WorkerClient,
-    /// To the advice service, if there is one.
+    /// Calls the advice service; none if there is no such service.
     pub advice: Option<AdviceClient>,
-    /// The connections of all of them.
+    /// The connections that all clients share.
     pub http: HttpClient,
 }
 
-/// What the tasks of a box share.
+/// The state that the tasks of a box share.
 pub struct CellBox {
-    /// The settings.
+    /// The settings of the box.
     pub settings: CellSettings,
-    /// Where to log.
+    /// The logger of the box.
     pub log: Logger,
-    /// Calls to the platform.
+    /// The clients for the services of the platform.
     pub clients: PlatformClients,
     /// The configuration in force.
     pub config: RefCell<Rc<CellConfig>>,
-    /// The record that holds it, for boxes that cannot read it.
+    /// The record of the configuration in force, to send to boxes that cannot read it.
     pub config_record: RefCell<Bytes>,
     /// How current the configuration is.
     pub config_view: TopicView,
-    /// The jobs.
+    /// The jobs that this box knows.
     pub replica: RefCell<CellReplica>,
-    /// How current the knowledge of jobs is.
+    /// How current the jobs are.
     pub jobs_view: TopicView,
-    /// How current the knowledge of their progress is.
+    /// How current the progress of jobs is.
     pub progress_view: TopicView,
-    /// Whether the store answers.
+    /// When the store last answered.
     pub store_contact: StoreContact,
-    /// How long answers of the store usually take.
+    /// The timeout of calls to the store, learned from its answers.
     pub store_timeout: RefCell<CallPatience>,
-    /// Who leads.
+    /// Which box leads.
     pub watch: RefCell<LeadWatch>,
-    /// How current the knowledge of who leads is.
+    /// How current the knowledge of the lead is.
     pub lead_view: TopicView,
-    /// Rung when the newest record of who leads may be out of date.
+    /// Notified when the newest lead record may be out of date.
     pub lead_record_stale: Notify,
-    /// Rung when another box leads, or none does any more.
+    /// Notified when another box leads, or the lead has resigned.
     pub lead_changed: Notify,
-    /// What this box does as the lead.
+    /// The session of this box as the lead; none while it does not lead.
     pub session: RefCell<Option<Rc<LeadSession>>>,
-    /// Whether the lead tells states to the boxes that do not stand by.
+    /// Whether the lead sends job states to the boxes that do not stand by.
     pub lead_sends_summaries: Cell<bool>,
-    /// When this box, which is not told states, last heard from a lead that it can ask.
+    /// In query mode, when this box last heard from the lead; none outside query mode. In query
+    /// mode the box keeps no jobs, and asks the lead for each job state.
     lead_heard_at: Cell<Option<Moment>>,
-    /// The link to the lead, while there is one.
+    /// The link to the lead; none while there is none.
     pub link: RefCell<Option<Rc<LeadLink>>>,
     /// Whether the box is stopping.
     pub stopping: Cell<bool>,
-    /// Rung when the box begins to stop.
+    /// Notified when the box begins to stop.
     pub stop_requested: Notify,
     /// The connections of callers.
     pub connections: Arc<ConnectionDesk>,
-    /// Distinguishes this process from earlier ones of the box.
+    /// A random number that distinguishes this process from earlier ones of the box.
     pub life: u64,
-    /// When it started.
+    /// When the process started.
     started_at: Moment,
 }
 
-/// One descriptor in this many may be an idle connection: each worker has one with an account under way
-/// besides, and callers and other boxes need theirs. With six idle ones for each of 3,000 workers a lead ran out of
-/// 8,192 descriptors, and 0.43 of the jobs were served instead of 0.81.
+/// The process may keep one idle connection for this many file descriptors. Each worker also has a
+/// connection with a hold call, and callers and other boxes need theirs. With six idle connections
+/// for each of 3,000 workers, a lead ran out of 8,192 descriptors and served 0.43 of the jobs
+/// instead of 0.81.
 const DESCRIPTORS_PER_IDLE_CONNECTION: usize = 4;
 
-/// How long a weak box waits after its start for a lead that tells it the states: a restart of all boxes takes
-/// the strong ones about a second.
+/// How long a weak box waits after its start for a lead that sends it job states, and how long a
+/// box in query mode waits for a sign of the lead. If all boxes restart, the strong ones need about
+/// a second to lead.
 const READ_DEFERRAL: TimeSpan = TimeSpan(2_500);
 
-/// Tells of answers of workers that cannot be read.
+/// Returns a handler that logs the unreadable answers of workers.
 fn malformed_report_logger(log: Logger) -> MalformedReport {
     Rc::new(move |target, error| {
         warn!(log, "worker's answer not readable"; "worker" => %target.life, "address" => %target.address,
@@ -230,7 +239,7 @@
 }
 
 impl CellBox {
-    /// Shares the state of a box that knows nothing yet.
+    /// Creates the state of a box that has read nothing yet.
     pub fn new(settings: CellSettings, log: Logger) -> CellBox {
         let life = rand::random();
         let http = HttpClient::with_idle(settings.descriptors / DESCRIPTORS_PER_IDLE_CONNECTION);
@@ -274,14 +283,14 @@
         }
     }
 
-    /// How much later than usual news arrive by way of the store: an append and a read, and a read
-    /// that had just begun.
+    /// Returns how much later than usual a record arrives by way of the store: the time of an
+    /// append, of a read, and of the read that was under way before.
     pub fn store_lag(&self) -> TimeSpan {
         const CALLS: u64 = 3;
         TimeSpan(CALLS * self.store_timeout.borrow().usual().as_millis() as u64)
     }
 
-    /// Whether callers should come here.
+    /// Returns whether the platform should send callers to this box.
     pub fn is_ready(&self) -> bool {
         !self.stopping.get()
             && self.config_view.is_fresh()
@@ -289,13 +298,13 @@
             && self.config.borrow().version > 0
     }
 
-    /// Whether a lead that the store answers can be asked.
+    /// Returns whether there is a link to a lead that the store answers.
     fn can_query_lead(&self) -> bool {
         self.link.borrow().as_ref().is_some_and(|link| link.takes_submissions())
     }
 
-    /// What this box knows of a job, as a caller of an organisation, or of none, is told. Another
-    /// organisation's job is told like one that does not exist.
+    /// Returns what this box knows of the state of a job. A caller gets the same answer for a job
+    /// of another organisation as for one that does not exist.
     pub fn local_job_state(&self, job: JobId, caller: Option<&OrganisationName>) -> StateAnswer {
         match self.replica.borrow().job(job) {
             Some(known) if !known.is_open_to(caller) => StateAnswer::NoJob,
@@ -305,7 +314,8 @@
         }
     }
 
-    /// How many jobs of a queue wait, as this box or the lead knows; none if neither does.
+    /// Returns how many jobs of a queue wait, by this box's own knowledge or else the lead's; none
+    /// if neither knows.
     pub async fn count_waiting(&self, queue: &QueueName) -> Option<u64> {
         if self.has_fresh_jobs() {
             return Some(self.replica.borrow().waiting(queue) as u64);
@@ -314,7 +324,7 @@
         link.ask_waiting(queue.clone()).await
     }
 
-    /// What this box or the lead knows of a job.
+    /// Returns the state of a job, by this box's own knowledge or else the lead's.
     pub async fn find_job_state(
         &self,
         job: JobId,
@@ -327,8 +337,8 @@
         }
     }
 
-    /// Whether a job can be taken: through a lead, which knows whether it was taken before, or by this
-    /// box, if it knows that itself and the store answers.
+    /// Returns whether jobs can be accepted: through a lead, which knows whether a job was accepted
+    /// before, or by this box if it knows that itself and the store answers.
     pub fn can_accept(&self) -> bool {
         let is_relaying =
             self.session.borrow().as_ref().is_some_and(|session| session.is_relaying());
@@ -336,41 +346,43 @@
         self.can_query_lead() || (self.has_fresh_jobs() && reaches_store)
     }
 
-    /// Whether this box knows of the jobs what a lead needs.
+    /// Returns whether this box has applied all records that a lead needs.
     pub fn can_lead(&self) -> bool {
         self.jobs_view.full_records.get() && self.progress_view.full_records.get()
     }
 
-    /// Whether this box leaves it to others to read what a lead needs, since it has just started and is much
-    /// weaker than the last lead. Until it is told states it asks the lead for each. When all of 97 boxes
-    /// read everything at once, those that can lead had it after 0.4 s instead of 0.1 s.
+    /// Returns whether this box leaves it to other boxes to read the records that a lead needs,
+    /// because it has just started and is much weaker than the last lead. Until the lead sends it
+    /// job states, it asks the lead for each. When all of 97 boxes read everything at once, those
+    /// that can lead had it after 0.4 s instead of 0.1 s.
     pub fn defers_reads(&self) -> bool {
         let just_started = clock::now().since(self.started_at) < READ_DEFERRAL;
         let is_unread = self.progress_view.offset.get().is_none();
         just_started && is_unread && self.watch.borrow().is_outdone()
     }
 
-    /// Whether this box leaves it to the lead to know the jobs, and asks it. One that hears from no lead for a time
-    /// begins to read everything, since nobody else may be left that could lead.
+    /// Returns whether this box is in query mode, in which it asks the lead for job states. A box
+    /// that has not heard from the lead for [`READ_DEFERRAL`] reads everything instead, since there
+    /// may be no other box left that could lead.
     pub fn queries_lead(&self) -> bool {
         let lead_heard_at = self.lead_heard_at.get();
         lead_heard_at.is_some_and(|heard_at| clock::now().since(heard_at) < READ_DEFERRAL)
     }
 
-    /// Notes that the lead lives.
+    /// Records that the lead is alive.
     pub fn note_lead_heard(&self) {
         if self.lead_heard_at.get().is_some() {
             self.lead_heard_at.set(Some(clock::now()));
         }
     }
 
-    /// From now on the lead is asked for states, or not any more.
+    /// Turns query mode on or off.
     pub fn set_query_mode(&self, enabled: bool) {
-        // A box that has claimed the lead has to know the jobs itself.
+        // A box that has claimed the lead needs the jobs itself.
         let enabled = enabled && !self.watch.borrow().is_holder();
         self.lead_heard_at.set(enabled.then(clock::now));
         if enabled {
-            // What was known becomes untrue from now on.
+            // The known jobs are no longer updated from now on.
             self.replica.replace(CellReplica::default());
             for view in [&self.jobs_view, &self.progress_view] {
                 view.forget();
@@ -378,7 +390,8 @@
         }
     }
 
-    /// Has the jobs and their progress read from the start, so that this box could lead.
+    /// Makes the follower tasks read jobs and progress from the start where only states are known,
+    /// so that this box could lead.
     pub fn reload_full_records(&self) {
         for view in [&self.jobs_view, &self.progress_view] {
             if !view.full_records.get() {
@@ -387,12 +400,12 @@
         }
     }
 
-    /// Whether the jobs and their progress are known but for the last moments.
+    /// Returns whether the jobs and their progress are known except for the last two seconds.
     pub fn has_fresh_jobs(&self) -> bool {
         self.jobs_view.is_fresh() && self.progress_view.is_fresh()
     }
 
-    /// The view of a topic that boxes follow.
+    /// Returns the view of a topic; none for the worker list, which has no view.
     pub fn view(&self, topic: StoreTopic) -> Option<&TopicView> {
         match topic {
             StoreTopic::Operators => Some(&self.config_view),
@@ -403,7 +416,7 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Rc<CellConfig> {
         self.config.borrow().clone()
     }
