--- a/crates/sedgehilld/src/cell/stop.rs
+++ b/crates/sedgehilld/src/cell/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: no new callers, the lead handed over, every call answered, then the end.
+//! A planned stop: refuses new callers, hands over the lead, answers every call, and then ends.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::clock;
 use crate::connection::StopPhase;
 
-/// Time between two looks at what is still open.
+/// Interval at which the open connections are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Kept of the time for a stop, to end the connections that are idle by then.
+/// Part of the stop limit that is kept for closing the connections that are idle by then.
 const CLOSING_RESERVE: Duration = Duration::from_millis(1_100);
 
-/// Waits for the signal to stop, and stops. A signal to reload changes nothing by itself.
+/// Waits for the signal to stop, then stops the box. A signal to reload is only logged.
 pub async fn run_until_stopped(host: &CellBox) {
     let stop = signal(SignalKind::terminate());
     let reload = signal(SignalKind::hangup());
@@ -59,7 +59,7 @@
         "ended_idle" => connections.ended_idle(), "took_ms" => clock::now().since(started).as_millis());
 }
 
-/// Waits until a check holds, but not longer than `limit` after `begun`.
+/// Waits until a check holds, at most until `limit` after `started`.
 async fn wait_until(started: Moment, limit: Duration, check: impl Fn() -> bool) {
     let limit = TimeSpan(limit.as_millis() as u64);
     while !check() && clock::now().since(started) < limit {
