--- a/crates/sedgehilld/src/cell/submission.rs
+++ b/crates/sedgehilld/src/cell/submission.rs
@@ -1,8 +1,8 @@
-//! Puts jobs and cancellations into the store, several at a time.
+//! Appends jobs and cancellations to the store in batches.
 //!
-//! A record stands under its job's id, so a copy that is appended twice, or late, changes nothing.
-//! Only what is sure is told: accepted after the store acknowledged, not done if no append that
-//! holds the record can have arrived, otherwise unknown.
+//! A record's key is the id of its job, so appending it twice or late changes nothing. Callers get
+//! only certain answers: accepted once the store has acknowledged the record, not done if no append
+//! with the record can have reached the store, and unknown otherwise.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -21,52 +21,52 @@
 use super::state::CellBox;
 use crate::{clock, telemetry};
 
-/// Records in one append.
+/// The most records in one append.
 const MAX_BATCH_RECORDS: usize = 128;
-/// Submissions that wait for an append before further ones are refused.
+/// The most submissions that wait for an append before further ones are refused.
 const QUEUE_CAPACITY: usize = 512;
-/// How long an append whose answer was lost is tried again.
+/// How long an append is repeated whose answer was lost.
 const SETTLE_LIMIT: TimeSpan = TimeSpan(6_000);
-/// Pause before the next try.
+/// Pause between two tries of an append.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What came of a record.
+/// The outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmissionOutcome {
-    /// It is in the store.
+    /// The record is in the store.
     Kept,
-    /// It is not in the store and will not be.
+    /// The record is not in the store and will not be.
     NotDone,
-    /// It may be in the store, now or later.
+    /// The record may be in the store, now or later.
     Unknown,
-    /// Another job has its id: it is not in the store and will not be.
+    /// Another organisation's job has the same id: the record is not in the store and will not be.
     Taken,
-    /// It is not in the store and will not be, since the store answers no appends: another way would
-    /// end the same.
+    /// The record is not in the store and will not be, since the store does not answer appends;
+    /// submitting it by another box would fail as well.
     StoreAway,
 }
 
-/// A record on its way into the store.
+/// A record that waits to be appended.
 pub struct Submission {
     record: KeyedRecord,
     reply: oneshot::Sender<SubmissionOutcome>,
 }
 
-/// Hands records over to the appender.
+/// Submits records to the lead or to the appender task of this box.
 #[derive(Clone)]
 pub struct SubmissionHandle {
     queue: mpsc::Sender<Submission>,
 }
 
 impl SubmissionHandle {
-    /// The handle and the queue that [`run`] works off.
+    /// Creates a handle and the queue that [`run`] serves.
     pub fn new() -> (SubmissionHandle, mpsc::Receiver<Submission>) {
         let (queue, inbox) = mpsc::channel(QUEUE_CAPACITY);
         (SubmissionHandle { queue }, inbox)
     }
 
-    /// Puts a record into the store, if possible through the lead, which gathers the records of all
-    /// boxes. Waits for at most `patience`.
+    /// Submits a record, if possible through the lead, which batches the records of all boxes.
+    /// Waits for at most `timeout`.
     pub async fn submit(
         &self,
         host: &CellBox,
@@ -83,13 +83,14 @@
                 | SubmissionOutcome::StoreAway),
             )) => return settled,
             Ok(lead_outcome) => lead_outcome,
-            // The lead lives, or the link to it would be lost: no other box has a better way.
+            // The lead is alive, or the link to it would have been lost: this box has no better
+            // path.
             Err(_) => return SubmissionOutcome::Unknown,
         };
         let remaining = timeout.saturating_sub(started.elapsed());
         let own_outcome = self.append(job, record, remaining).await;
         match (lead_outcome, own_outcome) {
-            // What the lead may have recorded cannot be called not done.
+            // The lead may have recorded it, so it must not be reported as not done.
             (LeadOutcome::Answered(SubmissionOutcome::Unknown), own_outcome)
                 if own_outcome != SubmissionOutcome::Kept =>
             {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Puts a record into the store from this box.
+    /// Appends a record from this box.
     async fn append(
         &self,
         job: JobId,
@@ -118,11 +119,11 @@
     }
 }
 
-/// What came of handing a record to the lead.
+/// The outcome of submitting a record to the lead.
 enum LeadOutcome {
-    /// There is no lead within reach that could take it.
+    /// There is no reachable lead that could append it.
     NoLead,
-    /// What the lead told, or that it told nothing.
+    /// The answer of the lead; [`SubmissionOutcome::Unknown`] if it gave none.
     Answered(SubmissionOutcome),
 }
 
@@ -139,8 +140,9 @@
     LeadOutcome::Answered(outcome.unwrap_or(SubmissionOutcome::Unknown))
 }
 
-/// Works off the queue, one append at a time: the store takes the appends of a topic in turn, so when it
-/// is slow more of them would only make a longer queue there, while records that wait here go together.
+/// Appends the queued submissions, one append at a time. The store processes the appends of a topic
+/// in order, so parallel appends to a slow store would only queue there, while submissions that
+/// wait here share the next append.
 pub async fn run(host: Rc<CellBox>, mut inbox: mpsc::Receiver<Submission>) {
     let mut batch = Vec::new();
     while inbox.recv_many(&mut batch, MAX_BATCH_RECORDS).await > 0 {
@@ -164,18 +166,19 @@
     }
 }
 
-/// Refuses a submission while an append is stuck. One that the stuck append holds may still be kept.
+/// Refuses a submission while an append is stuck. If the stuck append holds the same record, the
+/// store may still keep it, so the outcome is unknown.
 fn refuse(submission: Submission, stuck_keys: &HashSet<String>) {
     let outcome = match stuck_keys.contains(&submission.record.key) {
         true => SubmissionOutcome::Unknown,
         false => SubmissionOutcome::StoreAway,
     };
-    // A caller that does not wait any more asks again.
+    // A caller that no longer waits will retry.
     let _ = submission.reply.send(outcome);
 }
 
 async fn append_batch(host: &CellBox, mut batch: Vec<Submission>) {
-    // A caller that has gone is served by its next try.
+    // A caller that no longer waits will retry.
     batch.retain(|submission| !submission.reply.is_closed());
     if batch.is_empty() {
         return;
@@ -184,7 +187,7 @@
         batch.iter().map(|submission| submission.record.clone()).collect();
     let outcome = append_until_settled(host, &records, clock::now()).await;
     for submission in batch {
-        // A caller that does not wait any more asks again.
+        // A caller that no longer waits will retry.
         let _ = submission.reply.send(outcome);
     }
 }
@@ -205,7 +208,7 @@
         match result {
             Ok(AppendOutcome::Kept { .. }) => return SubmissionOutcome::Kept,
             Ok(outcome) => {
-                // No condition was set, so none can have failed.
+                // The append had no condition, so the store has no reason to refuse it.
                 warn!(host.log, "append refused"; "outcome" => ?outcome);
                 maybe_done = true;
             }
