--- a/crates/sedgehilld/src/cell/topic_follower.rs
+++ b/crates/sedgehilld/src/cell/topic_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the topics of the store: configuration, jobs, and who leads.
+//! Follows the topics of the store: the configuration, the leads, the jobs and their progress.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -17,33 +17,34 @@
 use super::state::{CellBox, TopicView};
 use crate::clock;
 
-/// How long a read waits for a record. An empty answer proves that nothing is missing.
+/// How long the store waits for a new record before it answers a read. An empty answer proves that
+/// no record is missing.
 const READ_WAIT: Duration = Duration::from_millis(500);
-/// How long an answer may take on top of that. A slow store takes some 300 ms.
+/// How long an answer may take in addition to that wait. A slow store takes 300 ms.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The same while the store does not answer at all: short tries find out soon when it is back.
+/// The timeout of a read while the store does not answer: short tries notice its return sooner.
 const SILENT_READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long reading the newest records may take, a page.
+/// Timeout for each page of the newest records.
 const NEWEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause after a call that failed.
+/// Pause after a failed call while the store is silent; otherwise a quarter of it.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
-/// Pause between two reads of who leads by a box that does not lead: renewals are of no use to it
-/// more often. A lead itself hears of a later claim at once.
+/// Pause between two reads of the leads topic by a box that does not lead: it does not need
+/// renewals more often. A lead itself reads without pause, to learn of a later claim at once.
 const LEADS_PAUSE: Duration = Duration::from_millis(400);
-/// Pause between two reads of progress: each read is paid for, and a job may be shown as completed
+/// Pause between two reads of progress. Each read has a cost, and a job may be shown as completed
 /// this much later.
 const PROGRESS_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two reads of jobs by a box that does not lead. It needs them to answer for a state,
-/// for which callers allow seconds.
+/// Pause between two reads of jobs by a box that does not lead. It needs them to answer questions
+/// for job states, for which callers allow seconds.
 const JOBS_PAUSE: Duration = Duration::from_millis(200);
-/// The same for the lead, which waits for jobs to place.
+/// Pause between two reads of jobs by the lead, which waits for jobs to place.
 const LEAD_JOBS_PAUSE: Duration = Duration::from_millis(14);
 
-/// Pause after a read by way of another box, which does not wait for records.
+/// Pause after a relayed read, which does not wait for records at the store.
 const RELAYED_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two looks whether a box that has just started has to read the jobs.
+/// Interval at which a box that does not read the jobs checks whether it has to.
 const DEFERRED_READ_PAUSE: Duration = Duration::from_millis(5);
-/// Time between two looks whether a topic is still proved to be known.
+/// Interval at which a box checks whether the lead still confirms a topic.
 const CONFIRMED_PAUSE: Duration = Duration::from_millis(50);
 
 /// Follows the configuration.
@@ -51,7 +52,7 @@
     follow(&host, StoreTopic::Operators, &host.config_view, |_| Duration::ZERO).await;
 }
 
-/// Follows who leads.
+/// Follows the claims and renewals of leads.
 pub async fn follow_leads(host: Rc<CellBox>) {
     let pause = |host: &CellBox| match host.session.borrow().is_some() {
         true => Duration::ZERO,
@@ -83,7 +84,7 @@
 ) {
     let mut failing = false;
     loop {
-        // Who led last tells whether this box has to read the jobs.
+        // Whether this box has to read the jobs depends on who led last.
         let lead_unknown = host.lead_view.offset.get().is_none();
         let defers_reading =
             is_cell_topic(topic) && (lead_unknown || host.defers_reads() || host.queries_lead());
@@ -124,7 +125,8 @@
     }
 }
 
-/// Waits before the next read. Who leads is read at once when that is in doubt.
+/// Waits before the next read. If the newest lead record may be out of date, the leads topic is
+/// read at once.
 async fn pause_reading(host: &CellBox, topic: StoreTopic, pause: Duration) {
     tokio::select! {
         () = tokio::time::sleep(pause) => {}
@@ -132,14 +134,15 @@
     }
 }
 
-/// Reads a topic up to an offset at once, whatever else follows it.
+/// Reads a topic up to offset `end` without waiting for further records.
 pub async fn catch_up(host: &CellBox, topic: StoreTopic, end: u64) -> Result<(), CallError> {
     let Some(view) = host.view(topic) else { return Ok(()) };
-    // The store may forget its history at any moment, also between two reads. A catch-up that took this for its
-    // end left a new lead without the last records, and it began tasks that ran already.
+    // The store may drop old records at any moment, also between two reads. When a catch-up took
+    // this for the end of the topic, a new lead missed the last records and started tasks that were
+    // already running.
     loop {
         match view.offset.get() {
-            // The newest records hold all that was appended before.
+            // The newest records include everything that was appended before.
             None => drop(read_newest(host, topic, view).await?),
             Some(offset) if offset < end => {
                 read_from(host, topic, view, offset, Duration::ZERO).await?;
@@ -149,7 +152,7 @@
     }
 }
 
-/// Reads a topic at once up to where it ends now. What is appended meanwhile is not waited for.
+/// Reads a topic up to its present end. Does not wait for records that are appended meanwhile.
 pub async fn catch_up_now(host: &CellBox, topic: StoreTopic) -> Result<(), CallError> {
     let Some(view) = host.view(topic) else { return Ok(()) };
     let end = match view.offset.get() {
@@ -159,7 +162,8 @@
     catch_up(host, topic, end).await
 }
 
-/// Whether a box has to read a topic itself. What the lead proves to be known needs no reading.
+/// Returns whether this box has to read a topic itself. A view that the lead confirms as complete
+/// need not be read.
 fn must_read(host: &CellBox, topic: StoreTopic, view: &TopicView) -> bool {
     let is_confirmable = match topic {
         StoreTopic::Jobs => host.session.borrow().is_none(),
@@ -169,13 +173,14 @@
     !(is_confirmable && view.is_confirmed() && view.offset.get().is_some())
 }
 
-/// Whether a topic holds what only the boxes write.
+/// Returns whether only boxes write to a topic.
 fn is_cell_topic(topic: StoreTopic) -> bool {
     matches!(topic, StoreTopic::Jobs | StoreTopic::Progress)
 }
 
-/// The lead passes on what it reads of the jobs. Each box reads the configuration by itself: passed on to
-/// 96 boxes, one of 256 KB would take a second of a link of 200 Mbit/s.
+/// Queues records of jobs and progress that the lead has read, to forward them to other boxes. Each
+/// box reads the configuration by itself: to forward a record of 256 KB to 96 boxes would fill a
+/// link of 200 Mbit/s for a second.
 fn forward_to_helpers(host: &CellBox, topic: StoreTopic, from: u64, records: &[KeyedRecord]) {
     if let Some(session) = &*host.session.borrow()
         && is_cell_topic(topic)
@@ -203,7 +208,8 @@
         }
     };
     if view.full_records.get() && view.offset.get().is_some_and(|read| read >= newest.end) {
-        // Another reading was faster. What it brought, and what came since, must not be undone by older records.
+        // Another reader was faster. Older records must not overwrite what it read, or what came
+        // later.
         return Ok(0);
     }
     for record in &newest.records {
@@ -218,25 +224,25 @@
     Ok(newest.records.len())
 }
 
-/// The jobs of which there are records.
+/// Returns the jobs that have at least one record.
 fn recorded_jobs(records: &[KeyedRecord]) -> HashSet<JobId> {
     let decoded = records.iter().map(|record| CellRecord::decode_key(&record.key));
     decoded.filter_map(|key| key.ok().map(|(_, id)| id)).collect()
 }
 
-/// The session of a lead that reads a topic by way of another box. A lead decides by the configuration, so
-/// that goes the same way as the jobs.
+/// Returns the session of a lead that reads a topic through another box. This includes the
+/// configuration, since the lead's decisions depend on it.
 fn relaying_session(host: &CellBox, topic: StoreTopic) -> Option<Rc<LeadSession>> {
     let session = host.session.borrow().clone()?;
     let is_relayed = is_cell_topic(topic) || topic == StoreTopic::Operators;
     (is_relayed && session.is_relaying()).then_some(session)
 }
 
-/// What one read brought.
+/// The result of one read.
 struct ReadProgress {
-    /// How many records.
+    /// The number of records read.
     records: usize,
-    /// Where the topic ended.
+    /// The offset at which the topic ended.
     end: u64,
 }
 
@@ -274,7 +280,7 @@
     match outcome {
         ReadOutcome::Gone => {
             info!(host.log, "topic history gone"; "topic" => ?topic, "offset" => offset);
-            // Unless another reading has come further meanwhile.
+            // Another reader may have read further meanwhile.
             if view.offset.get() == Some(offset) {
                 view.offset.set(None);
             }
@@ -283,7 +289,8 @@
         }
         ReadOutcome::Records { records, end } => {
             let next_offset = offset + records.len() as u64;
-            // Meanwhile the records may have come over the link, or have been written by this box.
+            // The records may meanwhile have arrived over the link, or have been written by this
+            // box.
             let known = view.offset.get().unwrap_or(offset).max(offset);
             let new = records.get((known - offset) as usize..).unwrap_or_default();
             for record in new {
@@ -293,7 +300,8 @@
                 forward_to_helpers(host, topic, known, new);
                 view.offset.set(Some(next_offset));
             }
-            // An empty answer was sent when the wait was over; it may have been read much later.
+            // The store sent an empty answer at the end of the wait; it may have been received much
+            // later.
             let is_long_poll = records.is_empty() && relayed.is_none();
             let complete_after = if is_long_poll { wait } else { Duration::ZERO };
             if is_long_poll {
@@ -309,7 +317,7 @@
     }
 }
 
-/// When the connection of a read is doubted.
+/// Returns the time after which the connection of an unanswered read is suspected to be silent.
 fn connection_suspect_delay(host: &CellBox) -> Duration {
     host.store_timeout.borrow().limit()
 }
