--- a/crates/sedgehilld/src/cell/worker_watch.rs
+++ b/crates/sedgehilld/src/cell/worker_watch.rs
@@ -1,4 +1,8 @@
-//! Follows the workers of the cell: which there are, what runs there, and their leases.
+//! Follows the workers of the cell: reads the worker list, renews the worker leases and requests
+//! their reports.
+//!
+//! A worker answers a hold call with a report of its runs. The call renews the worker's lease, and
+//! may wait at the worker until a run ends.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,19 +20,19 @@
 use super::state::CellBox;
 use crate::{clock, telemetry};
 
-/// Time between two readings of the list. A leaving worker is seen within it.
+/// Interval between two reads of the worker list. A leaving worker is noticed within it.
 const LIST_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a reading of the list may take.
+/// Timeout of a read of the worker list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after an account that failed for the second time in a row, or more often.
+/// Pause after the second hold call in a row that failed, and after each further one.
 const FAILED_HOLD_PAUSE: Duration = Duration::from_millis(100);
-/// The most doublings of that pause where nobody has answered to this life yet: the address may be that of
-/// anything, and each look is paid for.
+/// The most doublings of that pause for a worker that has not answered any lead yet: its address
+/// may belong to something else, and each call has a cost.
 const MAX_STRANGER_DOUBLINGS: u32 = 3;
-/// Pause after an account: ends that come together are read together.
+/// Pause after a hold call. Runs that end at the same time then share a report.
 const HOLD_PAUSE: Duration = Duration::from_millis(10);
 
-/// Reads the list again and again, and watches each worker on it.
+/// Reads the worker list periodically, and watches each worker on it.
 pub async fn run(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
     let roster = host.replica.borrow().roster().clone();
     let listed = session.scheduler.borrow_mut().add_roster(&roster, clock::now());
@@ -56,7 +60,8 @@
     }
 }
 
-/// Where others than workers answer, as far as this box knows.
+/// Returns the addresses that this box knows to belong to other services, so that list entries that
+/// name them are rejected.
 fn reserved_addresses(host: &CellBox) -> Vec<SocketAddr> {
     let listen = &host.settings.listen;
     let own_addresses =
@@ -64,7 +69,7 @@
     own_addresses.into_iter().chain(host.settings.advice).collect()
 }
 
-/// Tells once of each entry that it cannot be read, and once that it can again or is gone.
+/// Logs each entry once when it becomes unreadable, and once when it is readable again or gone.
 fn log_unreadable_entries(host: &CellBox, reading: &ListReading) {
     for (worker, error) in &reading.worse {
         telemetry::count_unreadable_entry(error.name());
@@ -81,7 +86,7 @@
     }
 }
 
-/// Renews a worker's lease and reads its accounts for as long as it is of interest.
+/// Renews a worker's lease and requests its reports for as long as the scheduler watches it.
 async fn watch_worker(host: Rc<CellBox>, session: Rc<LeadSession>, key: WorkerKey) {
     let target = worker_target(&session, key);
     let mut failures = 0;
@@ -94,7 +99,8 @@
             continue;
         }
         let order = next_hold_order(&host, &session, key);
-        // A process that stands still after the look at the term must not ask for a lease beyond it.
+        // The process may have been suspended since the first check, and must not request a lease
+        // that outlasts its term.
         if !session.may_order(&host) {
             continue;
         }
@@ -109,7 +115,7 @@
     }
 }
 
-/// How long to wait before the next account, after so many failed ones in a row.
+/// Returns the pause before the next hold call, after `failures` failed calls in a row.
 fn hold_pause(failures: u32, is_stranger: bool) -> Duration {
     let doublings =
         if is_stranger { failures.saturating_sub(2).min(MAX_STRANGER_DOUBLINGS) } else { 0 };
@@ -119,7 +125,7 @@
     }
 }
 
-/// Asks a worker for its account at once, without waiting for an end.
+/// Requests the report of a worker without waiting for a run to end.
 pub async fn poll_worker(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
@@ -138,8 +144,8 @@
     session.scheduler.borrow_mut().hold_order(key, store_answers, clock::now())
 }
 
-/// Asks a worker for its account and takes it in, also when it comes late. Returns whether it came in
-/// time.
+/// Requests the report of a worker and applies it, even if it comes late. Returns whether it came
+/// in time.
 async fn request_report(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
@@ -170,7 +176,8 @@
     };
     let answer = tokio::select! {
         answer = late_answer::wait_or_detach(calling, waiting_limits, apply_late) => answer,
-        // Asked again on a new connection, the worker may answer at once.
+        // The connection fell silent and was replaced; on the new one the worker may answer at
+        // once.
         () = host.clients.http.wait_for_silence(target.address) => return true,
     };
     let answer = answer.unwrap_or(WorkerAnswer::Unknown);
@@ -179,7 +186,8 @@
     answered
 }
 
-/// Takes in what came of a call for an account. If another life answered, that is asked from now on.
+/// Applies the outcome of a hold call. If another life of the worker answered, starts to watch that
+/// life.
 fn apply_report(
     host: &Rc<CellBox>,
     session: &Rc<LeadSession>,
@@ -193,7 +201,7 @@
     session.wake.notify_one();
 }
 
-/// Where a worker takes orders.
+/// Returns the address and the life to which the orders for a worker are sent.
 pub fn worker_target(session: &LeadSession, key: WorkerKey) -> WorkerTarget {
     let scheduler = session.scheduler.borrow();
     let entry = scheduler.entry(key);
