--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -14,7 +14,7 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use sedgehill_adapter::api_key::decode_key;
 use sedgehill_adapter::caller::{
-    CallerAnswer, CallerRequest, decode_patience, decode_request, decode_submission, encode_answer,
+    CallerAnswer, CallerRequest, decode_request, decode_submission, decode_timeout, encode_answer,
     encode_ready,
 };
 use sedgehill_adapter::config::{CellConfig, QueueRoute};
@@ -92,12 +92,12 @@
             false => CallerAnswer::NotDone(RETRY_AFTER),
         };
     };
-    let timeout = decode_patience(&parts.headers).unwrap_or(DEFAULT_CALL_TIMEOUT);
+    let timeout = decode_timeout(&parts.headers).unwrap_or(DEFAULT_CALL_TIMEOUT);
     let timeout = timeout.saturating_sub(ANSWER_RESERVE).min(MAX_SUBMIT_TIMEOUT);
     let caller = match identify(host, &config, route, &parts.headers) {
         Ok(caller) => caller,
         Err(answer) => {
-            drain_body(body, config.body_bytes).await;
+            drain_body(body, config.max_body_bytes).await;
             telemetry::count_caller_answer("refused", answer.name());
             info!(host.log, "call refused"; "method" => %parts.method, "queue" => %route.queue,
                 "config" => config.version, "config_age_ms" => config_age_ms(host), "answer" => ?answer);
@@ -250,7 +250,7 @@
 ) -> CallerAnswer {
     let host = &context.host;
     let JobSubmission { id, route, config, .. } = *submission;
-    let body_bytes = config.body_bytes;
+    let body_bytes = config.max_body_bytes;
     let receiving = Limited::new(body, body_bytes).collect();
     let body = match tokio::time::timeout(RECEIVE_TIMEOUT, receiving).await {
         Ok(Ok(body)) => body.to_bytes(),
--- a/crates/sedgehilld/src/cell/frames.rs
+++ b/crates/sedgehilld/src/cell/frames.rs
@@ -185,7 +185,7 @@
         question: HelperQuestion,
         /// The workers that may run the step, with their tickets; none if the service did not
         /// answer.
-        good: Option<Vec<(WorkerId, std::sync::Arc<str>)>>,
+        allowed: Option<Vec<(WorkerId, std::sync::Arc<str>)>>,
         /// How long the tickets are valid.
         valid: TimeSpan,
     },
--- a/crates/sedgehilld/src/cell/link_client.rs
+++ b/crates/sedgehilld/src/cell/link_client.rs
@@ -246,9 +246,9 @@
                 tokio::task::spawn_local(async move {
                     let answer = orders::query_advice_service(&host, &question).await;
                     let valid = answer.as_ref().map_or(TimeSpan(0), |answer| answer.valid);
-                    let good = answer.map(|answer| answer.good);
+                    let allowed = answer.map(|answer| answer.allowed);
                     // Without a link nobody waits for the answer.
-                    let _ = outbox.send(PeerFrame::Advice { question, good, valid }).await;
+                    let _ = outbox.send(PeerFrame::Advice { question, allowed, valid }).await;
                 });
             }
             PeerFrame::Submitted { number, outcome } => link.complete_submission(number, outcome),
--- a/crates/sedgehilld/src/cell/link_server.rs
+++ b/crates/sedgehilld/src/cell/link_server.rs
@@ -142,10 +142,10 @@
 ) {
     while let Ok(frame) = read_frame(&mut reader).await {
         match frame {
-            PeerFrame::Advice { question, good, valid } => {
+            PeerFrame::Advice { question, allowed, valid } => {
                 let asked_question =
                     AdviceQuestion { helper, step: question.step, workers: question.workers };
-                let answer = good.map(|good| AdviceAnswer { good, valid });
+                let answer = allowed.map(|allowed| AdviceAnswer { allowed, valid });
                 orders::deliver_advice(session, &asked_question, answer);
             }
             PeerFrame::Submit { number, job, record } => {
--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -152,11 +152,11 @@
     question: &AdviceQuestion,
     answer: Option<AdviceAnswer>,
 ) {
-    let (good, valid) = match answer {
-        Some(answer) => (Some(answer.good), answer.valid),
+    let (allowed, valid) = match answer {
+        Some(answer) => (Some(answer.allowed), answer.valid),
         None => (None, TimeSpan(0)),
     };
-    session.scheduler.borrow_mut().advice_answered(question, good, valid, clock::now());
+    session.scheduler.borrow_mut().advice_answered(question, allowed, valid, clock::now());
     session.wake.notify_one();
 }
 
--- a/crates/sedgehilld/src/cell/relay.rs
+++ b/crates/sedgehilld/src/cell/relay.rs
@@ -320,7 +320,7 @@
             .await
             .map(RelayAnswer::Read),
         RelayCall::Newest(topic) => {
-            store.newest(topic, READ_TIMEOUT).await.map(RelayAnswer::Newest)
+            store.read_newest(topic, READ_TIMEOUT).await.map(RelayAnswer::Newest)
         }
     };
     result.unwrap_or_else(|error| RelayAnswer::Failed(error.to_string()))
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -10,7 +10,7 @@
 use sedgehill_adapter::error::CallError;
 use sedgehill_adapter::http_client::HttpClient;
 use sedgehill_adapter::store::{StoreClient, StoreTopic};
-use sedgehill_adapter::worker::{MalformedReport, WorkerClient};
+use sedgehill_adapter::worker::{MalformedHandler, WorkerClient};
 use sedgehill_cell::authority::LeadWatch;
 use sedgehill_cell::ids::{JobId, OrganisationName, QueueName};
 use sedgehill_cell::patience::{CallPatience, STORE_PATIENCE};
@@ -231,7 +231,7 @@
 const READ_DEFERRAL: TimeSpan = TimeSpan(2_500);
 
 /// Returns a handler that logs the unreadable answers of workers.
-fn malformed_report_logger(log: Logger) -> MalformedReport {
+fn malformed_report_logger(log: Logger) -> MalformedHandler {
     Rc::new(move |target, error| {
         warn!(log, "worker's answer not readable"; "worker" => %target.life, "address" => %target.address,
             "error" => %error);
@@ -242,7 +242,8 @@
     /// Creates the state of a box that has read nothing yet.
     pub fn new(settings: CellSettings, log: Logger) -> CellBox {
         let life = rand::random();
-        let http = HttpClient::with_idle(settings.descriptors / DESCRIPTORS_PER_IDLE_CONNECTION);
+        let http =
+            HttpClient::with_max_idle(settings.descriptors / DESCRIPTORS_PER_IDLE_CONNECTION);
         let clients = PlatformClients {
             store: StoreClient::new(http.clone(), settings.store),
             workers: WorkerClient::new(http.clone(), malformed_report_logger(log.clone())),
--- a/crates/sedgehilld/src/cell/submission.rs
+++ b/crates/sedgehilld/src/cell/submission.rs
@@ -214,7 +214,7 @@
             }
             Err(error) => {
                 warn!(host.log, "append failed"; "records" => records.len(), "error" => %error);
-                maybe_done |= !error.is_surely_not_done();
+                maybe_done |= !error.is_not_done();
                 if !maybe_done {
                     return SubmissionOutcome::NotDone;
                 }
--- a/crates/sedgehilld/src/cell/worker_watch.rs
+++ b/crates/sedgehilld/src/cell/worker_watch.rs
@@ -10,7 +10,7 @@
 
 use sedgehill_adapter::store::StoreTopic;
 use sedgehill_adapter::worker::WorkerTarget;
-use sedgehill_adapter::worker_list::{ListReader, ListReading};
+use sedgehill_adapter::worker_list::{EntryReader, EntryReading};
 use sedgehill_cell::scheduler::{HoldOrder, HoldReport, WorkerAnswer, WorkerKey};
 use sedgehill_core::units::{Moment, TimeSpan};
 use slog::{info, warn};
@@ -37,17 +37,17 @@
     let roster = host.replica.borrow().roster().clone();
     let listed = session.scheduler.borrow_mut().add_roster(&roster, clock::now());
     spawn_watches(host, session, listed);
-    let mut reader = ListReader::new(reserved_addresses(host));
+    let mut reader = EntryReader::new(reserved_addresses(host));
     loop {
         let result = match session.is_relaying() {
             true => session.newest_relayed(StoreTopic::Workers).await,
-            false => host.clients.store.newest(StoreTopic::Workers, LIST_TIMEOUT).await,
+            false => host.clients.store.read_newest(StoreTopic::Workers, LIST_TIMEOUT).await,
         };
         match result {
             Ok(newest) => {
                 let reading = reader.read(&newest.records);
                 log_unreadable_entries(host, &reading);
-                let ListReading { entries, unreadable, .. } = reading;
+                let EntryReading { entries, unreadable, .. } = reading;
                 let now = clock::now();
                 let added =
                     session.scheduler.borrow_mut().update_workers(entries, &unreadable, now);
@@ -70,12 +70,12 @@
 }
 
 /// Logs each entry once when it becomes unreadable, and once when it is readable again or gone.
-fn log_unreadable_entries(host: &CellBox, reading: &ListReading) {
-    for (worker, error) in &reading.worse {
+fn log_unreadable_entries(host: &CellBox, reading: &EntryReading) {
+    for (worker, error) in &reading.newly_unreadable {
         telemetry::count_unreadable_entry(error.name());
         warn!(host.log, "worker entry not readable"; "worker" => worker, "error" => %error);
     }
-    for worker in &reading.mended {
+    for worker in &reading.recovered {
         info!(host.log, "worker entry readable or gone"; "worker" => worker);
     }
 }
@@ -111,7 +111,7 @@
     }
     session.scheduler.borrow_mut().unwatch(key);
     if !session.scheduler.borrow().watches_address(target.address) {
-        host.clients.http.forget(target.address);
+        host.clients.http.close_idle(target.address);
     }
 }
 
@@ -178,7 +178,7 @@
         answer = late_answer::wait_or_detach(calling, waiting_limits, apply_late) => answer,
         // The connection fell silent and was replaced; on the new one the worker may answer at
         // once.
-        () = host.clients.http.wait_for_silence(target.address) => return true,
+        () = host.clients.http.wait_for_replacement(target.address) => return true,
     };
     let answer = answer.unwrap_or(WorkerAnswer::Unknown);
     let answered = matches!(answer, WorkerAnswer::Done(_));
