--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -16,7 +16,8 @@
 
 use super::state::CellBox;
 
-/// Timeout of each copy that this box sends. A slow store may delay appends for two seconds.
+/// Minimum timeout of each copy that this box sends. A slow store may delay appends for two
+/// seconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long the second copy, which uses a new connection, is waited for before a third is sent, as
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -200,8 +200,8 @@
 
 /// Returns a rank that spreads the claims of several boxes in time.
 fn claim_rank(host: &CellBox) -> u64 {
-    const RANKS: u64 = 8;
-    host.life % RANKS
+    const RANK_COUNT: u64 = 8;
+    host.life % RANK_COUNT
 }
 
 async fn claim(host: &CellBox) -> bool {
--- a/crates/sedgehilld/src/cell/link_client.rs
+++ b/crates/sedgehilld/src/cell/link_client.rs
@@ -120,6 +120,8 @@
     newest.peer_address.parse().ok()
 }
 
+/// Serves a link to the lead until it is lost or another box leads. A connection that fell silent is
+/// replaced.
 async fn serve_connection(
     host: &Rc<CellBox>,
     stream: TcpStream,
@@ -189,6 +191,7 @@
         .map_err(|_| silent())?
 }
 
+/// Sends queued frames and regular probes.
 async fn send_frames(
     host: &CellBox,
     link: &LeadLink,
@@ -214,6 +217,7 @@
     }
 }
 
+/// Handles the frames of the lead until the connection has to be replaced or another box leads.
 async fn receive_frames(
     host: &Rc<CellBox>,
     link: &LeadLink,
@@ -333,12 +337,12 @@
         return;
     }
     let (from, end) = (summary.from, summary.end);
-    let follows = match view.offset.get() {
+    let continues = match view.offset.get() {
         Some(known) => (from..end).contains(&known),
         // The summary starts at the first record of the topic.
         None => from == 0 && !view.full_records.get(),
     };
-    if !follows {
+    if !continues {
         return;
     }
     for brief in summary.jobs {
--- a/crates/sedgehilld/src/cell/link_server.rs
+++ b/crates/sedgehilld/src/cell/link_server.rs
@@ -1,5 +1,7 @@
-//! The lead's side of the links. Each other box keeps one link to the lead, see
-//! [`super::link_client`].
+//! The lead's side of the links.
+//!
+//! Each other box keeps one link to the lead, see [`super::link_client`]. It is a helper of the lead:
+//! it queries the advice service and relays calls to the store on the lead's behalf.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,6 +58,7 @@
     }
 }
 
+/// Serves the link of one box until it ends.
 async fn serve_helper(
     host: Rc<CellBox>,
     session: Rc<LeadSession>,
--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -128,7 +128,7 @@
             return Some(SubmissionOutcome::NotDone);
         }
         if self.append_stuck.get() {
-            return Some(self.refusal_of(job));
+            return Some(self.refusal_outcome(job));
         }
         let record = match record {
             CellRecord::Job(record) => CellRecord::Led(record.clone()),
@@ -153,7 +153,7 @@
 
     /// Returns the outcome of a submission that is refused while an append is stuck. If the stuck
     /// append holds the same job, the store may still keep it.
-    fn refusal_of(&self, job: JobId) -> SubmissionOutcome {
+    fn refusal_outcome(&self, job: JobId) -> SubmissionOutcome {
         match self.in_flight_owners.borrow().contains_key(&job) {
             true => SubmissionOutcome::Unknown,
             false => SubmissionOutcome::StoreAway,
@@ -164,7 +164,7 @@
     fn refuse_queued(&self) {
         self.append_stuck.set(true);
         for submission in self.submissions.take() {
-            let outcome = self.refusal_of(submission.job);
+            let outcome = self.refusal_outcome(submission.job);
             // A caller that no longer waits will retry.
             let _ = submission.reply.send(outcome);
         }
@@ -213,7 +213,9 @@
         let mut records = Vec::new();
         if let Some(batch) = &self.progress {
             let progress = |progress: &JobProgress| CellRecord::Progress(progress.clone());
-            records.extend(batch.jobs.iter().map(|(id, kept)| record(*id, &progress(kept))));
+            records.extend(
+                batch.jobs.iter().map(|(id, job_progress)| record(*id, &progress(job_progress))),
+            );
             records.extend(batch.roster.iter().map(|roster| KeyedRecord {
                 key: WorkerRoster::KEY.to_owned(),
                 value: roster.encode().into(),
@@ -231,10 +233,10 @@
 /// has ended, and the state of the job after the time set by `keep_ended`. So a box that starts
 /// reads little more than the open jobs.
 fn dropped_keys(host: &CellBox, progress: Option<&ProgressBatch>) -> Vec<String> {
-    let key = |kind: char, id: JobId| format!("{kind}{id}");
+    let key = |prefix: char, id: JobId| format!("{prefix}{id}");
     let replica = host.replica.borrow();
     let jobs = progress.iter().flat_map(|batch| &batch.jobs);
-    let ended = jobs.filter(|(_, kept)| kept.state.is_final()).map(|(id, _)| *id);
+    let ended = jobs.filter(|(_, job_progress)| job_progress.state.is_final()).map(|(id, _)| *id);
     let led = ended.filter(|id| replica.job(*id).is_some_and(|job| job.led));
     let mut keys: Vec<String> = led.map(|id| key(CellRecord::LED_KEY, id)).collect();
     let limit = Moment(clock::now().0.saturating_sub(host.settings.keep_ended.0));
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -67,8 +67,8 @@
 
 /// Records in the store that this box gives no further orders.
 async fn resign(host: &CellBox, token: FencingToken) {
-    const TRIES: usize = 5;
-    for _ in 0..TRIES {
+    const MAX_TRIES: usize = 5;
+    for _ in 0..MAX_TRIES {
         let newest = host.watch.borrow().newest().cloned();
         let Some(end) = lead_topic_end(host) else { return };
         let Some(record) = newest.filter(|newest| newest.token == token) else { return };
--- a/crates/sedgehilld/src/cell/settings.rs
+++ b/crates/sedgehilld/src/cell/settings.rs
@@ -72,7 +72,8 @@
 /// not ready: two readiness checks a second apart, and 0.3 s for connections that are being made.
 const BALANCER_LAG: TimeSpan = TimeSpan(2_300);
 
-/// How long after a worker is listed with a smaller size tasks may still be started by its earlier
+/// The default of the setting `size_known`: how long after a worker is listed with a smaller size
+/// tasks may still be started by its earlier
 /// size.
 const DEFAULT_SIZE_KNOWN: TimeSpan = TimeSpan(3_000);
 /// The longest usual time that an order takes to reach a worker.
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -287,8 +287,8 @@
     /// Returns how much later than usual a record arrives by way of the store: the time of an
     /// append, of a read, and of the read that was under way before.
     pub fn store_lag(&self) -> TimeSpan {
-        const CALLS: u64 = 3;
-        TimeSpan(CALLS * self.store_timeout.borrow().usual().as_millis() as u64)
+        const CALLS_PER_RECORD: u64 = 3;
+        TimeSpan(CALLS_PER_RECORD * self.store_timeout.borrow().usual().as_millis() as u64)
     }
 
     /// Returns whether the platform should send callers to this box.
--- a/crates/sedgehilld/src/cell/topic_follower.rs
+++ b/crates/sedgehilld/src/cell/topic_follower.rs
@@ -76,6 +76,8 @@
     follow(&host, StoreTopic::Progress, &host.progress_view, pause).await;
 }
 
+/// Follows a topic: reads the newest records first, then the records from the known offset on. Pauses
+/// after each read that returned records.
 async fn follow(
     host: &CellBox,
     topic: StoreTopic,
@@ -189,13 +191,14 @@
     }
 }
 
+/// Reads and applies the newest record of each key of a topic. Returns the number of records.
 async fn read_newest(
     host: &CellBox,
     topic: StoreTopic,
     view: &TopicView,
 ) -> Result<usize, CallError> {
     let sent = clock::now();
-    let known_led = match topic {
+    let known_ids = match topic {
         StoreTopic::Progress => host.replica.borrow().led_ids(),
         _ => Vec::new(),
     };
@@ -215,7 +218,7 @@
     for record in &newest.records {
         apply(host, topic, record);
     }
-    host.replica.borrow_mut().forget_dropped(&known_led, &recorded_jobs(&newest.records));
+    host.replica.borrow_mut().forget_dropped(&known_ids, &recorded_jobs(&newest.records));
     view.offset.set(Some(newest.end));
     view.full_records.set(true);
     view.note_complete(sent);
@@ -246,6 +249,7 @@
     end: u64,
 }
 
+/// Reads a topic from `offset` on, and applies the records that are not known yet.
 async fn read_from(
     host: &CellBox,
     topic: StoreTopic,
@@ -291,13 +295,13 @@
             let next_offset = offset + records.len() as u64;
             // The records may meanwhile have arrived over the link, or have been written by this
             // box.
-            let known = view.offset.get().unwrap_or(offset).max(offset);
-            let new = records.get((known - offset) as usize..).unwrap_or_default();
-            for record in new {
+            let known_end = view.offset.get().unwrap_or(offset).max(offset);
+            let new_records = records.get((known_end - offset) as usize..).unwrap_or_default();
+            for record in new_records {
                 apply(host, topic, record);
             }
-            if next_offset > known {
-                forward_to_helpers(host, topic, known, new);
+            if next_offset > known_end {
+                forward_to_helpers(host, topic, known_end, new_records);
                 view.offset.set(Some(next_offset));
             }
             // The store sent an empty answer at the end of the wait; it may have been received much
@@ -308,7 +312,7 @@
                 let took = Duration::from_millis(clock::now().since(sent).0);
                 host.store_timeout.borrow_mut().note_answer(took.saturating_sub(wait));
             }
-            if next_offset.max(known) >= end {
+            if next_offset.max(known_end) >= end {
                 let complete_at = sent.after(TimeSpan(complete_after.as_millis() as u64));
                 view.note_complete(complete_at.min(clock::now()));
             }
--- a/crates/sedgehilld/src/cell/worker_watch.rs
+++ b/crates/sedgehilld/src/cell/worker_watch.rs
@@ -28,7 +28,7 @@
 const FAILED_HOLD_PAUSE: Duration = Duration::from_millis(100);
 /// The most doublings of that pause for a worker that has not answered any lead yet: its address
 /// may belong to something else, and each call has a cost.
-const MAX_STRANGER_DOUBLINGS: u32 = 3;
+const MAX_UNANSWERED_DOUBLINGS: u32 = 3;
 /// Pause after a hold call. Runs that end at the same time then share a report.
 const HOLD_PAUSE: Duration = Duration::from_millis(10);
 
@@ -106,8 +106,8 @@
         }
         let answered = request_report(&host, &session, &target, key, order).await;
         failures = if answered { 0 } else { failures + 1 };
-        let is_stranger = session.scheduler.borrow().is_stranger(key);
-        tokio::time::sleep(hold_pause(failures, is_stranger)).await;
+        let never_answered = session.scheduler.borrow().is_stranger(key);
+        tokio::time::sleep(hold_pause(failures, never_answered)).await;
     }
     session.scheduler.borrow_mut().unwatch(key);
     if !session.scheduler.borrow().watches_address(target.address) {
@@ -116,9 +116,9 @@
 }
 
 /// Returns the pause before the next hold call, after `failures` failed calls in a row.
-fn hold_pause(failures: u32, is_stranger: bool) -> Duration {
+fn hold_pause(failures: u32, never_answered: bool) -> Duration {
     let doublings =
-        if is_stranger { failures.saturating_sub(2).min(MAX_STRANGER_DOUBLINGS) } else { 0 };
+        if never_answered { failures.saturating_sub(2).min(MAX_UNANSWERED_DOUBLINGS) } else { 0 };
     match failures {
         0 | 1 => HOLD_PAUSE,
         _ => FAILED_HOLD_PAUSE * 2u32.pow(doublings),
