--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -61,7 +61,7 @@
 
 /// Returns the answer that is sent when an idle connection is closed, in case a call crosses it:
 /// nothing was done, retry later.
-pub fn idle_close_answer() -> Response<Full<Bytes>> {
+pub fn build_idle_response() -> Response<Full<Bytes>> {
     encode_answer(&CallerAnswer::NotDone(RETRY_AFTER))
 }
 
--- a/crates/sedgehilld/src/cell/events.rs
+++ b/crates/sedgehilld/src/cell/events.rs
@@ -90,7 +90,7 @@
 fn log_event(log: &Logger, token: FencingToken, event: &CellEvent) {
     match event {
         CellEvent::Placed { task, run, worker, waited, ticket_left, earlier, without_run } => {
-            info!(log, "placed"; EarlierField(*earlier), "token" => %token,
+            info!(log, "placed"; SettlementField(*earlier), "token" => %token,
                 "task" => %task, "run" => run.0, "worker" => %worker,
                 "waited_ms" => waited.0, "ticket_left_ms" => ticket_left.map(|left| left.0),
                 "without_run_ms" => without_run.map(|span| span.0));
@@ -108,7 +108,7 @@
                 "reason" => reason);
         }
         CellEvent::RunLost { task, run, worker, cause } => {
-            info!(log, "run lost"; "token" => %token, CauseFields(cause), "task" => %task, "run" => run.0,
+            info!(log, "run lost"; "token" => %token, LossCauseFields(cause), "task" => %task, "run" => run.0,
                 "worker" => %worker, "reason" => cause.name());
         }
         CellEvent::LossOpen { task, run, worker } => {
@@ -137,7 +137,7 @@
             info!(log, "run adopted"; "token" => %token, "task" => %task, "run" => run.0, "worker" => %worker);
         }
         CellEvent::Unwanted { task, run, worker, belief } => {
-            info!(log, "run not wanted"; "token" => %token, BeliefFields(belief), "task" => %task, "run" => run.0,
+            info!(log, "run not wanted"; "token" => %token, KnownStateFields(belief), "task" => %task, "run" => run.0,
                 "worker" => %worker);
         }
         CellEvent::Asked { step, named, helper } => {
@@ -213,9 +213,9 @@
 }
 
 /// Log field with how the orders of earlier leads were settled; empty if there can have been none.
-struct EarlierField(Option<EarlierSettled>);
+struct SettlementField(Option<EarlierSettled>);
 
-impl KV for EarlierField {
+impl KV for SettlementField {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         match self.0 {
             Some(earlier) => serializer.emit_str("earlier_settled", earlier.name()),
@@ -225,9 +225,9 @@
 }
 
 /// Log fields with the reason why a run counts as lost.
-struct CauseFields<'a>(&'a LossCause);
+struct LossCauseFields<'a>(&'a LossCause);
 
-impl KV for CauseFields<'_> {
+impl KV for LossCauseFields<'_> {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         match self.0 {
             LossCause::LeaseEnded(reading) => {
@@ -250,9 +250,9 @@
 }
 
 /// Log fields with what the lead knows of a task of which a worker lists an unwanted run.
-struct BeliefFields<'a>(&'a TaskBelief);
+struct KnownStateFields<'a>(&'a TaskBelief);
 
-impl KV for BeliefFields<'_> {
+impl KV for KnownStateFields<'_> {
     fn serialize(&self, _: &Record<'_>, serializer: &mut dyn Serializer) -> slog::Result {
         match self.0 {
             TaskBelief::Placed { run, worker, answered } => {
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -253,7 +253,7 @@
         let connections = ConnectionDesk::new(
             log.clone(),
             callers::CONNECTION_LIMITS,
-            callers::idle_close_answer,
+            callers::build_idle_response,
         );
         let watch = LeadWatch::new(settings.name.clone(), life, settings.strength, clock::now());
         CellBox {
