--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -49,7 +49,7 @@
 /// Pause after the operating system could not accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the handling of a call needs.
+/// The state that the handlers of calls share.
 struct CallContext {
     host: Rc<CellBox>,
     submissions: SubmissionHandle,
--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -46,7 +46,7 @@
     pub condition: &'a AppendCondition,
 }
 
-/// Which copy of an append was answered.
+/// The copy of an append that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnsweredCopy {
     /// The first copy, sent by this box.
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -84,7 +84,7 @@
     pub append_stuck: Cell<bool>,
     /// The strengths of the linked boxes.
     pub helper_strengths: RefCell<HashMap<HelperId, BoxStrength>>,
-    /// Which linked boxes stand by to lead.
+    /// The linked boxes that stand by to lead.
     pub standbys: RefCell<StandbySet>,
     /// Since when a much stronger box has been linked.
     pub stronger_helper_since: Cell<Option<Moment>>,
--- a/crates/sedgehilld/src/cell/lead_log.rs
+++ b/crates/sedgehilld/src/cell/lead_log.rs
@@ -10,7 +10,7 @@
 use super::state::CellBox;
 use crate::{clock, telemetry};
 
-/// Why a box claimed the lead.
+/// The reason for a claim of the lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClaimReason {
     /// There was no lead before.
@@ -43,7 +43,7 @@
     }
 }
 
-/// Why a lead ended.
+/// The reason for the end of a lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadEndReason {
     /// The box is stopping.
@@ -76,7 +76,7 @@
     }
 }
 
-/// What a box knew of the previous lead when it claimed the lead.
+/// The knowledge that a box had of the previous lead when it claimed the lead.
 #[derive(Debug)]
 pub struct ClaimContext {
     predecessor: Option<LeadRecord>,
--- a/crates/sedgehilld/src/cell/link_client.rs
+++ b/crates/sedgehilld/src/cell/link_client.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// Why a connection to the lead is no longer used.
+/// The reason why a connection to the lead is no longer used.
 enum LinkEnd {
     /// Another box leads.
     OtherLead,
--- a/crates/sedgehilld/src/cell/settings.rs
+++ b/crates/sedgehilld/src/cell/settings.rs
@@ -17,13 +17,13 @@
 /// The addresses on which a box listens in cell mode.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListenAddresses {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For the platform's readiness checks.
+    /// The address for the platform's readiness checks.
     pub ready: SocketAddr,
-    /// For the links of other boxes.
+    /// The address for the links of other boxes.
     pub peers: SocketAddr,
-    /// For metrics, in the text format of Prometheus.
+    /// The address for metrics, in the text format of Prometheus.
     pub metrics: SocketAddr,
 }
 
@@ -73,8 +73,7 @@
 const BALANCER_LAG: TimeSpan = TimeSpan(2_300);
 
 /// The default of the setting `size_known`: how long after a worker is listed with a smaller size
-/// tasks may still be started by its earlier
-/// size.
+/// tasks may still be started by its earlier size.
 const DEFAULT_SIZE_KNOWN: TimeSpan = TimeSpan(3_000);
 /// The longest usual time that an order takes to reach a worker.
 const MAX_ORDER_DELAY: TimeSpan = TimeSpan(200);
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -32,7 +32,7 @@
 /// often.
 const MAX_FRESH_AGE: TimeSpan = TimeSpan(1_800);
 
-/// How far a topic was read, and when it was last read to its end.
+/// Tracks how far a topic was read, and when that was last its end.
 #[derive(Debug, Default)]
 pub struct TopicView {
     /// The offset to read next; none before the first read.
@@ -101,7 +101,7 @@
 /// box. Reads wait up to half a second at the store.
 const DOUBTFUL_AFTER: TimeSpan = TimeSpan(750);
 
-/// When the store last answered this box.
+/// Tracks when the store last answered this box.
 #[derive(Debug)]
 pub struct StoreContact {
     last_answer: Cell<Moment>,
@@ -186,11 +186,11 @@
     pub jobs_view: TopicView,
     /// How current the progress of jobs is.
     pub progress_view: TopicView,
-    /// When the store last answered.
+    /// Tracks when the store last answered.
     pub store_contact: StoreContact,
     /// The timeout of calls to the store, learned from its answers.
     pub store_timeout: RefCell<CallPatience>,
-    /// Which box leads.
+    /// Tracks which box leads.
     pub watch: RefCell<LeadWatch>,
     /// How current the knowledge of the lead is.
     pub lead_view: TopicView,
