--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -32,7 +32,7 @@
 /// often.
 const MAX_FRESH_AGE: TimeSpan = TimeSpan(1_800);
 
-/// Tracks how far a topic was read, and when that was last its end.
+/// Tracks how far a topic was read, and when it was last known to be complete.
 #[derive(Debug, Default)]
 pub struct TopicView {
     /// The offset to read next; none before the first read.
