--- a/crates/sedgehilld/src/cell/apply.rs
+++ b/crates/sedgehilld/src/cell/apply.rs
@@ -1,5 +1,5 @@
-//! Takes in records of the store's topics, wherever they come from: a read, the link to the lead, or this
-//! box's own appends.
+//! Applies records of the store's topics to the state of the box, whether they come from a read,
+//! from the link to the lead, or from an append of this box.
 
 use std::rc::Rc;
 
@@ -14,18 +14,18 @@
 use super::state::CellBox;
 use crate::clock;
 
-/// Takes in a record of a topic.
+/// Applies a record of a topic.
 pub fn apply(host: &CellBox, topic: StoreTopic, record: &KeyedRecord) {
     match topic {
         StoreTopic::Operators if is_config(record) => apply_config(host, record.value.clone()),
         StoreTopic::Operators => {}
-        StoreTopic::Leads => apply_lead(host, record),
-        StoreTopic::Jobs | StoreTopic::Progress => apply_cell(host, record),
+        StoreTopic::Leads => apply_lead_record(host, record),
+        StoreTopic::Jobs | StoreTopic::Progress => apply_cell_record(host, record),
         StoreTopic::Workers => {}
     }
 }
 
-/// Takes in the record of a configuration. An older one than that in force changes nothing.
+/// Applies a record of the configuration. A version older than the one in force changes nothing.
 pub fn apply_config(host: &CellBox, record: Bytes) {
     match decode_config(&record) {
         Ok(config) if config.version > host.config.borrow().version => {
@@ -40,7 +40,7 @@
     }
 }
 
-fn apply_lead(host: &CellBox, record: &KeyedRecord) {
+fn apply_lead_record(host: &CellBox, record: &KeyedRecord) {
     match LeadRecord::decode(&record.value) {
         Ok(lead) => {
             let changed = {
@@ -62,30 +62,30 @@
     }
 }
 
-fn apply_cell(host: &CellBox, record: &KeyedRecord) {
+fn apply_cell_record(host: &CellBox, record: &KeyedRecord) {
     if record.value.is_empty() {
-        forget(host, &record.key);
+        forget_key(host, &record.key);
         return;
     }
     if record.key == WorkerRoster::KEY {
         match WorkerRoster::decode(&record.value) {
             Ok(roster) => {
-                let sign =
+                let source =
                     RosterSource { read_at: clock::now(), offset: host.progress_view.offset.get() };
-                host.replica.borrow_mut().apply_roster(roster, sign);
+                host.replica.borrow_mut().apply_roster(roster, source);
             }
             Err(error) => warn!(host.log, "roster not readable"; "error" => %error),
         }
         return;
     }
-    let (id, statement) = match CellRecord::decode(&record.key, &record.value) {
+    let (id, cell_record) = match CellRecord::decode(&record.key, &record.value) {
         Ok(decoded) => decoded,
         Err(error) => {
             warn!(host.log, "cell record not readable"; "key" => &record.key, "error" => %error);
             return;
         }
     };
-    let change = host.replica.borrow_mut().apply(id, statement, clock::now());
+    let change = host.replica.borrow_mut().apply(id, cell_record, clock::now());
     let session = host.session.borrow().clone();
     let Some(session) = session else { return };
     match change {
@@ -95,9 +95,9 @@
     }
 }
 
-/// The lead dropped a key. A job is forgotten with its progress; what was accepted is dropped earlier,
-/// once the job is over.
-fn forget(host: &CellBox, key: &str) {
+/// Applies the removal of a key by the lead. A job is forgotten together with its progress; the
+/// record of its submission is removed earlier, once the job has ended.
+fn forget_key(host: &CellBox, key: &str) {
     match CellRecord::decode_key(key) {
         Ok((CellRecord::PROGRESS_PREFIX, id)) => host.replica.borrow_mut().forget(id),
         Ok(_) => {}
--- a/crates/sedgehilld/src/cell/callers.rs
+++ b/crates/sedgehilld/src/cell/callers.rs
@@ -1,4 +1,4 @@
-//! Serves callers, who hand in jobs, ask for their state and cancel them.
+//! Serves callers, who submit jobs, ask for their state and cancel them.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -26,52 +26,57 @@
 use slog::{debug, info};
 use tokio::net::TcpListener;
 
-use super::accept::{AcceptHandle, AcceptOutcome};
 use super::frames::StateAnswer;
 use super::state::CellBox;
+use super::submission::{SubmissionHandle, SubmissionOutcome};
 use crate::connection::{CallerConnection, ConnectionLimits};
 use crate::{clock, telemetry};
 
-/// The most header bytes of a call. A connection's buffer begins small and grows up to it.
-const HEADER_BYTES: usize = 16 << 10;
-/// How long a caller may take to send a call.
-const RECEIVE_LIMIT: Duration = Duration::from_millis(5_000);
-/// How long a caller waits that names no time.
-const DEFAULT_PATIENCE: Duration = Duration::from_millis(3_000);
-/// Kept of a caller's time for the way back.
+/// The most header bytes of a call. The buffer of a connection starts small and grows up to this
+/// size.
+const MAX_HEADER_BYTES: usize = 16 << 10;
+/// Time limit for a caller to send a call.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// The time limit of a call that does not state one.
+const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Part of a call's time limit that is kept for the answer to reach the caller.
 const ANSWER_RESERVE: Duration = Duration::from_millis(120);
-/// A submission that takes longer is left to itself, whatever the caller's patience: a slow store
-/// takes about a second for a batch, and one may have to wait for the one before it.
-const ACCEPT_LIMIT: Duration = Duration::from_millis(4_000);
-/// When a refused caller should come again.
+/// The longest wait for a submission, whatever the caller's time limit. A slow store takes about a
+/// second for a batch, and a batch may have to wait for the one before it.
+const MAX_SUBMIT_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The time after which a caller with a refused call should retry.
 const RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// How long to wait after the machine could not take a connection.
+/// Pause after the operating system could not accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What serving a caller needs.
-struct CallerDesk {
+/// The state that the handlers of calls share.
+struct CallContext {
     host: Rc<CellBox>,
-    accept: AcceptHandle,
+    submissions: SubmissionHandle,
 }
 
-/// The bounds of a caller's connection.
-pub const CONNECTION_LIMITS: ConnectionLimits =
-    ConnectionLimits { max_header_bytes: HEADER_BYTES, max_headers: None, header_timeout: None };
+/// The limits of a caller's connection.
+pub const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
+    max_header_bytes: MAX_HEADER_BYTES,
+    max_headers: None,
+    header_timeout: None,
+};
 
-/// What a caller is told whose call may cross the end of its idle connection.
+/// Returns the answer that is sent when an idle connection is closed, in case a call crosses it:
+/// nothing was done, retry later.
 pub fn build_idle_response() -> Response<Full<Bytes>> {
     encode_answer(&CallerAnswer::NotDone(RETRY_AFTER))
 }
 
-/// Serves callers until the stop has come to its end.
-pub async fn serve(host: Rc<CellBox>, accept: AcceptHandle, listener: TcpListener) {
-    let desk = Rc::new(CallerDesk { host: host.clone(), accept });
+/// Serves callers until the planned stop is complete.
+pub async fn serve(host: Rc<CellBox>, submissions: SubmissionHandle, listener: TcpListener) {
+    let context = Rc::new(CallContext { host: host.clone(), submissions });
     let spawn = |connection: CallerConnection| {
-        let desk = desk.clone();
+        let context = context.clone();
         tokio::task::spawn_local(async move {
             let handle = |request| {
-                let desk = desk.clone();
-                async move { encode_answer(&answer_call(&desk, request).await) }
+                let context = context.clone();
+                async move { encode_answer(&answer_call(&context, request).await) }
             };
             connection.serve(handle).await;
         });
@@ -79,8 +84,8 @@
     host.connections.accept(listener, spawn).await;
 }
 
-async fn answer_call(desk: &CallerDesk, request: Request<Incoming>) -> CallerAnswer {
-    let host = &desk.host;
+async fn answer_call(context: &CallContext, request: Request<Incoming>) -> CallerAnswer {
+    let host = &context.host;
     let config = host.config();
     let (parts, body) = request.into_parts();
     let path = parts.uri.path();
@@ -90,35 +95,35 @@
             false => CallerAnswer::NotDone(RETRY_AFTER),
         };
     };
-    let patience = decode_timeout(&parts.headers).unwrap_or(DEFAULT_PATIENCE);
-    let patience = patience.saturating_sub(ANSWER_RESERVE).min(ACCEPT_LIMIT);
+    let timeout = decode_timeout(&parts.headers).unwrap_or(DEFAULT_CALL_TIMEOUT);
+    let timeout = timeout.saturating_sub(ANSWER_RESERVE).min(MAX_SUBMIT_TIMEOUT);
     let caller = match identify(host, &config, route, &parts.headers) {
         Ok(caller) => caller,
         Err(answer) => {
-            drain(body, config.max_body_bytes).await;
+            drain_body(body, config.max_body_bytes).await;
             telemetry::count_caller_answer("refused", answer.name());
             info!(host.log, "call refused"; "method" => %parts.method, "queue" => %route.queue,
-                "config" => config.version, "config_age_ms" => age_of(host), "answer" => ?answer);
+                "config" => config.version, "config_age_ms" => config_age_ms(host), "answer" => ?answer);
             return answer;
         }
     };
     let organisation = caller.as_ref().map(|caller| &caller.organisation);
     let (name, answer) = match call {
         Err(answer) => ("wrong", answer),
-        Ok(CallerRequest::Waiting) => ("waiting", count_waiting(host, route).await),
-        Ok(CallerRequest::State(id)) => ("state", tell_state(host, id, organisation).await),
+        Ok(CallerRequest::Waiting) => ("waiting", answer_waiting(host, route).await),
+        Ok(CallerRequest::State(id)) => ("state", answer_state(host, id, organisation).await),
         Ok(CallerRequest::Cancel(id)) => {
-            ("cancel", cancel_job(desk, id, organisation, patience).await)
+            ("cancel", cancel_job(context, id, organisation, timeout).await)
         }
         Ok(CallerRequest::Submit(id)) => {
             let submission = JobSubmission { id, route, config: &config, caller: caller.clone() };
-            let answer = submit_job(desk, &submission, body, patience).await;
+            let answer = submit_job(context, &submission, body, timeout).await;
             info!(host.log, "submission"; "job" => %id, "queue" => %route.queue,
                 "organisation" => organisation.map(ToString::to_string),
                 "config" => config.version, "answer" => ?answer,
                 "store_silent" => host.store_contact.is_silent(),
-                "store_usual_ms" => host.store_patience.borrow().average().as_millis() as u64,
-                "patience_ms" => patience.as_millis() as u64);
+                "store_usual_ms" => host.store_timeout.borrow().average().as_millis() as u64,
+                "patience_ms" => timeout.as_millis() as u64);
             ("submit", answer)
         }
     };
@@ -129,8 +134,9 @@
     answer
 }
 
-/// On whose behalf a call is made; nobody's where no key is needed. A box whose configuration may be out of
-/// date neither lets a key pass, which may have been taken away, nor calls one unknown, which may be new.
+/// Returns the key owner on whose behalf a call is made; none if no key is needed. A box whose
+/// configuration may be outdated decides nothing by it: it must not admit a key that may have been
+/// revoked, nor reject one that may be new.
 fn identify(
     host: &CellBox,
     config: &CellConfig,
@@ -139,24 +145,25 @@
 ) -> Result<Option<KeyOwner>, CallerAnswer> {
     let Some(keys) = &config.keys else { return Ok(None) };
     let key = decode_key(headers);
-    let decided_by_config = !route.public && key.is_ok();
-    if decided_by_config && !host.config_view.is_fresh() {
+    let depends_on_config = !route.public && key.is_ok();
+    if depends_on_config && !host.config_view.is_fresh() {
         return Err(CallerAnswer::NotDone(RETRY_AFTER));
     }
     keys.admit(route.public, key).map(|caller| caller.cloned()).map_err(CallerAnswer::Refused)
 }
 
-fn age_of(host: &CellBox) -> Option<u64> {
+fn config_age_ms(host: &CellBox) -> Option<u64> {
     host.config_view.age().map(|age| age.as_millis())
 }
 
-/// Reads a body that is not used, so that the answer is not lost with the connection.
-async fn drain(body: Incoming, most: usize) {
-    // Whether it came whole does not matter.
-    let _ = tokio::time::timeout(RECEIVE_LIMIT, Limited::new(body, most).collect()).await;
+/// Reads a body that is not used. Closing the connection with unread bytes could destroy the
+/// answer.
+async fn drain_body(body: Incoming, max_bytes: usize) {
+    // It does not matter whether the body was complete.
+    let _ = tokio::time::timeout(RECEIVE_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
 }
 
-/// Serves metrics in the text form of Prometheus.
+/// Serves metrics in the text format of Prometheus.
 pub async fn serve_metrics(metrics: PrometheusHandle, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -170,21 +177,25 @@
         });
         tokio::task::spawn_local(async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Who asks sees for itself that the connection ended.
+            // The client notices by itself that the connection has ended.
             let _ = connection.await;
         });
     }
 }
 
-async fn count_waiting(host: &CellBox, route: &QueueRoute) -> CallerAnswer {
+async fn answer_waiting(host: &CellBox, route: &QueueRoute) -> CallerAnswer {
     match host.count_waiting(&route.queue).await {
         Some(count) => CallerAnswer::Waiting(count),
         None => CallerAnswer::NotDone(RETRY_AFTER),
     }
 }
 
-async fn tell_state(host: &CellBox, id: JobId, caller: Option<&OrganisationName>) -> CallerAnswer {
-    match host.find_state(id, caller).await {
+async fn answer_state(
+    host: &CellBox,
+    id: JobId,
+    caller: Option<&OrganisationName>,
+) -> CallerAnswer {
+    match host.find_job_state(id, caller).await {
         StateAnswer::Known(state) => CallerAnswer::State(state),
         StateAnswer::NoJob => CallerAnswer::NoJob,
         StateAnswer::Untold => CallerAnswer::NotDone(RETRY_AFTER),
@@ -192,33 +203,33 @@
 }
 
 async fn cancel_job(
-    desk: &CallerDesk,
+    context: &CallContext,
     id: JobId,
     caller: Option<&OrganisationName>,
-    patience: Duration,
+    timeout: Duration,
 ) -> CallerAnswer {
-    let host = &desk.host;
-    let state = host.find_state(id, caller).await;
-    let answer = match state {
+    let host = &context.host;
+    let known = host.find_job_state(id, caller).await;
+    let answer = match known {
         StateAnswer::Known(JobState::Cancelled) => CallerAnswer::Cancelled,
         StateAnswer::NoJob => CallerAnswer::NoJob,
         StateAnswer::Untold => CallerAnswer::NotDone(RETRY_AFTER),
         StateAnswer::Known(_) => {
-            match desk.accept.submit(host, id, &CellRecord::Cancel, patience).await {
-                AcceptOutcome::Kept => CallerAnswer::Cancelled,
-                AcceptOutcome::NotDone | AcceptOutcome::StoreAway => {
+            match context.submissions.submit(host, id, &CellRecord::Cancel, timeout).await {
+                SubmissionOutcome::Kept => CallerAnswer::Cancelled,
+                SubmissionOutcome::NotDone | SubmissionOutcome::StoreAway => {
                     CallerAnswer::NotDone(RETRY_AFTER)
                 }
-                AcceptOutcome::Unknown => CallerAnswer::Unknown,
-                AcceptOutcome::Taken => CallerAnswer::NoJob,
+                SubmissionOutcome::Unknown => CallerAnswer::Unknown,
+                SubmissionOutcome::Taken => CallerAnswer::NoJob,
             }
         }
     };
-    info!(host.log, "cancellation"; "job" => %id, "known" => ?state, "answer" => ?answer);
+    info!(host.log, "cancellation"; "job" => %id, "known" => ?known, "answer" => ?answer);
     answer
 }
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 struct JobSubmission<'a> {
     id: JobId,
     route: &'a QueueRoute,
@@ -228,23 +239,23 @@
 
 impl JobSubmission<'_> {
     fn owner(&self) -> Option<JobOwner> {
-        let KeyOwner { organisation, index: place } = self.caller.clone()?;
-        let maximum = self.config.organisations.get(place).map(|policy| policy.maximum);
+        let KeyOwner { organisation, index } = self.caller.clone()?;
+        let maximum = self.config.organisations.get(index).map(|policy| policy.maximum);
         Some(JobOwner { organisation, maximum: maximum.unwrap_or_default() })
     }
 }
 
 async fn submit_job(
-    desk: &CallerDesk,
+    context: &CallContext,
     submission: &JobSubmission<'_>,
     body: Incoming,
-    patience: Duration,
+    timeout: Duration,
 ) -> CallerAnswer {
-    let host = &desk.host;
+    let host = &context.host;
     let JobSubmission { id, route, config, .. } = *submission;
     let body_bytes = config.max_body_bytes;
-    let reading = Limited::new(body, body_bytes).collect();
-    let body = match tokio::time::timeout(RECEIVE_LIMIT, reading).await {
+    let receiving = Limited::new(body, body_bytes).collect();
+    let body = match tokio::time::timeout(RECEIVE_TIMEOUT, receiving).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return CallerAnswer::TooLong,
         Ok(Err(_)) | Err(_) => return CallerAnswer::Wrong("the body did not arrive".to_owned()),
@@ -264,8 +275,8 @@
         "tasks" => spec.steps.iter().map(|step| u32::from(step.count)).sum::<u32>(),
         "gangs" => spec.steps.iter().filter(|step| step.gang).count(),
         "chain_ms" => spec.longest_chain().0);
-    if !host.can_accept() || patience < host.store_patience.borrow().average() {
-        // Nothing can be put into the store in time, and nothing was sent there.
+    if !host.can_accept() || timeout < host.store_timeout.borrow().average() {
+        // Nothing can be appended in time, and nothing was sent to the store.
         return CallerAnswer::NotDone(RETRY_AFTER);
     }
     let record = JobRecord {
@@ -275,15 +286,17 @@
         spec,
         accepted_unix_ms: clock::unix_ms(),
     };
-    match desk.accept.submit(host, id, &CellRecord::Job(record), patience).await {
-        AcceptOutcome::Kept => CallerAnswer::Accepted,
-        AcceptOutcome::NotDone | AcceptOutcome::StoreAway => CallerAnswer::NotDone(RETRY_AFTER),
-        AcceptOutcome::Unknown => CallerAnswer::Unknown,
-        AcceptOutcome::Taken => CallerAnswer::Taken,
+    match context.submissions.submit(host, id, &CellRecord::Job(record), timeout).await {
+        SubmissionOutcome::Kept => CallerAnswer::Accepted,
+        SubmissionOutcome::NotDone | SubmissionOutcome::StoreAway => {
+            CallerAnswer::NotDone(RETRY_AFTER)
+        }
+        SubmissionOutcome::Unknown => CallerAnswer::Unknown,
+        SubmissionOutcome::Taken => CallerAnswer::Taken,
     }
 }
 
-/// Answers the platform's question whether callers should come here.
+/// Answers the platform's readiness checks.
 pub async fn serve_ready(host: Rc<CellBox>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -297,9 +310,9 @@
         });
         tokio::task::spawn_local(async move {
             let connection = http1::Builder::new()
-                .max_buf_size(HEADER_BYTES)
+                .max_buf_size(MAX_HEADER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
-            // Who asks sees for itself that the connection ended.
+            // The client notices by itself that the connection has ended.
             let _ = connection.await;
         });
     }
--- a/crates/sedgehilld/src/cell/mod.rs
+++ b/crates/sedgehilld/src/cell/mod.rs
@@ -1,31 +1,32 @@
-//! Cell mode: jobs are accepted, placed on workers and followed on the users' platform.
+//! Cell mode: accepts jobs, places their tasks on workers and follows them, on the users' platform.
 //!
-//! Every box does the same. It takes callers, keeps what must last in the platform's store, follows
-//! what the store holds, and leads the cell while it holds the claim. No box is set aside and none
-//! keeps anything on disk. All tasks run on one thread, since a box has a fraction of one core.
+//! All boxes run the same code. Each box serves callers, writes durable state to the platform's
+//! store, follows the topics of the store, and leads the cell while it holds the claim. No box has
+//! a fixed role, and none keeps state on disk. All tasks run on one thread, since a box has a
+//! fraction of one core.
 
-mod accept;
 mod apply;
 mod callers;
 mod events;
-mod figures;
-mod follow;
 mod frames;
 mod hedge;
-mod late;
+mod late_answer;
 mod lead;
 mod lead_link;
-mod link;
+mod lead_log;
+mod lead_metrics;
+mod link_client;
+mod link_server;
 mod orders;
-mod peers;
 mod recorder;
 mod relay;
 mod renewal;
-mod roster;
 mod settings;
-mod sight;
 mod state;
 mod stop;
+mod submission;
+mod topic_follower;
+mod worker_watch;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +39,7 @@
 use self::state::CellBox;
 use crate::{DaemonError, logging, telemetry};
 
-/// Runs a box until it is asked to stop.
+/// Runs a box in cell mode until it receives the signal to stop.
 pub fn run(settings: CellSettings) -> Result<(), DaemonError> {
     let log = logging::build_stdout_logger(&settings.name.to_string());
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,8 +50,8 @@
     local.block_on(&runtime, serve(settings, log))
 }
 
-/// Logs when connections that fell silent are replaced.
-async fn note_replacements(host: Rc<CellBox>) {
+/// Logs and counts each replacement of connections that fell silent.
+async fn log_replacements(host: Rc<CellBox>) {
     loop {
         let peer = host.clients.http.next_replacement().await;
         let peer = peer.map_or_else(|| "all".to_owned(), |peer| peer.to_string());
@@ -71,21 +72,21 @@
     let metrics = bind(listen.metrics).await?;
     let host = Rc::new(CellBox::new(settings, log.logger.clone()));
     info!(host.log, "started"; "version" => env!("CARGO_PKG_VERSION"), "life" => host.life);
-    let (accept, submissions) = accept::AcceptHandle::new();
-    spawn_local(follow::follow_config(host.clone()));
-    spawn_local(follow::follow_leads(host.clone()));
-    spawn_local(follow::follow_jobs(host.clone()));
-    spawn_local(follow::follow_progress(host.clone()));
-    spawn_local(accept::run(host.clone(), submissions));
-    spawn_local(callers::serve(host.clone(), accept, callers));
+    let (submissions, inbox) = submission::SubmissionHandle::new();
+    spawn_local(topic_follower::follow_config(host.clone()));
+    spawn_local(topic_follower::follow_leads(host.clone()));
+    spawn_local(topic_follower::follow_jobs(host.clone()));
+    spawn_local(topic_follower::follow_progress(host.clone()));
+    spawn_local(submission::run(host.clone(), inbox));
+    spawn_local(callers::serve(host.clone(), submissions, callers));
     spawn_local(callers::serve_ready(host.clone(), ready));
     let recorder = telemetry::install();
     spawn_local(telemetry::run_upkeep(recorder.clone()));
     spawn_local(callers::serve_metrics(recorder, metrics));
-    spawn_local(peers::listen(host.clone(), peers));
-    spawn_local(link::keep(host.clone()));
+    spawn_local(link_server::run(host.clone(), peers));
+    spawn_local(link_client::run(host.clone()));
     spawn_local(lead::run(host.clone()));
-    spawn_local(note_replacements(host.clone()));
-    stop::wait(&host).await;
+    spawn_local(log_replacements(host.clone()));
+    stop::run_until_stopped(&host).await;
     Ok(())
 }
--- a/crates/sedgehilld/src/cell/orders.rs
+++ b/crates/sedgehilld/src/cell/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler orders.
+//! Carries out the orders of the scheduler.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,18 +14,19 @@
 use slog::warn;
 
 use super::frames::{HelperQuestion, PeerFrame};
-use super::late;
+use super::late_answer;
 use super::lead::LeadSession;
-use super::roster::{self, target_of};
 use super::state::CellBox;
+use super::worker_watch::{self, worker_target};
 use crate::clock;
 
-/// How long a question may take. The scheduler has it asked elsewhere and gives it up much earlier, by what it costs; a
-/// late answer is of use all the same, the only one where the service is slow for every box.
-const ADVICE_LIMIT: Duration = Duration::from_millis(20_000);
+/// Timeout of a question to the advice service. The scheduler asks elsewhere much earlier,
+/// depending on what a question costs. A late answer is still useful, and the only one if the
+/// service is slow for every box.
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(20_000);
 
-/// Carries out an order without waiting for it.
-pub fn carry_out(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: CellOrder) {
+/// Starts to carry out an order, without waiting for it.
+pub fn execute(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: CellOrder) {
     let (host, session) = (host.clone(), session.clone());
     match order {
         CellOrder::Start(order) => {
@@ -37,18 +38,18 @@
         CellOrder::Ask(question) if question.helper == OWN_BOX => {
             tokio::task::spawn_local(async move { ask(&host, &session, question).await });
         }
-        CellOrder::Ask(question) => delegate(&session, question),
+        CellOrder::Ask(question) => ask_helper(&session, question),
     }
 }
 
 async fn start(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: StartOrder) {
-    let target = target_of(session, order.worker);
-    session.repeats.borrow_mut().note_first_call();
+    let target = worker_target(session, order.worker);
+    session.start_resends.borrow_mut().note_first_call();
     let answer = match try_start(host, session, &target, &order).await {
-        // The same run again: it begins once at the most, and a worker that left one order unanswered
-        // mostly answers the next. Only "done" settles it, since the first copy may still be carried out
-        // whatever the second meets.
-        WorkerAnswer::Unknown if session.repeats.borrow_mut().try_take() => {
+        // The same start is sent again: the run starts at most once, and a worker that left one
+        // order unanswered usually answers the next. Only `Done` settles the outcome, since the
+        // first copy may still be carried out whatever happens to the second.
+        WorkerAnswer::Unknown if session.start_resends.borrow_mut().try_take() => {
             match try_start(host, session, &target, &order).await {
                 WorkerAnswer::Done(clock) => WorkerAnswer::Done(clock),
                 WorkerAnswer::NotDone(_) | WorkerAnswer::Unknown => WorkerAnswer::Unknown,
@@ -71,46 +72,46 @@
     }
     let workers = host.clients.workers.clone();
     let (target, order) = (target.clone(), order.clone());
-    let calling = |limits| async move { workers.start(&target, &order, limits).await };
-    call_worker(session, calling).await
+    let call = |limits| async move { workers.start(&target, &order, limits).await };
+    call_with_timeout(session, call).await
 }
 
-/// Makes a call to a worker and waits for as long as answers of workers usually take. One that comes later
-/// tells how long they take now.
-async fn call_worker<F>(
+/// Calls a worker and waits for the usual time of an answer. A later answer still updates that
+/// time.
+async fn call_with_timeout<F>(
     session: &Rc<LeadSession>,
-    calling: impl FnOnce(CallLimits) -> F,
+    call: impl FnOnce(CallLimits) -> F,
 ) -> WorkerAnswer<WorkerTime>
 where
     F: Future<Output = WorkerAnswer<WorkerTime>> + 'static,
 {
-    let limit = session.order_patience.borrow().timeout();
+    let timeout = session.order_timeout.borrow().timeout();
     let sent = Instant::now();
-    let limits = late::limits_for(limit);
-    let answering = calling(limits);
-    let learning = {
+    let limits = late_answer::limits_for(timeout);
+    let answer = call(limits);
+    let measured = {
         let session = session.clone();
         async move {
-            let answer = answering.await;
+            let answer = answer.await;
             if let WorkerAnswer::Done(_) = answer {
-                session.order_patience.borrow_mut().note_answer(sent.elapsed());
+                session.order_timeout.borrow_mut().note_answer(sent.elapsed());
             }
             answer
         }
     };
-    // A late answer has told all it can once it was learned from.
-    let answer = late::wait_for(learning, limits, drop).await;
+    // The late answer itself needs no handling.
+    let answer = late_answer::wait_or_detach(measured, limits, drop).await;
     answer.unwrap_or(WorkerAnswer::Unknown)
 }
 
 async fn stop(host: &Rc<CellBox>, session: &Rc<LeadSession>, order: StopOrder) {
-    let target = target_of(session, order.worker);
+    let target = worker_target(session, order.worker);
     let answer = match session.may_order(host) {
         true => {
             let workers = host.clients.workers.clone();
             let (target, order) = (target.clone(), order.clone());
-            let calling = |limits| async move { workers.stop(&target, &order, limits).await };
-            call_worker(session, calling).await
+            let call = |limits| async move { workers.stop(&target, &order, limits).await };
+            call_with_timeout(session, call).await
         }
         false => WorkerAnswer::NotDone(WorkerRefusal::Withheld),
     };
@@ -118,21 +119,25 @@
     session.scheduler.borrow_mut().stop_answered(&order, answer, clock::now());
     session.wake.notify_one();
     if answered {
-        // An account asked for now tells at once whether there was such a run; the one under way may
-        // wait for an end that never comes.
-        roster::look(host, session, &target, order.worker).await;
+        // A report requested now shows at once whether there was such a run; the hold call under
+        // way may wait for a run to end that does not exist.
+        worker_watch::poll_worker(host, session, &target, order.worker).await;
     }
 }
 
 async fn ask(host: &CellBox, session: &LeadSession, question: AdviceQuestion) {
-    let answer = ask_service(host, &HelperQuestion::from(&question)).await;
-    take_advice(session, &question, answer);
+    let answer = query_advice_service(host, &HelperQuestion::from(&question)).await;
+    deliver_advice(session, &question, answer);
 }
 
-/// Asks the advice service from this box.
-pub async fn ask_service(host: &CellBox, question: &HelperQuestion) -> Option<AdviceAnswer> {
+/// Asks the advice service from this box. Returns none if it did not answer or there is no such
+/// service.
+pub async fn query_advice_service(
+    host: &CellBox,
+    question: &HelperQuestion,
+) -> Option<AdviceAnswer> {
     let client = host.clients.advice.as_ref()?;
-    match client.ask(question.step, &question.workers, ADVICE_LIMIT).await {
+    match client.ask(question.step, &question.workers, ADVICE_TIMEOUT).await {
         Ok(answer) => Some(answer),
         Err(error) => {
             warn!(host.log, "no advice"; "step" => %question.step, "error" => %error);
@@ -141,24 +146,28 @@
     }
 }
 
-/// Hands an answer to the scheduler.
-pub fn take_advice(session: &LeadSession, question: &AdviceQuestion, answer: Option<AdviceAnswer>) {
-    let (good, valid) = match answer {
+/// Passes an answer of the advice service to the scheduler.
+pub fn deliver_advice(
+    session: &LeadSession,
+    question: &AdviceQuestion,
+    answer: Option<AdviceAnswer>,
+) {
+    let (allowed, valid) = match answer {
         Some(answer) => (Some(answer.allowed), answer.valid),
         None => (None, TimeSpan(0)),
     };
-    session.scheduler.borrow_mut().advice_answered(question, good, valid, clock::now());
+    session.scheduler.borrow_mut().advice_answered(question, allowed, valid, clock::now());
     session.wake.notify_one();
 }
 
-fn delegate(session: &LeadSession, question: AdviceQuestion) {
-    let frame = PeerFrame::Ask(HelperQuestion::from(&question)).encode();
+fn ask_helper(session: &LeadSession, question: AdviceQuestion) {
+    let frame = PeerFrame::AskAdvice(HelperQuestion::from(&question)).encode();
     let sent = session
         .helpers
         .borrow()
         .get(&question.helper)
         .is_some_and(|queue| queue.try_send(frame).is_ok());
     if !sent {
-        take_advice(session, &question, None);
+        deliver_advice(session, &question, None);
     }
 }
--- /dev/null
+++ b/crates/sedgehilld/src/cell/submission.rs
@@ -0,0 +1,228 @@
+//! Appends jobs and cancellations to the store in batches.
+//!
+//! A record's key is the id of its job, so appending it twice or late changes nothing. Callers get
+//! only certain answers: accepted once the store has acknowledged the record, not done if no append
+//! with the record can have reached the store, and unknown otherwise.
+
+use std::cell::Cell;
+use std::collections::HashSet;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use sedgehill_adapter::store::{AppendCondition, AppendOutcome, KeyedRecord, StoreTopic};
+use sedgehill_cell::ids::JobId;
+use sedgehill_cell::replica::CellRecord;
+use sedgehill_core::units::{Moment, TimeSpan};
+use serde::{Deserialize, Serialize};
+use slog::warn;
+use tokio::sync::{Notify, mpsc, oneshot};
+
+use super::hedge::{self, AppendCall};
+use super::state::CellBox;
+use crate::{clock, telemetry};
+
+/// The most records in one append.
+const MAX_BATCH_RECORDS: usize = 128;
+/// The most submissions that wait for an append before further ones are refused.
+const QUEUE_CAPACITY: usize = 512;
+/// How long an append is repeated whose answer was lost.
+const SETTLE_LIMIT: TimeSpan = TimeSpan(6_000);
+/// Pause between two tries of an append.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
+
+/// The outcome of a submission.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub enum SubmissionOutcome {
+    /// The record is in the store.
+    Kept,
+    /// The record is not in the store and will not be.
+    NotDone,
+    /// The record may be in the store, now or later.
+    Unknown,
+    /// Another organisation's job has the same id: the record is not in the store and will not be.
+    Taken,
+    /// The record is not in the store and will not be, since the store does not answer appends;
+    /// submitting it by another box would fail as well.
+    StoreAway,
+}
+
+/// A record that waits to be appended.
+pub struct Submission {
+    record: KeyedRecord,
+    reply: oneshot::Sender<SubmissionOutcome>,
+}
+
+/// Submits records to the lead or to the appender task of this box.
+#[derive(Clone)]
+pub struct SubmissionHandle {
+    queue: mpsc::Sender<Submission>,
+}
+
+impl SubmissionHandle {
+    /// Creates a handle and the queue that [`run`] serves.
+    pub fn new() -> (SubmissionHandle, mpsc::Receiver<Submission>) {
+        let (queue, inbox) = mpsc::channel(QUEUE_CAPACITY);
+        (SubmissionHandle { queue }, inbox)
+    }
+
+    /// Submits a record, if possible through the lead, which batches the records of all boxes.
+    /// Waits for at most `timeout`.
+    pub async fn submit(
+        &self,
+        host: &CellBox,
+        job: JobId,
+        record: &CellRecord,
+        timeout: Duration,
+    ) -> SubmissionOutcome {
+        let started = Instant::now();
+        let submitting = submit_to_lead(host, job, record);
+        let lead_outcome = match tokio::time::timeout(timeout, submitting).await {
+            Ok(LeadOutcome::Answered(
+                settled @ (SubmissionOutcome::Kept
+                | SubmissionOutcome::Taken
+                | SubmissionOutcome::StoreAway),
+            )) => return settled,
+            Ok(lead_outcome) => lead_outcome,
+            // The lead is alive, or the link to it would have been lost: this box has no better
+            // path.
+            Err(_) => return SubmissionOutcome::Unknown,
+        };
+        let remaining = timeout.saturating_sub(started.elapsed());
+        let own_outcome = self.append(job, record, remaining).await;
+        match (lead_outcome, own_outcome) {
+            // The lead may have recorded it, so it must not be reported as not done.
+            (LeadOutcome::Answered(SubmissionOutcome::Unknown), own_outcome)
+                if own_outcome != SubmissionOutcome::Kept =>
+            {
+                SubmissionOutcome::Unknown
+            }
+            (_, own_outcome) => own_outcome,
+        }
+    }
+
+    /// Appends a record from this box.
+    async fn append(
+        &self,
+        job: JobId,
+        record: &CellRecord,
+        timeout: Duration,
+    ) -> SubmissionOutcome {
+        let keyed_record = KeyedRecord { key: record.key(job), value: record.encode().into() };
+        let (reply, answer) = oneshot::channel();
+        if self.queue.try_send(Submission { record: keyed_record, reply }).is_err() {
+            return SubmissionOutcome::NotDone;
+        }
+        match tokio::time::timeout(timeout, answer).await {
+            Ok(Ok(outcome)) => outcome,
+            Ok(Err(_)) | Err(_) => SubmissionOutcome::Unknown,
+        }
+    }
+}
+
+/// The outcome of submitting a record to the lead.
+enum LeadOutcome {
+    /// There is no reachable lead that could append it.
+    NoLead,
+    /// The answer of the lead; [`SubmissionOutcome::Unknown`] if it gave none.
+    Answered(SubmissionOutcome),
+}
+
+async fn submit_to_lead(host: &CellBox, job: JobId, record: &CellRecord) -> LeadOutcome {
+    let session = host.session.borrow().clone();
+    let link = host.link.borrow().clone();
+    let outcome = match (session, link) {
+        (Some(session), _) if session.store_answers(host) => {
+            session.submit(host, job, record).await
+        }
+        (None, Some(link)) if link.takes_submissions() => link.submit(job, record).await,
+        _ => return LeadOutcome::NoLead,
+    };
+    LeadOutcome::Answered(outcome.unwrap_or(SubmissionOutcome::Unknown))
+}
+
+/// Appends the queued submissions, one append at a time. The store processes the appends of a topic
+/// in order, so parallel appends to a slow store would only queue there, while submissions that
+/// wait here share the next append.
+pub async fn run(host: Rc<CellBox>, mut inbox: mpsc::Receiver<Submission>) {
+    let mut batch = Vec::new();
+    while inbox.recv_many(&mut batch, MAX_BATCH_RECORDS).await > 0 {
+        let batch = std::mem::take(&mut batch);
+        let batch_keys: HashSet<String> =
+            batch.iter().map(|submission| submission.record.key.clone()).collect();
+        let is_stuck = Cell::new(false);
+        let stuck = Notify::new();
+        let appending = hedge::await_append(&host, append_batch(&host, batch), || {
+            is_stuck.set(true);
+            stuck.notify_one();
+        });
+        let mut appending = std::pin::pin!(appending);
+        loop {
+            tokio::select! {
+                () = appending.as_mut() => break,
+                () = stuck.notified() => {}
+                Some(submission) = inbox.recv(), if is_stuck.get() => refuse(submission, &batch_keys),
+            }
+        }
+    }
+}
+
+/// Refuses a submission while an append is stuck. If the stuck append holds the same record, the
+/// store may still keep it, so the outcome is unknown.
+fn refuse(submission: Submission, stuck_keys: &HashSet<String>) {
+    let outcome = match stuck_keys.contains(&submission.record.key) {
+        true => SubmissionOutcome::Unknown,
+        false => SubmissionOutcome::StoreAway,
+    };
+    // A caller that no longer waits will retry.
+    let _ = submission.reply.send(outcome);
+}
+
+async fn append_batch(host: &CellBox, mut batch: Vec<Submission>) {
+    // A caller that no longer waits will retry.
+    batch.retain(|submission| !submission.reply.is_closed());
+    if batch.is_empty() {
+        return;
+    }
+    let records: Vec<KeyedRecord> =
+        batch.iter().map(|submission| submission.record.clone()).collect();
+    let outcome = append_until_settled(host, &records, clock::now()).await;
+    for submission in batch {
+        // A caller that no longer waits will retry.
+        let _ = submission.reply.send(outcome);
+    }
+}
+
+async fn append_until_settled(
+    host: &CellBox,
+    records: &[KeyedRecord],
+    started: Moment,
+) -> SubmissionOutcome {
+    let mut maybe_done = false;
+    loop {
+        let sent = Instant::now();
+        let condition = &AppendCondition::None;
+        let call = AppendCall { topic: StoreTopic::Jobs, records, condition };
+        let result = hedge::append_hedged(host, call).await;
+        let outcome = if result.is_ok() { "answered" } else { "failed" };
+        telemetry::note_store_append("jobs", outcome, sent.elapsed().as_secs_f64());
+        match result {
+            Ok(AppendOutcome::Kept { .. }) => return SubmissionOutcome::Kept,
+            Ok(outcome) => {
+                // The append had no condition, so the store has no reason to refuse it.
+                warn!(host.log, "append refused"; "outcome" => ?outcome);
+                maybe_done = true;
+            }
+            Err(error) => {
+                warn!(host.log, "append failed"; "records" => records.len(), "error" => %error);
+                maybe_done |= !error.is_not_done();
+                if !maybe_done {
+                    return SubmissionOutcome::NotDone;
+                }
+            }
+        }
+        if clock::now().since(started) > SETTLE_LIMIT {
+            return SubmissionOutcome::Unknown;
+        }
+        tokio::time::sleep(RETRY_PAUSE).await;
+    }
+}
