--- a/crates/sedgehill-cell/src/scheduler/work.rs
+++ b/crates/sedgehill-cell/src/scheduler/active_job.rs
@@ -16,7 +16,7 @@
 /// Runs of a task that one lead may order without recording any of them. Each lead counts from its
 /// token times this number, so that no two use the same number for different runs. A start that is refused uses a
 /// number each 30 ms, so these last for two minutes of refusals, and for a million leads.
-const RUNS_PER_LEAD: u64 = 4_096;
+const RUN_NUMBERS_PER_LEAD: u64 = 4_096;
 
 /// Where a task is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,11 +29,11 @@
 
 /// One task.
 #[derive(Debug, Clone)]
-pub struct TaskWork {
+pub struct ActiveTask {
     /// Where it is.
     pub phase: TaskPhase,
     /// What is kept of it.
-    pub kept: TaskProgress,
+    pub progress: TaskProgress,
     /// Where its last run failed.
     pub failed_at: Option<WorkerKey>,
     /// What is known of the workers that were lost under it.
@@ -41,55 +41,55 @@
     /// The run under way, if its start counts among those that are allowed after crashes.
     pub counted_start: Option<RunNumber>,
     /// A start of it was recorded by an earlier lead.
-    pub started_earlier: bool,
+    pub started_by_earlier_lead: bool,
     /// The only worker that may have a run of it, with the lead that knows so; none if that is not known.
-    pub place: Option<(WorkerLife, FencingToken)>,
+    pub location: Option<(WorkerLife, FencingToken)>,
 }
 
-impl TaskWork {
+impl ActiveTask {
     /// Whether it is to be started, now or later.
     pub fn waits(&self) -> bool {
-        !self.kept.done && matches!(self.phase, TaskPhase::Waiting(_))
+        !self.progress.done && matches!(self.phase, TaskPhase::Waiting(_))
     }
 
     /// Whether it may be started now, given room.
     pub fn is_ready(&self, now: Moment) -> bool {
         let waits = matches!(self.phase, TaskPhase::Waiting(from) if now >= from);
-        waits && !self.kept.done && self.suspicion.stage() != SuspectStage::Held
+        waits && !self.progress.done && self.suspicion.stage() != SuspectStage::Held
     }
 }
 
 /// One step of one repetition.
 #[derive(Debug)]
-pub struct StepWork {
+pub struct ActiveStep {
     /// Its id.
     pub id: StepId,
     /// Its tasks' place among the tasks of the job.
-    pub first: usize,
+    pub first_task: usize,
     /// Tasks that are not done.
-    pub left: usize,
+    pub unfinished: usize,
     /// What the advice service said.
     pub advice: StepAdvice,
     /// Whether it was last held back by the limit of its organisation.
-    pub held: bool,
+    pub limit_reached: bool,
     /// Set while its turn has come and nothing of it runs.
     pub stall: Option<StepStall>,
 }
 
 /// Whether it is recorded that tasks of the job may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderedMark {
+pub enum StartFlag {
     /// Not even asked for.
-    Missing,
+    Unset,
     /// In this batch, or one to come.
-    Asked,
+    Pending,
     /// Recorded: tasks may be started.
     Recorded,
 }
 
 /// A job as the lead works on it.
 #[derive(Debug)]
-pub struct JobWork {
+pub struct ActiveJob {
     /// The job.
     pub id: JobId,
     /// What was accepted.
@@ -97,7 +97,7 @@
     /// Whose it is; none if nobody's limit bounds it.
     pub owner: Option<OrganisationKey>,
     /// What its organisation is due came before it.
-    pub excess: bool,
+    pub over_share: bool,
     /// When it was accepted, by this box's clock.
     pub accepted: Moment,
     /// How far it is.
@@ -105,65 +105,65 @@
     /// Whether the caller cancelled it.
     pub cancelled: bool,
     /// Whether tasks may be started.
-    pub ordered: OrderedMark,
+    pub start_flag: StartFlag,
     /// An earlier lead may have started tasks of it, unknown to this one.
-    pub foreign_orders: bool,
+    pub unsettled_starts: bool,
     /// The same, whether or not that is settled by now.
-    pub begun_earlier: bool,
+    pub started_by_earlier_lead: bool,
     /// A later lead may start tasks of it.
-    pub later_mark: bool,
+    pub led_elsewhere: bool,
     /// All tasks, step after step.
-    pub tasks: Vec<TaskWork>,
+    pub tasks: Vec<ActiveTask>,
     /// All steps of all repetitions.
-    pub steps: Vec<StepWork>,
+    pub steps: Vec<ActiveStep>,
 }
 
-impl JobWork {
+impl ActiveJob {
     /// A job with what was kept of its course, for the lead that holds `token`.
     pub fn new(
         id: JobId,
         record: Rc<JobRecord>,
         accepted: Moment,
-        kept: &JobProgress,
+        progress: &JobProgress,
         token: FencingToken,
-    ) -> JobWork {
-        let mut tasks: Vec<TaskWork> = kept
+    ) -> ActiveJob {
+        let mut tasks: Vec<ActiveTask> = progress
             .tasks_of(&record.spec)
             .into_iter()
-            .map(|kept| TaskWork {
+            .map(|progress| ActiveTask {
                 phase: TaskPhase::Waiting(Moment(0)),
-                started_earlier: kept.run.0 > 0,
-                kept,
+                started_by_earlier_lead: progress.run.0 > 0,
+                progress,
                 failed_at: None,
                 suspicion: TaskSuspicion::default(),
                 counted_start: None,
-                place: None,
+                location: None,
             })
             .collect();
-        for place in &kept.places {
+        for place in &progress.places {
             if let Some(task) = tasks.get_mut(place.task as usize) {
-                task.place = Some((place.life.clone(), place.by));
+                task.location = Some((place.life.clone(), place.by));
             }
         }
-        for (place, suspicion) in &kept.suspects {
-            if let Some(task) = tasks.get_mut(*place as usize) {
+        for (index, suspicion) in &progress.suspects {
+            if let Some(task) = tasks.get_mut(*index as usize) {
                 task.suspicion = suspicion.clone();
             }
         }
-        for (place, together) in &kept.together {
-            if let Some(task) = tasks.get_mut(*place as usize) {
+        for (index, together) in &progress.together {
+            if let Some(task) = tasks.get_mut(*index as usize) {
                 task.suspicion.together = together.clone();
             }
         }
-        for (place, unanswered) in &kept.unanswered {
-            if let Some(task) = tasks.get_mut(*place as usize) {
+        for (index, unanswered) in &progress.unanswered {
+            if let Some(task) = tasks.get_mut(*index as usize) {
                 task.suspicion.unanswered = unanswered.clone();
             }
         }
-        if kept.ordered {
-            let first = u32::try_from(token.0 * RUNS_PER_LEAD).unwrap_or(u32::MAX - 1);
+        if progress.ordered {
+            let first = u32::try_from(token.0 * RUN_NUMBERS_PER_LEAD).unwrap_or(u32::MAX - 1);
             for task in &mut tasks {
-                task.kept.run.0 = task.kept.run.0.max(first);
+                task.progress.run.0 = task.progress.run.0.max(first);
             }
         }
         let mut steps = Vec::new();
@@ -171,34 +171,35 @@
         for repetition in 0..record.spec.repetitions() {
             for (number, spec) in record.spec.steps.iter().enumerate() {
                 let count = usize::from(spec.count);
-                let left = tasks[first..first + count].iter().filter(|task| !task.kept.done);
-                steps.push(StepWork {
+                let unfinished =
+                    tasks[first..first + count].iter().filter(|task| !task.progress.done);
+                steps.push(ActiveStep {
                     id: StepId { job: id, repetition, step: number as u16 },
-                    first,
-                    left: left.count(),
+                    first_task: first,
+                    unfinished: unfinished.count(),
                     advice: StepAdvice::default(),
-                    held: false,
+                    limit_reached: false,
                     stall: None,
                 });
                 first += count;
             }
         }
-        let ordered = match kept.ordered {
-            true => OrderedMark::Recorded,
-            false => OrderedMark::Missing,
+        let start_flag = match progress.ordered {
+            true => StartFlag::Recorded,
+            false => StartFlag::Unset,
         };
-        JobWork {
+        ActiveJob {
             id,
             record,
             owner: None,
-            excess: false,
+            over_share: false,
             accepted,
-            state: kept.state,
+            state: progress.state,
             cancelled: false,
-            ordered,
-            foreign_orders: kept.ordered,
-            begun_earlier: kept.ordered,
-            later_mark: false,
+            start_flag,
+            unsettled_starts: progress.ordered,
+            started_by_earlier_lead: progress.ordered,
+            led_elsewhere: false,
             tasks,
             steps,
         }
@@ -206,16 +207,16 @@
 
     /// The place of a step among all steps, if there is such a step.
     pub fn step_index(&self, step: &StepId) -> Option<usize> {
-        let each = self.record.spec.steps.len();
-        let index = step.repetition as usize * each + usize::from(step.step);
-        (usize::from(step.step) < each && index < self.steps.len()).then_some(index)
+        let steps_per_repetition = self.record.spec.steps.len();
+        let index = step.repetition as usize * steps_per_repetition + usize::from(step.step);
+        (usize::from(step.step) < steps_per_repetition && index < self.steps.len()).then_some(index)
     }
 
     /// The place of a task among all tasks, if there is such a task.
     pub fn task_index(&self, task: &CellTask) -> Option<usize> {
         let step = self.step_index(&task.step)?;
         let count = self.step_spec(step).count;
-        (task.index < count).then(|| self.steps[step].first + usize::from(task.index))
+        (task.index < count).then(|| self.steps[step].first_task + usize::from(task.index))
     }
 
     /// What the caller said of a step.
@@ -224,8 +225,8 @@
     }
 
     /// The tasks of a step.
-    pub fn step_tasks(&self, step: usize) -> &[TaskWork] {
-        let first = self.steps[step].first;
+    pub fn step_tasks(&self, step: usize) -> &[ActiveTask] {
+        let first = self.steps[step].first_task;
         &self.tasks[first..first + usize::from(self.step_spec(step).count)]
     }
 
@@ -238,7 +239,7 @@
 
     /// From when the objective of a step counts: the acceptance of the job, or the time of the repetition if that is
     /// later. `unix_ms` is the time of day at `now`.
-    pub fn asked_at(&self, step: usize, unix_ms: u64, now: Moment) -> Moment {
+    pub fn objective_start(&self, step: usize, unix_ms: u64, now: Moment) -> Moment {
         let Some(due) = self.due_unix_ms(step) else { return self.accepted };
         let due = Moment((now.0 + due).saturating_sub(unix_ms));
         due.max(self.accepted)
@@ -249,36 +250,36 @@
         if self.due_unix_ms(step).is_some_and(|due| unix_ms < due) {
             return false;
         }
-        let each = self.record.spec.steps.len();
-        let base = step - step % each;
+        let steps_per_repetition = self.record.spec.steps.len();
+        let base = step - step % steps_per_repetition;
         let after = &self.step_spec(step).after;
-        after.iter().all(|before| self.steps[base + usize::from(*before)].left == 0)
+        after.iter().all(|before| self.steps[base + usize::from(*before)].unfinished == 0)
     }
 
     /// The longest chain of estimates over steps that are not done, in the repetition of a step.
     pub fn remaining_chain(&self, step: usize) -> TimeSpan {
-        let each = self.record.spec.steps.len();
-        let base = step - step % each;
-        let mut ends: Vec<u64> = Vec::with_capacity(each);
+        let steps_per_repetition = self.record.spec.steps.len();
+        let base = step - step % steps_per_repetition;
+        let mut ends: Vec<u64> = Vec::with_capacity(steps_per_repetition);
         for (number, spec) in self.record.spec.steps.iter().enumerate() {
             let begin = spec.after.iter().map(|before| ends[usize::from(*before)]).max();
-            let own = match self.steps[base + number].left {
+            let own_estimate = match self.steps[base + number].unfinished {
                 0 => 0,
                 _ => spec.estimate.as_millis(),
             };
-            ends.push(begin.unwrap_or(0) + own);
+            ends.push(begin.unwrap_or(0) + own_estimate);
         }
         TimeSpan(ends.into_iter().max().unwrap_or(0))
     }
 
     /// Whether it has tasks that run until it is cancelled.
-    pub fn lasts(&self) -> bool {
+    pub fn is_long_running(&self) -> bool {
         self.record.spec.steps.iter().any(|step| step.long_running)
     }
 
     /// Whether every task is done.
     pub fn is_done(&self) -> bool {
-        self.steps.iter().all(|step| step.left == 0)
+        self.steps.iter().all(|step| step.unfinished == 0)
     }
 
     /// Whether no task is to be started any more.
@@ -290,31 +291,32 @@
     pub fn progress(&self) -> JobProgress {
         let untouched = TaskProgress::default();
         // Of a job that is over only the state matters.
-        let nothing = self.state.is_final() || self.tasks.iter().all(|task| task.kept == untouched);
-        let kept = match nothing {
+        let omit_tasks =
+            self.state.is_final() || self.tasks.iter().all(|task| task.progress == untouched);
+        let tasks = match omit_tasks {
             true => Vec::new(),
-            false => self.tasks.iter().map(|task| task.kept.clone()).collect(),
+            false => self.tasks.iter().map(|task| task.progress.clone()).collect(),
         };
         JobProgress {
             state: self.state,
-            ordered: self.ordered != OrderedMark::Missing,
-            tasks: kept,
-            organisation: self.owner_once_over(),
+            ordered: self.start_flag != StartFlag::Unset,
+            tasks,
+            organisation: self.finished_owner(),
             suspects: self.suspects(),
-            together: self.kept_suspicion(|suspicion| &suspicion.together),
-            places: self.places(),
-            unanswered: self.kept_suspicion(|suspicion| &suspicion.unanswered),
+            together: self.history_lists(|suspicion| &suspicion.together),
+            places: self.locations(),
+            unanswered: self.history_lists(|suspicion| &suspicion.unanswered),
         }
     }
 
     /// Where its tasks run, or ran last, as far as that is kept; nothing once the job is over.
-    fn places(&self) -> Vec<TaskPlace> {
+    fn locations(&self) -> Vec<TaskPlace> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
-        let place = |(number, task): (usize, &TaskWork)| {
-            let (life, by) = task.place.clone()?;
+        let location = |(number, task): (usize, &ActiveTask)| {
+            let (life, by) = task.location.clone()?;
             Some(TaskPlace { task: number as u32, life, by })
         };
-        tasks.filter_map(place).collect()
+        tasks.filter_map(location).collect()
     }
 
     /// Whether workers were lost under one of its tasks, or may have been.
@@ -332,30 +334,30 @@
     }
 
     /// A list of what is known of each task under which workers were lost; nothing once the job is over.
-    fn kept_suspicion<T: Clone>(
+    fn history_lists<T: Clone>(
         &self,
         list: impl Fn(&TaskSuspicion) -> &Vec<T>,
     ) -> Vec<(u32, Vec<T>)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
-        let kept = tasks.filter(|(_, task)| !list(&task.suspicion).is_empty());
-        kept.map(|(place, task)| (place as u32, list(&task.suspicion).clone())).collect()
+        let histories = tasks.filter(|(_, task)| !list(&task.suspicion).is_empty());
+        histories.map(|(index, task)| (index as u32, list(&task.suspicion).clone())).collect()
     }
 
     /// What is kept of the tasks under which workers were lost; nothing once the job is over.
     fn suspects(&self) -> Vec<(u32, TaskSuspicion)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
         let suspects = tasks.filter(|(_, task)| !task.suspicion.is_clear());
-        suspects.map(|(place, task)| (place as u32, task.suspicion.clone())).collect()
+        suspects.map(|(index, task)| (index as u32, task.suspicion.clone())).collect()
     }
 
     /// What was accepted is dropped once the job is over, and whose it is would go with it.
-    fn owner_once_over(&self) -> Option<OrganisationName> {
+    fn finished_owner(&self) -> Option<OrganisationName> {
         let owner = self.record.owner.as_ref().filter(|_| self.state.is_final());
         owner.map(|owner| owner.organisation.clone())
     }
 
     /// All tasks, step after step, with their ids.
-    pub fn all_tasks(&self) -> impl Iterator<Item = (CellTask, &TaskWork)> {
+    pub fn all_tasks(&self) -> impl Iterator<Item = (CellTask, &ActiveTask)> {
         let steps = self.steps.iter().enumerate();
         steps.flat_map(|(number, step)| {
             let tasks = self.step_tasks(number).iter().enumerate();
@@ -365,7 +367,7 @@
 
     /// Runs that are placed, with their workers.
     pub fn placed(&self) -> Vec<(CellTask, WorkerKey, RunNumber)> {
-        let placed = |(id, task): (CellTask, &TaskWork)| match task.phase {
+        let placed = |(id, task): (CellTask, &ActiveTask)| match task.phase {
             TaskPhase::Placed(worker, run) => Some((id, worker, run)),
             TaskPhase::Waiting(_) => None,
         };
--- a/crates/sedgehill-cell/src/scheduler/advice.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice.rs
@@ -8,9 +8,9 @@
 use super::message::{HelperId, WorkerKey};
 
 /// Answers that leave too few workers for a step are doubted after so long, and after twice as long each further time ...
-const DOUBT_AFTER: TimeSpan = TimeSpan(500);
+const RECHECK_DELAY: TimeSpan = TimeSpan(500);
 /// ... up to so many doublings: a step that truly has too few costs a question each 16 s.
-const DOUBT_DOUBLINGS: u32 = 5;
+const MAX_RECHECK_DOUBLINGS: u32 = 5;
 
 /// A ticket for one worker.
 #[derive(Debug, Clone)]
@@ -23,13 +23,13 @@
 
 /// A question under way.
 #[derive(Debug)]
-pub struct AskedWorkers {
+pub struct InFlightQuestion {
     /// The box that asks.
     pub helper: HelperId,
     /// The workers that it names.
     pub workers: Vec<WorkerKey>,
     /// The answer is overdue: the same may be asked by way of another box.
-    pub late: bool,
+    pub overdue: bool,
 }
 
 /// What is known of one step. Which workers are good never changes; tickets end.
@@ -38,15 +38,15 @@
     /// Workers that were asked about, with the ticket of those that may run the step.
     pub known: HashMap<WorkerKey, Option<StepTicket>>,
     /// Questions under way.
-    pub asking: Vec<AskedWorkers>,
+    pub in_flight: Vec<InFlightQuestion>,
     /// No question before then.
-    pub not_before: Moment,
+    pub retry_at: Moment,
     /// When the last question was sent.
-    pub asked: Option<Moment>,
+    pub last_asked_at: Option<Moment>,
     /// How often it was doubted that the others are not good, and when it may be the next time.
-    pub doubts: u32,
+    pub rechecks: u32,
     /// See above.
-    pub doubt_from: Moment,
+    pub recheck_at: Moment,
 }
 
 impl StepAdvice {
@@ -58,50 +58,50 @@
 
     /// Whether a question under way names a worker, and its answer can be expected.
     pub fn is_asked(&self, key: WorkerKey) -> bool {
-        self.asking.iter().any(|asked| !asked.late && asked.workers.contains(&key))
+        self.in_flight.iter().any(|question| !question.overdue && question.workers.contains(&key))
     }
 
     /// Questions under way whose answers can be expected.
     pub fn expected_answers(&self) -> usize {
-        self.asking.iter().filter(|asked| !asked.late).count()
+        self.in_flight.iter().filter(|question| !question.overdue).count()
     }
 
     /// The answer to the question of a box is overdue.
-    pub fn note_late(&mut self, helper: HelperId) {
-        let asked = self.asking.iter_mut().filter(|asked| asked.helper == helper);
-        asked.for_each(|asked| asked.late = true);
+    pub fn mark_overdue(&mut self, helper: HelperId) {
+        let questions = self.in_flight.iter_mut().filter(|question| question.helper == helper);
+        questions.for_each(|question| question.overdue = true);
     }
 
     /// Nobody may run the step, or too few, by what was answered. That does not change, so an answer may have been wrong:
     /// those that are not good are asked about again, the first time soon, and ever more rarely, since a step may
     /// truly have too few. A step for which a service that was not itself named nobody once stood to the end.
-    pub fn doubt_others(&mut self, now: Moment) {
-        if now < self.doubt_from {
+    pub fn recheck_rejected(&mut self, now: Moment) {
+        if now < self.recheck_at {
             return;
         }
-        if self.doubt_from != Moment(0) {
+        if self.recheck_at != Moment(0) {
             self.known.retain(|_, ticket| ticket.is_some());
-            self.doubts += 1;
+            self.rechecks += 1;
         }
-        let pause = TimeSpan(DOUBT_AFTER.0 << self.doubts.min(DOUBT_DOUBLINGS));
-        self.doubt_from = now.after(pause);
+        let pause = TimeSpan(RECHECK_DELAY.0 << self.rechecks.min(MAX_RECHECK_DOUBLINGS));
+        self.recheck_at = now.after(pause);
     }
 
     /// The workers that the question of a box names; none if it was given up.
-    pub fn asked_of(&self, helper: HelperId) -> Vec<WorkerKey> {
-        let asked = self.asking.iter().find(|asked| asked.helper == helper);
-        asked.map(|asked| asked.workers.clone()).unwrap_or_default()
+    pub fn workers_asked(&self, helper: HelperId) -> Vec<WorkerKey> {
+        let question = self.in_flight.iter().find(|question| question.helper == helper);
+        question.map(|question| question.workers.clone()).unwrap_or_default()
     }
 
     /// The question of a box is not under way any more.
-    pub fn forget_asked(&mut self, helper: HelperId) {
-        self.asking.retain(|asked| asked.helper != helper);
+    pub fn remove_question(&mut self, helper: HelperId) {
+        self.in_flight.retain(|question| question.helper != helper);
     }
 
     /// The workers with a ticket that is valid for at least `margin`.
     pub fn ticketed(&self, now: Moment, margin: TimeSpan) -> impl Iterator<Item = WorkerKey> {
-        let least = now.after(margin);
-        let valid = move |ticket: &StepTicket| ticket.until > least;
+        let min_until = now.after(margin);
+        let valid = move |ticket: &StepTicket| ticket.until > min_until;
         self.known
             .iter()
             .filter(move |(_, ticket)| ticket.as_ref().is_some_and(valid))
@@ -111,31 +111,31 @@
 
 /// What share of the workers is good for the steps of a queue, learned from answers.
 #[derive(Debug, Clone, Copy)]
-pub struct GoodShare {
-    good: f64,
+pub struct AllowedShare {
+    allowed: f64,
     named: f64,
 }
 
 /// Weight of the guess before any answer, in workers.
-const GUESS_WEIGHT: f64 = 20.0;
+const INITIAL_WEIGHT: f64 = 20.0;
 /// The guess before any answer.
-const GUESS: f64 = 0.5;
+const INITIAL_SHARE: f64 = 0.5;
 
-impl Default for GoodShare {
-    fn default() -> GoodShare {
-        GoodShare { good: GUESS * GUESS_WEIGHT, named: GUESS_WEIGHT }
+impl Default for AllowedShare {
+    fn default() -> AllowedShare {
+        AllowedShare { allowed: INITIAL_SHARE * INITIAL_WEIGHT, named: INITIAL_WEIGHT }
     }
 }
 
-impl GoodShare {
+impl AllowedShare {
     /// The share, between 0 and 1.
     pub fn share(&self) -> f64 {
-        self.good / self.named
+        self.allowed / self.named
     }
 
     /// Learns from an answer.
-    pub fn learn(&mut self, good: usize, named: usize) {
-        self.good += good as f64;
+    pub fn learn(&mut self, allowed: usize, named: usize) {
+        self.allowed += allowed as f64;
         self.named += named as f64;
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/desk.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
@@ -17,37 +17,37 @@
 use crate::patience::RepeatBudget;
 
 /// Questions that take at least this long go only to some boxes.
-const LONG_QUESTION: TimeSpan = TimeSpan(200);
+const LONG_QUESTION_COST: TimeSpan = TimeSpan(200);
 /// One box in this many is kept free of long questions.
-const SHORT_ONLY_SHARE: usize = 3;
+const SHORT_ONLY_ONE_IN: usize = 3;
 /// Of those, one in this many, but one at least, asks long questions about steps that were not asked about for long.
-const LENT_ONE_IN: usize = 2;
+const LONG_ON_SHORT_ONLY_ONE_IN: usize = 2;
 /// Short questions under way for one box: the second travels while the first is answered.
-const SHORT_AT_ONCE: usize = 2;
+const MAX_SHORT_QUESTIONS: usize = 2;
 /// A question is overdue after this many hundredths of what it and those before it cost ...
 const OVERDUE_PERCENT: u64 = 150;
 /// ... and this time: a box that stands still for a moment, and the way there and back.
 const OVERDUE_SLACK: TimeSpan = TimeSpan(300);
 /// A question without an answer is given up after this many times its cost ...
-const PATIENCE_FACTOR: u64 = 3;
+const TIMEOUT_FACTOR: u64 = 3;
 /// ... and this time. Its answer is used all the same.
-const PATIENCE: TimeSpan = TimeSpan(1_500);
+const TIMEOUT_SLACK: TimeSpan = TimeSpan(1_500);
 /// A box whose question failed asks nothing for so long, and twice as long with each further failure ...
-const REST: TimeSpan = TimeSpan(250);
+const MIN_HELPER_BACKOFF: TimeSpan = TimeSpan(250);
 /// ... up to this: the service may be well again at any time, and no other box may be left.
-const REST_MOST: TimeSpan = TimeSpan(2_000);
+const MAX_HELPER_BACKOFF: TimeSpan = TimeSpan(2_000);
 
 /// For what kind of step a box is wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskerKind {
+pub enum QuestionUrgency {
     /// Any.
-    Usual,
+    Normal,
     /// One that is asked about before all others: it was not asked about for long, or lost its run.
-    Pressing,
+    Urgent,
 }
 
 #[derive(Debug)]
-struct OpenQuestion {
+struct PendingQuestion {
     step: StepId,
     cost: TimeSpan,
     sent: Moment,
@@ -55,58 +55,63 @@
     overdue: bool,
 }
 
-impl OpenQuestion {
+impl PendingQuestion {
     fn is_long(&self) -> bool {
-        self.cost >= LONG_QUESTION
+        self.cost >= LONG_QUESTION_COST
     }
 
     /// Whether it is given up.
-    fn is_over(&self, now: Moment) -> bool {
-        let patience = TimeSpan(self.cost.0 * PATIENCE_FACTOR + PATIENCE.0);
-        now >= self.sent.after(patience)
+    fn is_timed_out(&self, now: Moment) -> bool {
+        let timeout = TimeSpan(self.cost.0 * TIMEOUT_FACTOR + TIMEOUT_SLACK.0);
+        now >= self.sent.after(timeout)
     }
 }
 
 /// A box that asks.
 #[derive(Debug, Default)]
-struct AskingBox {
-    open: Vec<OpenQuestion>,
+struct AdviceHelper {
+    in_flight: Vec<PendingQuestion>,
     /// Questions in a row without an answer.
     failures: u32,
     /// It asks nothing before then.
-    rests_until: Moment,
+    backoff_until: Moment,
 }
 
-impl AskingBox {
+impl AdviceHelper {
     /// Whether it can take a question now. Behind one that is overdue a further one would wait.
     fn can_ask(&self, now: Moment) -> bool {
-        now >= self.rests_until && !self.open.iter().any(|question| question.overdue)
+        now >= self.backoff_until && !self.in_flight.iter().any(|question| question.overdue)
     }
 
     fn note_failure(&mut self, now: Moment) {
-        let rest = TimeSpan(REST.0 << self.failures.min(8)).min(REST_MOST);
-        self.rests_until = now.after(rest);
+        let backoff =
+            TimeSpan(MIN_HELPER_BACKOFF.0 << self.failures.min(8)).min(MAX_HELPER_BACKOFF);
+        self.backoff_until = now.after(backoff);
         self.failures += 1;
     }
 
-    fn queued(&self) -> u64 {
-        self.open.iter().map(|question| question.cost.0).sum()
+    fn queued_ms(&self) -> u64 {
+        self.in_flight.iter().map(|question| question.cost.0).sum()
     }
 }
 
 /// Spreads questions over the boxes that can ask.
 #[derive(Debug)]
-pub struct AdviceDesk {
-    helpers: BTreeMap<HelperId, AskingBox>,
-    keeps_short: bool,
+pub struct AdviceDispatcher {
+    helpers: BTreeMap<HelperId, AdviceHelper>,
+    keep_short_only: bool,
     /// How many questions may be asked a second time while the first is overdue.
     repeats: RepeatBudget,
 }
 
-impl AdviceDesk {
+impl AdviceDispatcher {
     /// A desk without boxes. `keeps_short` says whether some of them are kept free of long questions.
-    pub fn new(keeps_short: bool) -> AdviceDesk {
-        AdviceDesk { helpers: BTreeMap::new(), keeps_short, repeats: RepeatBudget::default() }
+    pub fn new(keep_short_only: bool) -> AdviceDispatcher {
+        AdviceDispatcher {
+            helpers: BTreeMap::new(),
+            keep_short_only,
+            repeats: RepeatBudget::default(),
+        }
     }
 
     /// A box can ask from now on.
@@ -116,75 +121,84 @@
 
     /// A box cannot ask any more. Returns the steps that it was asking about.
     pub fn remove_helper(&mut self, helper: HelperId) -> Vec<StepId> {
-        let open = self.helpers.remove(&helper).unwrap_or_default().open;
-        open.into_iter().map(|question| question.step).collect()
+        let in_flight = self.helpers.remove(&helper).unwrap_or_default().in_flight;
+        in_flight.into_iter().map(|question| question.step).collect()
     }
 
     /// The box that should ask a question of this cost now, if one is free for it. Those whose last question failed
     /// come after all others. For a pressing step, some of the boxes that are kept for short questions ask as well.
-    pub fn free_helper(&self, cost: TimeSpan, asker: AskerKind, now: Moment) -> Option<HelperId> {
-        match cost >= LONG_QUESTION {
+    pub fn free_helper(
+        &self,
+        cost: TimeSpan,
+        urgency: QuestionUrgency,
+        now: Moment,
+    ) -> Option<HelperId> {
+        match cost >= LONG_QUESTION_COST {
             true => {
                 let free = self.free_for_long(now);
-                free.or_else(|| (asker == AskerKind::Pressing).then(|| self.free_kept(now))?)
+                free.or_else(|| {
+                    (urgency == QuestionUrgency::Urgent).then(|| self.free_short_only(now))?
+                })
             }
             false => self.free_for_short(now),
         }
     }
 
     /// How many boxes are kept for short questions.
-    fn kept_count(&self) -> usize {
+    fn short_only_count(&self) -> usize {
         let count = self.helpers.len();
         match count {
             0 | 1 => 0,
-            _ if !self.keeps_short => 0,
-            _ => (count / SHORT_ONLY_SHARE).max(1),
+            _ if !self.keep_short_only => 0,
+            _ => (count / SHORT_ONLY_ONE_IN).max(1),
         }
     }
 
     /// One of the boxes that are kept for short questions, as long as enough of them stay free for those.
-    fn free_kept(&self, now: Moment) -> Option<HelperId> {
-        let kept = || self.helpers.iter().take(self.kept_count());
-        let asks_long = |one: &AskingBox| one.open.iter().any(OpenQuestion::is_long);
-        let lent = kept().filter(|(_, one)| asks_long(one)).count();
-        if lent >= (self.kept_count() / LENT_ONE_IN).max(1) {
+    fn free_short_only(&self, now: Moment) -> Option<HelperId> {
+        let short_only = || self.helpers.iter().take(self.short_only_count());
+        let asks_long = |state: &AdviceHelper| state.in_flight.iter().any(PendingQuestion::is_long);
+        let long_count = short_only().filter(|(_, state)| asks_long(state)).count();
+        if long_count >= (self.short_only_count() / LONG_ON_SHORT_ONLY_ONE_IN).max(1) {
             return None;
         }
-        let free = kept().filter(|(_, one)| one.can_ask(now) && one.open.is_empty());
-        free.min_by_key(|(_, one)| one.failures).map(|(helper, _)| *helper)
+        let free =
+            short_only().filter(|(_, state)| state.can_ask(now) && state.in_flight.is_empty());
+        free.min_by_key(|(_, state)| state.failures).map(|(helper, _)| *helper)
     }
 
     fn free_for_long(&self, now: Moment) -> Option<HelperId> {
-        let short_only = self.kept_count();
-        let able = |(_, one): &(&HelperId, &AskingBox)| one.can_ask(now);
+        let short_only = self.short_only_count();
+        let can_ask = |(_, state): &(&HelperId, &AdviceHelper)| state.can_ask(now);
         // Where none of the others can ask, those that are kept for short questions do.
-        let kept = match self.helpers.iter().skip(short_only).any(|entry| able(&entry)) {
+        let skipped = match self.helpers.iter().skip(short_only).any(|entry| can_ask(&entry)) {
             true => short_only,
             false => 0,
         };
-        let free = self.helpers.iter().skip(kept).filter(able);
-        let free = free.filter(|(_, one)| one.open.is_empty());
-        free.rev().min_by_key(|(_, one)| one.failures).map(|(helper, _)| *helper)
+        let free = self.helpers.iter().skip(skipped).filter(can_ask);
+        let free = free.filter(|(_, state)| state.in_flight.is_empty());
+        free.rev().min_by_key(|(_, state)| state.failures).map(|(helper, _)| *helper)
     }
 
     fn free_for_short(&self, now: Moment) -> Option<HelperId> {
-        let alone = self.helpers.len() == 1;
+        let only_helper = self.helpers.len() == 1;
         self.helpers
             .iter()
-            .filter(|(_, one)| {
-                let room = one.open.len() < SHORT_AT_ONCE;
-                room && one.can_ask(now) && (alone || !one.open.iter().any(OpenQuestion::is_long))
+            .filter(|(_, state)| {
+                let room = state.in_flight.len() < MAX_SHORT_QUESTIONS;
+                room && state.can_ask(now)
+                    && (only_helper || !state.in_flight.iter().any(PendingQuestion::is_long))
             })
-            .min_by_key(|(_, one)| (one.failures, one.queued()))
+            .min_by_key(|(_, state)| (state.failures, state.queued_ms()))
             .map(|(helper, _)| *helper)
     }
 
     /// Notes that a box asks.
     pub fn begin(&mut self, helper: HelperId, step: StepId, cost: TimeSpan, now: Moment) {
-        let one = self.helpers.entry(helper).or_default();
-        let whole = one.queued() + cost.0;
-        let overdue_at = now.after(TimeSpan(whole * OVERDUE_PERCENT / 100 + OVERDUE_SLACK.0));
-        one.open.push(OpenQuestion { step, cost, sent: now, overdue_at, overdue: false });
+        let state = self.helpers.entry(helper).or_default();
+        let total_ms = state.queued_ms() + cost.0;
+        let overdue_at = now.after(TimeSpan(total_ms * OVERDUE_PERCENT / 100 + OVERDUE_SLACK.0));
+        state.in_flight.push(PendingQuestion { step, cost, sent: now, overdue_at, overdue: false });
         self.repeats.note_first();
     }
 
@@ -196,15 +210,15 @@
         answered: bool,
         now: Moment,
     ) -> Option<Moment> {
-        let one = self.helpers.get_mut(&helper)?;
+        let state = self.helpers.get_mut(&helper)?;
         if answered {
-            one.failures = 0;
-            one.rests_until = now;
+            state.failures = 0;
+            state.backoff_until = now;
         }
-        let place = one.open.iter().position(|question| question.step == step)?;
-        let sent = one.open.remove(place).sent;
+        let place = state.in_flight.iter().position(|question| question.step == step)?;
+        let sent = state.in_flight.remove(place).sent;
         if !answered {
-            one.note_failure(now);
+            state.note_failure(now);
         }
         Some(sent)
     }
@@ -212,8 +226,8 @@
     /// Finds questions that have become overdue and may be asked elsewhere. Returns who asked, and about which step.
     pub fn find_overdue(&mut self, now: Moment) -> Vec<(HelperId, StepId)> {
         let mut overdue = Vec::new();
-        for (helper, one) in &mut self.helpers {
-            for question in one.open.iter_mut().filter(|question| !question.overdue) {
+        for (helper, state) in &mut self.helpers {
+            for question in state.in_flight.iter_mut().filter(|question| !question.overdue) {
                 if now >= question.overdue_at && self.repeats.take() {
                     question.overdue = true;
                     overdue.push((*helper, question.step));
@@ -226,12 +240,13 @@
     /// Removes questions that were not answered in time. Returns who asked, and about which step.
     pub fn expire(&mut self, now: Moment) -> Vec<(HelperId, StepId)> {
         let mut expired = Vec::new();
-        for (helper, one) in &mut self.helpers {
-            let over: Vec<_> = one.open.extract_if(.., |question| question.is_over(now)).collect();
-            if !over.is_empty() {
-                one.note_failure(now);
+        for (helper, state) in &mut self.helpers {
+            let timed_out: Vec<_> =
+                state.in_flight.extract_if(.., |question| question.is_timed_out(now)).collect();
+            if !timed_out.is_empty() {
+                state.note_failure(now);
             }
-            expired.extend(over.into_iter().map(|question| (*helper, question.step)));
+            expired.extend(timed_out.into_iter().map(|question| (*helper, question.step)));
         }
         expired
     }
--- a/crates/sedgehill-cell/src/scheduler/answers.rs
+++ b/crates/sedgehill-cell/src/scheduler/answers.rs
@@ -6,7 +6,7 @@
 
 impl Scheduler {
     fn note_order_answer(&mut self, key: WorkerKey, clock: WorkerTime, now: Moment) {
-        self.losses.note(true);
+        self.call_losses.note(true);
         self.workers[key.0].note_order_answer(clock, now, &self.timing);
     }
 
@@ -17,13 +17,13 @@
         }
         if worker.silent_calls == 0 {
             // Further calls to a worker that is out of touch tell nothing about the others.
-            self.losses.note(false);
+            self.call_losses.note(false);
         }
         worker.silent_calls += 1;
         worker.silent_since.get_or_insert(now);
         worker.avoid_until = worker.avoid_until.max(now.after(self.timing.worker_backoff));
         if worker.silent_calls == 1 {
-            self.note_worker(key, "silent");
+            self.report_worker_change(key, "silent");
         }
     }
 
@@ -40,7 +40,7 @@
         }
         match refusal {
             WorkerRefusal::Fenced => {
-                self.note_fenced_out(key, call);
+                self.report_fenced_out(key, call);
                 self.fenced_out = true;
             }
             WorkerRefusal::OtherLife => self.note_other_life(key, call, now),
@@ -56,10 +56,10 @@
         }
     }
 
-    pub(super) fn note_bad_sign(&mut self, key: WorkerKey, change: &'static str, now: Moment) {
+    pub(super) fn note_fault(&mut self, key: WorkerKey, change: &'static str, now: Moment) {
         let worker = &mut self.workers[key.0];
-        if worker.note_bad_sign(now, &self.timing) {
-            self.note_worker(key, change);
+        if worker.note_fault(now, &self.timing) {
+            self.report_worker_change(key, change);
         }
     }
 
@@ -71,7 +71,7 @@
         now: Moment,
     ) {
         let (key, task, run) = (order.worker, order.task, order.run);
-        self.workers[key.0].start_moved = now;
+        self.workers[key.0].start_activity_at = now;
         if let WorkerAnswer::Done(clock) = answer {
             self.note_order_answer(key, clock, now);
             self.confirm_start(key, &task, run, now);
@@ -102,8 +102,8 @@
             return;
         };
         entry.confirm(now);
-        self.note_running(task);
-        self.note_begun(task.step.job, now);
+        self.note_run_confirmed(task);
+        self.note_started(task.step.job, now);
     }
 
     /// A start was surely not done: the task is free again.
@@ -119,7 +119,7 @@
             self.remove_run(key, task);
         }
         self.release_task(task, run, now.after(self.timing.start_backoff), None);
-        self.note_never_begun(task, run);
+        self.note_never_started(task, run);
         if refusal == WorkerRefusal::Ticket
             && let Some(job) = self.jobs.get_mut(&task.step.job)
             && let Some(step) = job.step_index(&task.step)
--- a/crates/sedgehill-cell/src/scheduler/displacement.rs
+++ b/crates/sedgehill-cell/src/scheduler/displacement.rs
@@ -17,14 +17,14 @@
 
 /// A job is displaced only if it could begin again so much later and still meet its objective: it needs a
 /// new ticket and room, and takes up its saved state.
-const DISPLACED_SLACK: TimeSpan = TimeSpan(3_000);
+const MIN_DISPLACED_SLACK: TimeSpan = TimeSpan(3_000);
 /// How long room is kept free beyond the time that a stop may take: an end is heard some 20 ms after it,
 /// and up to 100 ms later where calls are lost.
-const CLAIM_MARGIN: TimeSpan = TimeSpan(300);
+const RESERVATION_MARGIN: TimeSpan = TimeSpan(300);
 
 /// Room on a worker that is kept for a step.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkerClaim {
+pub struct WorkerReservation {
     /// The step.
     pub step: StepId,
     /// How much.
@@ -89,23 +89,24 @@
         &mut self,
         candidate: &Candidate,
         spec: &StepSpec,
-        left: usize,
+        remaining: usize,
         now: Moment,
     ) {
         let Some(job) = self.jobs.get(&candidate.job) else { return };
-        if spec.gang || spec.long_running || !self.earns(candidate, job, now) {
+        if spec.gang || spec.long_running || !self.has_value(candidate, job, now) {
             return;
         }
         let step = job.steps[candidate.step].id;
-        let claims =
-            |worker: &&WorkerState| worker.claim_of(now).is_some_and(|own| own.step == step);
-        let claimed = self.workers.iter().filter(claims).count();
-        for _ in claimed..left {
+        let has_reserved = |worker: &&WorkerState| {
+            worker.active_reservation(now).is_some_and(|reservation| reservation.step == step)
+        };
+        let reserved = self.workers.iter().filter(has_reserved).count();
+        for _ in reserved..remaining {
             let Some(displacement) = self.find_displacement(candidate, spec, now) else { return };
             let key = displacement.worker;
-            let until = now.after(self.timing.stop).after(CLAIM_MARGIN);
-            self.workers[key.0].claim =
-                Some(WorkerClaim { step, need: spec.need, until, alone: false });
+            let until = now.after(self.timing.stop).after(RESERVATION_MARGIN);
+            self.workers[key.0].reservation =
+                Some(WorkerReservation { step, need: spec.need, until, alone: false });
             for (task, run) in displacement.runs {
                 self.stop_run(key, task, run, "displaced", now);
             }
@@ -135,7 +136,7 @@
     pub(super) fn could_displace_on(
         &self,
         key: WorkerKey,
-        job: &JobWork,
+        job: &ActiveJob,
         step: usize,
         spec: &StepSpec,
         now: Moment,
@@ -146,15 +147,15 @@
     fn displacement_on(
         &self,
         key: WorkerKey,
-        job: &JobWork,
+        job: &ActiveJob,
         step: usize,
         spec: &StepSpec,
         now: Moment,
     ) -> Option<Displacement> {
         let worker = &self.workers[key.0];
-        let sound = worker.trust == WorkerTrust::Sound && worker.takes_work(now, &self.timing);
+        let sound = worker.trust == WorkerTrust::Trusted && worker.takes_work(now, &self.timing);
         let fits = sound
-            && worker.claim_of(now).is_none()
+            && worker.active_reservation(now).is_none()
             && worker.entry.capacity.fits(&spec.need)
             && self.admits(key, job, step, spec, now);
         if !fits {
@@ -171,7 +172,7 @@
         &self,
         task: &CellTask,
         run: &WorkerRun,
-        urgent: &JobWork,
+        urgent: &ActiveJob,
         now: Moment,
     ) -> bool {
         let Some(job) = self.jobs.get(&task.step.job) else { return false };
@@ -182,7 +183,7 @@
             && spec.checkpointing
             && !spec.gang
             && !spec.long_running
-            && latest_start(job, step, self.unix_ms_at(now), now) > now.after(DISPLACED_SLACK).0
+            && latest_start(job, step, self.unix_ms_at(now), now) > now.after(MIN_DISPLACED_SLACK).0
     }
 }
 
--- a/crates/sedgehill-cell/src/scheduler/ends.rs
+++ b/crates/sedgehill-cell/src/scheduler/ends.rs
@@ -26,9 +26,9 @@
         if !known {
             return false;
         }
-        self.close_run(&row.task, row.run);
+        self.resolve_run(&row.task, row.run);
         self.take_end_of(key, row, now);
-        self.note_run_over(&row.task, RestartCause::Ended(row.end), now);
+        self.note_run_ended(&row.task, RestartCause::Ended(row.end), now);
         self.dirty.insert(id);
         self.finish_if_over(id, now);
         true
@@ -49,7 +49,7 @@
         let Some(step) = job.step_index(&task.step) else { return };
         let spec = job.step_spec(step);
         if spec.long_running {
-            let run = job.tasks[job.steps[step].first + usize::from(task.index)].kept.run;
+            let run = job.tasks[job.steps[step].first_task + usize::from(task.index)].progress.run;
             self.release_task(task, run, now, None);
             return;
         }
@@ -68,14 +68,14 @@
             return;
         };
         let gang = job.step_spec(step).gang;
-        let work = &mut job.tasks[index];
-        if work.kept.done {
+        let active_task = &mut job.tasks[index];
+        if active_task.progress.done {
             return;
         }
-        work.kept.done = true;
-        work.kept.checkpoint.clear();
-        let phase = std::mem::replace(&mut work.phase, TaskPhase::Waiting(now));
-        job.steps[step].left -= 1;
+        active_task.progress.done = true;
+        active_task.progress.checkpoint.clear();
+        let phase = std::mem::replace(&mut active_task.phase, TaskPhase::Waiting(now));
+        job.steps[step].unfinished -= 1;
         if let TaskPhase::Placed(worker, run) = phase
             && !gang
         {
@@ -85,28 +85,29 @@
     }
 
     fn take_failed(&mut self, key: WorkerKey, row: &EndRow, now: Moment) {
-        self.note_bad_sign(key, "fails what it runs", now);
+        self.note_fault(key, "fails what it runs", now);
         let Some(job) = self.jobs.get_mut(&row.task.step.job) else { return };
         let (Some(step), Some(index)) = (job.step_index(&row.task.step), job.task_index(&row.task))
         else {
             return;
         };
         let spec = job.step_spec(step);
-        let (gang, lasts) = (spec.gang, spec.long_running);
+        let (gang, long_running) = (spec.gang, spec.long_running);
         // A failed run of a gang counts once, at its first task.
         let counted = match gang {
-            true => job.steps[step].first,
+            true => job.steps[step].first_task,
             false => index,
         };
         job.tasks[index].failed_at = Some(key);
-        let kept = &mut job.tasks[counted].kept;
-        if !lasts && !kept.failed_runs.contains(&row.run) {
-            kept.failed_runs.push(row.run);
+        let progress = &mut job.tasks[counted].progress;
+        if !long_running && !progress.failed_runs.contains(&row.run) {
+            progress.failed_runs.push(row.run);
         }
-        let hopeless = kept.failed_runs.len() >= job.record.policy.max_attempts as usize;
-        let is_done = job.tasks[index].kept.done;
+        let attempts_used_up =
+            progress.failed_runs.len() >= job.record.policy.max_attempts as usize;
+        let is_done = job.tasks[index].progress.done;
         self.release_task(&row.task, row.run, now, Some(&row.checkpoint));
-        if hopeless && !is_done {
+        if attempts_used_up && !is_done {
             self.fail_job(row.task.step.job, "job failed", now);
         }
     }
--- a/crates/sedgehill-cell/src/scheduler/event.rs
+++ b/crates/sedgehill-cell/src/scheduler/event.rs
@@ -6,8 +6,8 @@
 
 use super::message::{HelperId, RunEnd, WorkerRefusal, WorkerTime};
 use super::restart::RestartCause;
-use super::stall::{StallBelief, StallReason};
-use super::suspects::CrashSign;
+use super::stall::{StallDetails, StallReason};
+use super::suspects::CrashDetection;
 use crate::ids::{
     CellTask, FencingToken, JobId, LifeStart, OrganisationName, RunNumber, StepId, WorkerLife,
 };
@@ -30,7 +30,7 @@
         /// Time left on the ticket.
         ticket_left: Option<TimeSpan>,
         /// What settled the orders of earlier leads, if one of them may have begun the job.
-        earlier: Option<EarlierSettled>,
+        earlier: Option<SettlementCause>,
         /// How long a long-running task has had no run; none for any other, and for its first one.
         without_run: Option<TimeSpan>,
     },
@@ -79,7 +79,7 @@
         cause: LossCause,
     },
     /// A run was lost with a worker out of touch: it is open whether that crashed.
-    LossOpen {
+    LossUnresolved {
         /// The task.
         task: CellTask,
         /// The run.
@@ -109,14 +109,14 @@
         /// The worker had said that the run was there.
         seen: bool,
         /// Other runs that were there; 0 where that is not known any more.
-        beside: usize,
+        other_runs: usize,
         /// What told the crash.
-        sign: CrashSign,
+        detected_by: CrashDetection,
         /// Workers that crashed under the task so far.
         count: usize,
     },
     /// A worker crashed under a task together with others, so that it says nothing of the task.
-    LostTogether {
+    CorrelatedCrash {
         /// The task.
         task: CellTask,
         /// The run.
@@ -127,7 +127,7 @@
         others: usize,
     },
     /// A worker crashed on which a start went unanswered, which most likely came to a worker that was down.
-    UnansweredLost {
+    UnansweredStartLost {
         /// The task.
         task: CellTask,
         /// The run.
@@ -138,14 +138,14 @@
         count: usize,
     },
     /// A task is taken as the cause of crashes, and its job fails.
-    GivenUp {
+    TaskGivenUp {
         /// The task.
         task: CellTask,
         /// The lives that ended under it.
         workers: Vec<WorkerLife>,
     },
     /// A run of an earlier lead is taken over.
-    Adopted {
+    RunAdopted {
         /// The task.
         task: CellTask,
         /// The run.
@@ -154,7 +154,7 @@
         worker: WorkerLife,
     },
     /// A worker lists a run that this lead does not want; it is stopped.
-    Unwanted {
+    RunUnwanted {
         /// The task.
         task: CellTask,
         /// The run.
@@ -162,10 +162,10 @@
         /// Where.
         worker: WorkerLife,
         /// What the lead takes as true of the task instead.
-        belief: TaskBelief,
+        known_state: KnownTaskState,
     },
     /// The advice service was asked.
-    Asked {
+    AdviceRequested {
         /// The step.
         step: StepId,
         /// Workers named.
@@ -174,13 +174,13 @@
         helper: HelperId,
     },
     /// The advice service answered, or did not.
-    Advised {
+    AdviceReceived {
         /// The step.
         step: StepId,
         /// Who asked.
         helper: HelperId,
         /// Workers that may run the step; none without an answer.
-        good: Option<usize>,
+        allowed: Option<usize>,
         /// Since the question; none if it was given up before.
         took: Option<TimeSpan>,
     },
@@ -192,7 +192,7 @@
         helper: HelperId,
     },
     /// Tasks of a step could run but for the limit of their organisation.
-    Held {
+    LimitReached {
         /// The step.
         step: StepId,
         /// Whose limit.
@@ -211,9 +211,9 @@
         /// Where it was turned back last.
         reason: StallReason,
         /// For how long.
-        stood: TimeSpan,
+        stalled_for: TimeSpan,
         /// What was believed then.
-        belief: StallBelief,
+        details: StallDetails,
     },
     /// A long-running task lost its run a while ago and does not run again yet.
     RestartLate {
@@ -224,11 +224,11 @@
         /// For how long it has had none.
         without_run: TimeSpan,
         /// The gate that turned it back last.
-        gate: StallReason,
+        reason: StallReason,
         /// Steps that were ranked before it then.
         ahead: usize,
         /// What is believed of its step.
-        belief: StallBelief,
+        details: StallDetails,
     },
     /// A job is over.
     JobEnded {
@@ -240,7 +240,7 @@
         after: TimeSpan,
     },
     /// A worker is new, or takes orders again, or does not.
-    Worker {
+    WorkerChanged {
         /// The worker.
         worker: WorkerLife,
         /// What changed.
@@ -280,7 +280,7 @@
     },
     /// A worker started again under its id: another life answers than the one that is known. That one counts as ended
     /// once the next is heard under its own token.
-    StartedAgain {
+    WorkerRestarted {
         /// The life that was known.
         worker: WorkerLife,
         /// The one that answers.
@@ -295,7 +295,7 @@
         silent: Option<TimeSpan>,
     },
     /// An account does not tell which life gives it, though that is known of the worker; or it is of an earlier life.
-    AccountUnused {
+    ReportIgnored {
         /// The life that was asked.
         worker: WorkerLife,
         /// The start that the account tells.
@@ -312,7 +312,7 @@
     TakeOverSettled(TakeOverSettled),
     /// A job became known, after this lead had caught up, whose tasks another lead may start. Nothing of it is
     /// started unless this lead's own record turns out to be the mark.
-    MarkedLate {
+    JobLedElsewhere {
         /// The job.
         job: JobId,
         /// Since the store refuses earlier leads.
@@ -322,7 +322,7 @@
 
 /// What settled whether an earlier lead has something of a job running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EarlierSettled {
+pub enum SettlementCause {
     /// Every worker of the roster has answered this lead, or has ended.
     Heard,
     /// The term and the longest lease of earlier leads have passed.
@@ -331,13 +331,13 @@
     Nothing,
 }
 
-impl EarlierSettled {
+impl SettlementCause {
     /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            EarlierSettled::Heard => "heard",
-            EarlierSettled::Time => "time",
-            EarlierSettled::Nothing => "nothing",
+            SettlementCause::Heard => "heard",
+            SettlementCause::Time => "time",
+            SettlementCause::Nothing => "nothing",
         }
     }
 }
@@ -346,7 +346,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct TakeOverSettled {
     /// By what.
-    pub by: EarlierSettled,
+    pub by: SettlementCause,
     /// Since the store refuses earlier leads.
     pub after: TimeSpan,
     /// Workers of the inherited roster that have answered.
@@ -433,7 +433,7 @@
 
 /// What a lead takes as true of a task.
 #[derive(Debug, Clone, PartialEq)]
-pub enum TaskBelief {
+pub enum KnownTaskState {
     /// It runs on another worker, or may.
     Placed {
         /// The run.
@@ -451,14 +451,14 @@
     Unknown,
 }
 
-impl TaskBelief {
+impl KnownTaskState {
     /// The name in logs.
     pub fn name(&self) -> &'static str {
         match self {
-            TaskBelief::Placed { .. } => "placed",
-            TaskBelief::Done => "done",
-            TaskBelief::JobOver(_) => "job_over",
-            TaskBelief::Unknown => "unknown_job",
+            KnownTaskState::Placed { .. } => "placed",
+            KnownTaskState::Done => "done",
+            KnownTaskState::JobOver(_) => "job_over",
+            KnownTaskState::Unknown => "unknown_job",
         }
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/isolation.rs
+++ b/crates/sedgehill-cell/src/scheduler/isolation.rs
@@ -7,7 +7,7 @@
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
-use super::displacement::WorkerClaim;
+use super::displacement::WorkerReservation;
 use super::placement::Assignment;
 use super::room::{Candidate, OpenWorkers};
 use super::*;
@@ -16,49 +16,50 @@
 
 /// A run that has gone on for so long is not what crashes its worker. Tasks of the users that crash workers do so
 /// within a second of their start, and their longest usual tasks take some six.
-const TRUSTED_AFTER: TimeSpan = TimeSpan(10_000);
+const CRASH_SUSPECT_SPAN: TimeSpan = TimeSpan(10_000);
 /// A claim for a task that wants a worker of its own lasts so long, and is renewed with each turn.
-const CLAIM_SPAN: TimeSpan = TimeSpan(1_000);
+const ALONE_RESERVATION_SPAN: TimeSpan = TimeSpan(1_000);
 /// One in so many workers of a pool may be claimed for such tasks: the others go on with all other work.
-const CLAIMED_ONE_IN: usize = 8;
+const ALONE_RESERVATION_ONE_IN: usize = 8;
 
 impl WorkerState {
     /// Whether nothing of another job is there that could be the cause of a crash.
-    pub(super) fn is_clear_for(&self, job: JobId, now: Moment) -> bool {
-        let trusted = |run: &worker::WorkerRun| now >= run.since.after(TRUSTED_AFTER);
+    pub(super) fn is_exclusive_for(&self, job: JobId, now: Moment) -> bool {
+        let trusted = |run: &worker::WorkerRun| now >= run.since.after(CRASH_SUSPECT_SPAN);
         self.runs.iter().all(|(task, run)| task.step.job == job || trusted(run))
     }
 
     /// Whether a task of another job wants the worker for itself.
-    pub(super) fn is_kept_from(&self, job: JobId, now: Moment) -> bool {
-        let wants = |run: &worker::WorkerRun| run.alone && now < run.since.after(TRUSTED_AFTER);
-        self.kept_alone && self.runs.iter().any(|(task, run)| task.step.job != job && wants(run))
+    pub(super) fn excludes_job(&self, job: JobId, now: Moment) -> bool {
+        let wants =
+            |run: &worker::WorkerRun| run.alone && now < run.since.after(CRASH_SUSPECT_SPAN);
+        self.has_alone_run && self.runs.iter().any(|(task, run)| task.step.job != job && wants(run))
     }
 
     /// How long it takes at the most until nothing of another job is there that could be the cause of a crash.
-    fn clears_for(&self, job: JobId, now: Moment) -> TimeSpan {
-        let left = |run: &worker::WorkerRun| {
+    fn time_until_exclusive(&self, job: JobId, now: Moment) -> TimeSpan {
+        let time_left = |run: &worker::WorkerRun| {
             let age = now.since(run.since);
-            let whole = run.expected.unwrap_or(TRUSTED_AFTER).min(TRUSTED_AFTER);
-            TimeSpan(whole.0.saturating_sub(age.0))
+            let suspect_span = run.expected.unwrap_or(CRASH_SUSPECT_SPAN).min(CRASH_SUSPECT_SPAN);
+            TimeSpan(suspect_span.0.saturating_sub(age.0))
         };
         let others = self.runs.iter().filter(|(task, _)| task.step.job != job);
-        others.map(|(_, run)| left(run)).max().unwrap_or_default()
+        others.map(|(_, run)| time_left(run)).max().unwrap_or_default()
     }
 
     /// Whether it is kept for a task that is to run with nothing of another job beside it.
-    pub(super) fn is_claimed_alone(&self, now: Moment) -> bool {
-        self.claim_of(now).is_some_and(|claim| claim.alone)
+    pub(super) fn has_alone_reservation(&self, now: Moment) -> bool {
+        self.active_reservation(now).is_some_and(|reservation| reservation.alone)
     }
 }
 
 /// How a task of a step may be started.
-pub(super) fn stage_of(job: &JobWork, step: usize, index: u16) -> SuspectStage {
+pub(super) fn stage_of(job: &ActiveJob, step: usize, index: u16) -> SuspectStage {
     job.step_tasks(step)[usize::from(index)].suspicion.stage()
 }
 
 /// The tasks that want a worker of their own, and the others.
-pub(super) fn split_alone(job: &JobWork, step: usize, tasks: &[u16]) -> (Vec<u16>, Vec<u16>) {
+pub(super) fn split_alone(job: &ActiveJob, step: usize, tasks: &[u16]) -> (Vec<u16>, Vec<u16>) {
     tasks.iter().partition(|index| stage_of(job, step, **index) == SuspectStage::Alone)
 }
 
@@ -76,7 +77,7 @@
             return Vec::new();
         }
         let mut rooms = self.usable_rooms(candidate, spec, open, now);
-        rooms.retain(|(key, _)| self.workers[key.0].is_clear_for(candidate.job, now));
+        rooms.retain(|(key, _)| self.workers[key.0].is_exclusive_for(candidate.job, now));
         rooms.sort_by_key(|(key, _)| !self.workers[key.0].runs.is_empty());
         // The members of a gang are lost together, wherever they stand.
         let slots = |(key, room)| std::iter::repeat_n(key, if spec.gang { room } else { 1 });
@@ -84,7 +85,7 @@
     }
 
     /// Keeps workers from new work until each of `wanted` tasks of a step finds one that is clear.
-    pub(super) fn claim_alone(
+    pub(super) fn reserve_alone(
         &mut self,
         candidate: &Candidate,
         spec: &StepSpec,
@@ -93,36 +94,36 @@
     ) {
         let Some(job) = self.jobs.get(&candidate.job) else { return };
         let step = job.steps[candidate.step].id;
-        let until = now.after(CLAIM_SPAN);
+        let until = now.after(ALONE_RESERVATION_SPAN);
         let slots = |worker: &WorkerState| match spec.gang {
             true => worker.entry.capacity.capacity_for(&spec.need) as usize,
             false => 1,
         };
-        let mut claimed: usize = 0;
+        let mut reserved: usize = 0;
         for worker in &mut self.workers {
             if !worker.takes_work(now, &self.timing) {
                 continue;
             }
-            if let Some(claim) = &mut worker.claim
-                && now < claim.until
-                && claim.alone
-                && claim.step == step
+            if let Some(reservation) = &mut worker.reservation
+                && now < reservation.until
+                && reservation.alone
+                && reservation.step == step
             {
-                claim.until = until;
-                claimed += slots(worker);
+                reservation.until = until;
+                reserved += slots(worker);
             }
         }
-        while claimed < wanted {
-            let Some(key) = self.find_claimable(candidate, spec, now) else { return };
+        while reserved < wanted {
+            let Some(key) = self.find_reservable(candidate, spec, now) else { return };
             let worker = &mut self.workers[key.0];
             let need = worker.entry.capacity;
-            worker.claim = Some(WorkerClaim { step, need, until, alone: true });
-            claimed += slots(worker).max(1);
+            worker.reservation = Some(WorkerReservation { step, need, until, alone: true });
+            reserved += slots(worker).max(1);
         }
     }
 
     /// The worker that is clear the soonest.
-    fn find_claimable(
+    fn find_reservable(
         &self,
         candidate: &Candidate,
         spec: &StepSpec,
@@ -132,12 +133,17 @@
         let pool = &job.record.policy.pool;
         let workers = || self.workers.iter().filter(|worker| worker.entry.pool == *pool);
         let usable = |worker: &&WorkerState| worker.takes_work(now, &self.timing);
-        let most = (workers().filter(usable).count() / CLAIMED_ONE_IN).max(1);
+        let max_reservations = (workers().filter(usable).count() / ALONE_RESERVATION_ONE_IN).max(1);
         let step = job.steps[candidate.step].id;
-        let claims =
-            || workers().filter_map(|worker| worker.claim_of(now)).filter(|claim| claim.alone);
+        let reservations = || {
+            workers()
+                .filter_map(|worker| worker.active_reservation(now))
+                .filter(|reservation| reservation.alone)
+        };
         // A gang that wants more than that would never become whole, so the first step has what it wants.
-        if claims().count() >= most && claims().any(|claim| claim.step != step) {
+        if reservations().count() >= max_reservations
+            && reservations().any(|reservation| reservation.step != step)
+        {
             return None;
         }
         let advice = &job.steps[candidate.step].advice;
@@ -145,20 +151,20 @@
         let fitting = keys.filter(|key| {
             let worker = &self.workers[key.0];
             usable(&worker)
-                && worker.claim_of(now).is_none()
-                && worker.trust == WorkerTrust::Sound
+                && worker.active_reservation(now).is_none()
+                && worker.trust == WorkerTrust::Trusted
                 && worker.entry.capacity.fits(&spec.need)
                 && self.admits(*key, job, candidate.step, spec, now)
                 && !matches!(advice.known.get(key), Some(None))
         });
         fitting.min_by_key(|key| {
             let known = matches!(advice.known.get(key), Some(Some(_)));
-            (!known, self.workers[key.0].clears_for(candidate.job, now), *key)
+            (!known, self.workers[key.0].time_until_exclusive(candidate.job, now), *key)
         })
     }
 
     /// Whether a task may be put on a worker beside what runs there.
-    pub(super) fn may_join(
+    pub(super) fn may_share_worker(
         &self,
         key: WorkerKey,
         id: JobId,
@@ -171,7 +177,7 @@
         let others = self.workers[key.0]
             .runs
             .iter()
-            .filter(|(task, run)| task.step.job != id && now < run.since.after(TRUSTED_AFTER));
+            .filter(|(task, run)| task.step.job != id && now < run.since.after(CRASH_SUSPECT_SPAN));
         let mut suspects = others.filter_map(|(task, _)| {
             let job = self.jobs.get(&task.step.job)?;
             Some(&job.tasks[job.task_index(task)?].suspicion)
--- a/crates/sedgehill-cell/src/scheduler/lives.rs
+++ b/crates/sedgehill-cell/src/scheduler/lives.rs
@@ -16,11 +16,11 @@
 
 /// How long after it was sent a call may be carried out: several times the twelve seconds that users speak of. A worker
 /// whose lives used up the tokens of a lead is left alone for so long, and begins with the first one again.
-const CALL_LATE_MOST: TimeSpan = TimeSpan(60_000);
+const MAX_CALL_DELAY: TimeSpan = TimeSpan(60_000);
 
 /// Which life gave an account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LifeSign {
+enum ReportOrigin {
     /// The one that was asked.
     Same,
     /// One that began later.
@@ -39,47 +39,52 @@
         sent: Moment,
         now: Moment,
     ) -> bool {
-        match self.life_sign(key, report.start, sent) {
-            LifeSign::Same => {
-                self.learn_start(key, report.start);
+        match self.classify_report(key, report.start, sent) {
+            ReportOrigin::Same => {
+                self.set_life_start(key, report.start);
                 true
             }
-            LifeSign::Next(start) => {
-                self.follow_life(key, start, now);
+            ReportOrigin::Next(start) => {
+                self.replace_life(key, start, now);
                 false
             }
-            LifeSign::Unused => {
+            ReportOrigin::Unused => {
                 if report.start.is_none() {
                     // Whatever gives it, nothing can be gone by.
                     self.note_silence(key, now);
                 }
                 let worker = self.workers[key.0].entry.life.clone();
-                self.events.push(CellEvent::AccountUnused { worker, start: report.start });
+                self.events.push(CellEvent::ReportIgnored { worker, start: report.start });
                 false
             }
         }
     }
 
-    fn life_sign(&self, key: WorkerKey, told: Option<LifeStart>, sent: Moment) -> LifeSign {
+    fn classify_report(
+        &self,
+        key: WorkerKey,
+        reported: Option<LifeStart>,
+        sent: Moment,
+    ) -> ReportOrigin {
         let worker = &self.workers[key.0];
         let known = worker.entry.life.start;
-        if told == known || (known.is_none() && !worker.fenced) {
-            return LifeSign::Same;
+        if reported == known || (known.is_none() && !worker.fenced) {
+            return ReportOrigin::Same;
         }
-        if told.is_none() {
-            return LifeSign::Unused;
+        if reported.is_none() {
+            return ReportOrigin::Unused;
         }
         // What was asked after the known life had answered was not answered by one before it, whatever their clocks said.
         // Answers that overtake each other are told apart by the starts.
-        let asked_later = worker.accounted.is_none_or(|at| sent >= at);
-        match asked_later || told > known {
-            true => LifeSign::Next(told),
-            false => LifeSign::Unused,
+        let asked_later = worker.last_report_at.is_none_or(|at| sent >= at);
+        match asked_later || reported > known {
+            true => ReportOrigin::Next(reported),
+            false => ReportOrigin::Unused,
         }
     }
 
     /// The start of a life becomes known that stood in a record without it.
-    fn learn_start(&mut self, key: WorkerKey, start: Option<LifeStart>) {
+    fn set_life_start(&mut self, key: WorkerKey, start: Option<LifeStart>) {
         let life = &mut self.workers[key.0].entry.life;
         if life.start == start {
             return;
@@ -91,31 +96,32 @@
     }
 
     /// Another life answers under the id of `key`.
-    fn follow_life(&mut self, key: WorkerKey, start: Option<LifeStart>, now: Moment) {
+    fn replace_life(&mut self, key: WorkerKey, start: Option<LifeStart>, now: Moment) {
         let worker = &mut self.workers[key.0];
-        worker.followed = Some(now);
+        worker.replaced_at = Some(now);
         let life = WorkerLife { id: worker.entry.life.id.clone(), start };
-        let next = self.listed_life(key, &life).or_else(|| self.meet_life(key, &life, now));
+        let next =
+            self.known_life_here(key, &life).or_else(|| self.add_unlisted_life(key, &life, now));
         let token = next.map(|next| self.workers[next.0].token);
         let worker = &self.workers[key.0];
-        self.events.push(CellEvent::StartedAgain {
+        self.events.push(CellEvent::WorkerRestarted {
             worker: worker.entry.life.clone(),
             next: life,
             token,
             runs: worker.runs.len(),
-            acknowledged: worker.told,
-            silent: worker.answered.map(|at| now.since(at)),
+            acknowledged: worker.acknowledged_to,
+            silent: worker.last_answer_at.map(|at| now.since(at)),
         });
     }
 
     /// The handle of a life that answers at the address of `key`, if it is looked for there already. One that is looked
     /// for elsewhere is not there.
-    fn listed_life(&mut self, key: WorkerKey, life: &WorkerLife) -> Option<WorkerKey> {
+    fn known_life_here(&mut self, key: WorkerKey, life: &WorkerLife) -> Option<WorkerKey> {
         let known = self.lives.get(life).copied()?;
         let is_here = self.workers[known.0].entry.address == self.workers[key.0].entry.address;
         let other = &mut self.workers[known.0];
         if is_here && !other.dead {
-            other.follows = true;
+            other.replaces_earlier = true;
             return Some(known);
         }
         other.dead = true;
@@ -124,19 +130,24 @@
 
     /// A handle for a life that answers at the address of `key`: as its entry says, if that was read, or else like the
     /// life before it, without work until it is read.
-    fn meet_life(&mut self, key: WorkerKey, life: &WorkerLife, now: Moment) -> Option<WorkerKey> {
+    fn add_unlisted_life(
+        &mut self,
+        key: WorkerKey,
+        life: &WorkerLife,
+        now: Moment,
+    ) -> Option<WorkerKey> {
         let worker = &self.workers[key.0];
         let is_here =
             |entry: &WorkerEntry| entry.life == *life && entry.address == worker.entry.address;
-        let read = worker.listed_next.as_deref().filter(|entry| is_here(entry)).cloned();
-        let size_read = read.is_some();
+        let read = worker.other_listed_entry.as_deref().filter(|entry| is_here(entry)).cloned();
+        let capacity_read = read.is_some();
         let entry = read.unwrap_or_else(|| WorkerEntry {
             life: life.clone(),
             draining: false,
             ..worker.entry.clone()
         });
         let next = self.add_life(entry, key, "started again", now)?;
-        self.workers[next.0].size_read = size_read;
+        self.workers[next.0].capacity_read = capacity_read;
         Some(next)
     }
 
@@ -151,15 +162,15 @@
     ) -> Option<WorkerKey> {
         let token = self.next_token(&entry.life.id, earlier, now)?;
         let key = self.add_worker(entry, token, change, now);
-        self.workers[key.0].follows = true;
-        self.next_lives.push(key);
+        self.workers[key.0].replaces_earlier = true;
+        self.unpolled_lives.push(key);
         Some(key)
     }
 
     /// Takes the lives that follow on others and that nobody asks for accounts yet.
-    pub fn take_next_lives(&mut self) -> Vec<WorkerKey> {
-        let mut keys = std::mem::take(&mut self.next_lives);
-        keys.retain(|key| !std::mem::replace(&mut self.workers[key.0].watched, true));
+    pub fn take_new_lives(&mut self) -> Vec<WorkerKey> {
+        let mut keys = std::mem::take(&mut self.unpolled_lives);
+        keys.retain(|key| !std::mem::replace(&mut self.workers[key.0].polled, true));
         keys
     }
 
@@ -170,8 +181,8 @@
         let highest = newest.token.max(earlier.token);
         let number = highest.0 - self.token.0 + 1;
         let long_over = || {
-            let over = newest.followed.max(earlier.followed);
-            over.is_some_and(|over| now >= over.after(CALL_LATE_MOST))
+            let over = newest.replaced_at.max(earlier.replaced_at);
+            over.is_some_and(|over| now >= over.after(MAX_CALL_DELAY))
         };
         match number < TOKENS_PER_LEAD {
             true => Some(self.token.for_life(number)),
@@ -182,7 +193,7 @@
     /// A life was heard under its own token: those before it under its id have ended, and what was sent to them is
     /// refused from now on. What it has of it already, its account lists.
     pub(super) fn end_earlier_lives(&mut self, key: WorkerKey, now: Moment) {
-        if !std::mem::take(&mut self.workers[key.0].follows) {
+        if !std::mem::take(&mut self.workers[key.0].replaces_earlier) {
             return;
         }
         let id = self.workers[key.0].entry.life.id.clone();
@@ -204,25 +215,26 @@
         let worker = &self.workers[key.0];
         let (life, address) = (worker.entry.life.clone(), worker.entry.address);
         if worker.fenced && !worker.is_leaving() {
-            self.background.note(life.clone(), now);
+            self.background_crashes.note(life.clone(), now);
         }
-        self.note_ended(key, call, now);
+        self.report_worker_ended(key, call, now);
         let worker = &mut self.workers[key.0];
         worker.dead = true;
-        worker.followed.get_or_insert(now);
+        worker.replaced_at.get_or_insert(now);
         self.lose_runs(key, LossCause::WorkerEnded { address, call }, now);
-        self.settle_crashed(&life, address, CrashSign::OtherLife, now);
+        self.resolve_as_crash(&life, address, CrashDetection::OtherLife, now);
     }
 
     /// A life that was followed by another one, which is not heard: what was sent to the one may run on the other for as
     /// long as a lease lasts.
-    pub(super) fn expire_followed(&mut self, key: WorkerKey, since: Moment, now: Moment) {
-        let lease = self.timing.lease_most;
-        let end = since.after(lease).after(self.drift_of(lease)).after(self.timing.lapse_margin);
-        if now > end && self.is_confirmed(end) {
+    pub(super) fn expire_replaced_life(&mut self, key: WorkerKey, since: Moment, now: Moment) {
+        let lease = self.timing.max_lease;
+        let end =
+            since.after(lease).after(self.drift_of(lease)).after(self.timing.lease_end_margin);
+        if now > end && self.was_sole_lead_at(end) {
             let next = self.ids.get(&self.workers[key.0].entry.life.id).copied();
             if let Some(next) = next {
-                self.workers[next.0].follows = false;
+                self.workers[next.0].replaces_earlier = false;
             }
             self.end_life(key, WorkerCall::Account, now);
         }
--- a/crates/sedgehill-cell/src/scheduler/message.rs
+++ b/crates/sedgehill-cell/src/scheduler/message.rs
@@ -261,9 +261,9 @@
 
 /// Tells rosters apart in logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RosterMark(u64);
+pub struct RosterDigest(u64);
 
-impl fmt::Display for RosterMark {
+impl fmt::Display for RosterDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -287,21 +287,21 @@
     /// The stored form of the roster.
     pub fn encode(&self) -> Vec<u8> {
         let stored = StoredRoster::from(self);
-        postcard::to_stdvec(&stored).expect("a roster has no types that cannot be encoded")
+        postcard::to_stdvec(&stored).expect("all types in a roster can be encoded")
     }
 
     /// What tells rosters apart in logs: the same for the same workers in the same order.
-    pub fn mark(&self) -> RosterMark {
+    pub fn digest(&self) -> RosterDigest {
         let mut hasher = DefaultHasher::new();
         hasher.write(&self.encode());
-        RosterMark(hasher.finish())
+        RosterDigest(hasher.finish())
     }
 
     /// Reads a roster back.
     pub fn decode(value: &[u8]) -> Result<WorkerRoster, postcard::Error> {
         /// Two lists of none: rosters of earlier versions end before one of them, or both.
-        const NONE_SHRUNK_NONE_TOLD: [u8; 2] = [0, 0];
-        decode_grown::<StoredRoster>(value, &NONE_SHRUNK_NONE_TOLD).map(WorkerRoster::from)
+        const EMPTY_LISTS: [u8; 2] = [0, 0];
+        decode_grown::<StoredRoster>(value, &EMPTY_LISTS).map(WorkerRoster::from)
     }
 }
 
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -6,64 +6,64 @@
 //! only when it is recorded. A task whose start went unanswered is settled before it runs elsewhere:
 //! by an answered stop, by an account that lists the run, or by the end of the worker's lease.
 
-mod accounts;
+mod active_job;
 mod advice;
+mod advice_dispatch;
 mod answers;
-mod background;
-mod desk;
+mod background_crashes;
+mod call_loss;
+mod diagnostics;
 mod displacement;
 mod ends;
 mod event;
-mod held;
 mod isolation;
 mod lives;
-mod loss;
 mod message;
-mod naming;
 mod organisations;
 mod pace;
 mod placement;
 mod policy;
+mod questions;
 mod rank;
 mod record;
+mod reports;
 mod restart;
 mod restart_room;
 mod room;
 mod roster;
-mod sight;
 mod stall;
 mod stragglers;
 mod suspects;
 mod take_over;
 mod timing;
-mod work;
 mod worker;
+mod write_ahead;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
-pub use self::advice::GoodShare;
-use self::background::CrashBackground;
-pub use self::desk::AdviceDesk;
+use self::active_job::{ActiveJob, ActiveTask, StartFlag, TaskPhase};
+pub use self::advice::AllowedShare;
+pub use self::advice_dispatch::AdviceDispatcher;
+use self::background_crashes::BackgroundCrashes;
+use self::call_loss::CallLossRate;
+pub use self::diagnostics::TakeOverStatus;
 pub use self::event::*;
-use self::held::HeldStart;
-use self::loss::LossRate;
 pub use self::message::*;
-pub use self::organisations::{OrganisationBook, OrganisationFigures, OrganisationKey};
+pub use self::organisations::{OrganisationKey, OrganisationStats, OrganisationTable};
 use self::pace::FactorAverage;
-pub use self::policy::{CellPolicy, LimitOrder, LimitOrderError, SharingError, SharingWay};
-use self::restart::RestartBook;
-pub use self::restart::{RestartCause, RestartDue, RestartFigures};
+pub use self::policy::{CellPolicy, LimitOrder, LimitOrderError, SharingError, SharingMode};
+use self::restart::RestartTracker;
+pub use self::restart::{PendingRestart, RestartCause, RestartStats};
 use self::room::Candidate;
-pub use self::sight::TakeOverSight;
-pub use self::stall::{StallBelief, StallFigures, StallReason};
-pub use self::suspects::CrashSign;
-use self::suspects::OpenRuns;
+pub use self::stall::{StallDetails, StallReason, StallStats};
+pub use self::suspects::CrashDetection;
+use self::suspects::UnresolvedRuns;
 pub use self::timing::CellTiming;
-use self::work::{JobWork, OrderedMark, TaskPhase};
-use self::worker::{RunPhase, StopTry, WorkerState, WorkerTrust};
+use self::worker::{RunPhase, StopAttempt, WorkerState, WorkerTrust};
+use self::write_ahead::UnrecordedStart;
 use crate::ids::{
     CellTask, FencingToken, JobId, QueueName, RunNumber, StepId, WorkerId, WorkerLife,
 };
@@ -84,7 +84,7 @@
     /// Every worker has answered, or what it runs has surely ended.
     settled: bool,
     /// What settled it.
-    settled_by: Option<EarlierSettled>,
+    settled_by: Option<SettlementCause>,
     /// A worker on which an earlier lead may have started something was not heard.
     lost_workers: bool,
 }
@@ -95,28 +95,28 @@
     timing: CellTiming,
     token: FencingToken,
     /// The lead before this one; none if that is not known.
-    follows: Option<FencingToken>,
+    previous_token: Option<FencingToken>,
     workers: Vec<WorkerState>,
     /// All lives that were ever known.
     lives: HashMap<WorkerLife, WorkerKey>,
     /// The life that answers under each id, or is looked for.
     ids: HashMap<WorkerId, WorkerKey>,
     /// Lives that were met lately, and that nobody asks for accounts yet.
-    next_lives: Vec<WorkerKey>,
-    jobs: BTreeMap<JobId, JobWork>,
-    desk: AdviceDesk,
-    shares: HashMap<QueueName, GoodShare>,
+    unpolled_lives: Vec<WorkerKey>,
+    jobs: BTreeMap<JobId, ActiveJob>,
+    advice_dispatcher: AdviceDispatcher,
+    shares: HashMap<QueueName, AllowedShare>,
     estimates: HashMap<QueueName, FactorAverage>,
-    losses: LossRate,
-    organisations: OrganisationBook,
+    call_losses: CallLossRate,
+    organisations: OrganisationTable,
     take_over: TakeOver,
     /// When the list of workers was read last; none if it never was.
-    surveyed: Option<Moment>,
+    workers_listed_at: Option<Moment>,
     orders: Vec<CellOrder>,
     events: Vec<CellEvent>,
     dirty: BTreeSet<JobId>,
-    lazy: BTreeSet<JobId>,
-    lazy_since: Option<Moment>,
+    delayed: BTreeSet<JobId>,
+    delayed_since: Option<Moment>,
     roster_changed: bool,
     next_batch: u64,
     recorded: u64,
@@ -125,23 +125,23 @@
     /// When the newest batch that is sent was taken.
     batch_taken: Moment,
     /// No later lead had given orders by then: what was taken then is recorded under this lead's token.
-    confirmed: Moment,
+    lead_confirmed_at: Moment,
     fenced_out: bool,
     wall_clock: (u64, Moment),
     /// Runs of which it is open whether a crash took them.
-    open_runs: OpenRuns,
+    unresolved_runs: UnresolvedRuns,
     /// Workers that crashed by themselves, as far as is known.
-    background: CrashBackground,
+    background_crashes: BackgroundCrashes,
     /// There may be tasks under which workers were lost.
     suspects_seen: bool,
     /// Starts that wait until they are recorded.
-    held: Vec<HeldStart>,
+    unrecorded_starts: Vec<UnrecordedStart>,
     /// Long-running tasks that lost their run.
-    restarts: RestartBook,
+    restarts: RestartTracker,
     /// The step that found no box to ask for the longest time, if that is long.
-    unasked: Option<Candidate>,
+    starved_step: Option<Candidate>,
     /// When that is looked for next.
-    unasked_from: Moment,
+    starved_search_from: Moment,
 }
 
 impl Scheduler {
@@ -155,17 +155,17 @@
     ) -> Scheduler {
         Scheduler {
             token,
-            follows: None,
+            previous_token: None,
             workers: Vec::new(),
             lives: HashMap::new(),
             ids: HashMap::new(),
-            next_lives: Vec::new(),
+            unpolled_lives: Vec::new(),
             jobs: BTreeMap::new(),
-            desk: AdviceDesk::new(timing.policy.short_only),
+            advice_dispatcher: AdviceDispatcher::new(timing.policy.short_only),
             shares: HashMap::new(),
             estimates: HashMap::new(),
-            losses: LossRate::default(),
-            organisations: OrganisationBook::default(),
+            call_losses: CallLossRate::default(),
+            organisations: OrganisationTable::default(),
             take_over: TakeOver {
                 since: now,
                 predecessor,
@@ -175,34 +175,34 @@
                 settled_by: None,
                 lost_workers: false,
             },
-            surveyed: None,
+            workers_listed_at: None,
             orders: Vec::new(),
             events: Vec::new(),
             dirty: BTreeSet::new(),
-            lazy: BTreeSet::new(),
-            lazy_since: None,
+            delayed: BTreeSet::new(),
+            delayed_since: None,
             roster_changed: false,
             next_batch: 1,
             recorded: 0,
             confirmation_wanted: false,
             batch_taken: now,
-            confirmed: now,
+            lead_confirmed_at: now,
             fenced_out: false,
             wall_clock: (0, now),
-            open_runs: OpenRuns::default(),
-            background: CrashBackground::default(),
+            unresolved_runs: UnresolvedRuns::default(),
+            background_crashes: BackgroundCrashes::default(),
             suspects_seen: false,
-            held: Vec::new(),
-            restarts: RestartBook::default(),
-            unasked: None,
-            unasked_from: now,
+            unrecorded_starts: Vec::new(),
+            restarts: RestartTracker::default(),
+            starved_step: None,
+            starved_search_from: now,
             timing,
         }
     }
 
     /// Tells which lead was the last one before this.
-    pub fn note_follows(&mut self, token: FencingToken) {
-        self.follows = Some(token);
+    pub fn set_previous_token(&mut self, token: FencingToken) {
+        self.previous_token = Some(token);
     }
 
     /// Tells the time of day, in milliseconds since 1970. Jobs with times need it; it may jump.
@@ -247,13 +247,13 @@
 
     /// A box can ask the advice service.
     pub fn add_helper(&mut self, helper: HelperId) {
-        self.desk.add_helper(helper);
+        self.advice_dispatcher.add_helper(helper);
     }
 
     /// A box cannot ask any more.
     pub fn remove_helper(&mut self, helper: HelperId, now: Moment) {
-        for step in self.desk.remove_helper(helper) {
-            self.forget_question(helper, step, now);
+        for step in self.advice_dispatcher.remove_helper(helper) {
+            self.drop_question(helper, step, now);
         }
     }
 
@@ -262,29 +262,29 @@
         &mut self,
         id: JobId,
         record: Rc<JobRecord>,
-        kept: &JobProgress,
+        progress: &JobProgress,
         age: TimeSpan,
         now: Moment,
     ) {
-        if kept.state.is_final() || self.jobs.contains_key(&id) {
+        if progress.state.is_final() || self.jobs.contains_key(&id) {
             return;
         }
         let accepted = Moment(now.0.saturating_sub(age.as_millis()));
-        let mut job = JobWork::new(id, record, accepted, kept, self.token);
-        if self.take_over.caught_up && kept.ordered {
+        let mut job = ActiveJob::new(id, record, accepted, progress, self.token);
+        if self.take_over.caught_up && progress.ordered {
             // No earlier lead can have marked it any more. It was marked by this lead, which is about to be told
             // so, or by a later one.
-            job.later_mark = true;
-            job.foreign_orders = false;
-            job.begun_earlier = false;
-            self.note_marked_late(id, now);
+            job.led_elsewhere = true;
+            job.unsettled_starts = false;
+            job.started_by_earlier_lead = false;
+            self.report_led_elsewhere(id, now);
         }
-        let needs_mark = job.ordered == OrderedMark::Missing;
+        let needs_flag = job.start_flag == StartFlag::Unset;
         self.jobs.insert(id, job);
-        self.note_owner(id, now);
+        self.set_owner(id, now);
         self.note_inherited_suspects(id, now);
-        if needs_mark {
-            self.mark_ordered(id);
+        if needs_flag {
+            self.record_start_flag(id);
         }
         self.finish_if_over(id, now);
     }
@@ -297,19 +297,18 @@
     /// Takes in a job that this lead accepted, and that is recorded as such. One that is new may start at once,
     /// since no other lead can have started anything of it. A copy of one that an earlier lead began does not
     /// make it new: its tasks would start beside those that run already.
-    pub fn add_led_job(&mut self, id: JobId, record: Rc<JobRecord>, now: Moment) {
-        let job = self
-            .jobs
-            .entry(id)
-            .or_insert_with(|| JobWork::new(id, record, now, &JobProgress::default(), self.token));
-        job.ordered = OrderedMark::Recorded;
-        job.later_mark = false;
-        self.note_owner(id, now);
+    pub fn add_own_job(&mut self, id: JobId, record: Rc<JobRecord>, now: Moment) {
+        let job = self.jobs.entry(id).or_insert_with(|| {
+            ActiveJob::new(id, record, now, &JobProgress::default(), self.token)
+        });
+        job.start_flag = StartFlag::Recorded;
+        job.led_elsewhere = false;
+        self.set_owner(id, now);
     }
 
-    fn mark_ordered(&mut self, id: JobId) {
+    fn record_start_flag(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.ordered = OrderedMark::Asked;
+            job.start_flag = StartFlag::Pending;
             self.dirty.insert(id);
         }
     }
@@ -328,10 +327,10 @@
     fn finish_if_over(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         // What an earlier lead started of a cancelled job may run on unheard, and counts against a limit until then.
-        let is_quiet = job.placed().is_empty() && !job.foreign_orders;
+        let is_idle = job.placed().is_empty() && !job.unsettled_starts;
         if !job.state.is_final() && job.is_done() {
             job.state = JobState::Completed;
-        } else if !job.state.is_final() && job.cancelled && is_quiet {
+        } else if !job.state.is_final() && job.cancelled && is_idle {
             job.state = JobState::Cancelled;
         }
         if !job.state.is_final() {
@@ -355,35 +354,35 @@
         self.finish_if_over(id, now);
     }
 
-    fn note_begun(&mut self, id: JobId, now: Moment) {
+    fn note_started(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state == JobState::Pending {
             job.state = JobState::Running;
-            self.lazy.insert(id);
-            self.lazy_since.get_or_insert(now);
+            self.delayed.insert(id);
+            self.delayed_since.get_or_insert(now);
         }
     }
 
     /// Does what time asks for, and starts what can be started.
     pub fn schedule(&mut self, now: Moment) {
-        for (helper, step) in self.desk.find_overdue(now) {
-            self.note_overdue(helper, step);
+        for (helper, step) in self.advice_dispatcher.find_overdue(now) {
+            self.mark_question_overdue(helper, step);
         }
-        for (helper, step) in self.desk.expire(now) {
-            self.forget_question(helper, step, now);
+        for (helper, step) in self.advice_dispatcher.expire(now) {
+            self.drop_question(helper, step, now);
         }
         self.expire_leases(now);
-        self.repeat_stops(now);
-        self.find_stragglers(now);
+        self.retry_stops(now);
+        self.move_stragglers(now);
         self.find_settled_restarts();
         self.settle_take_over(now);
-        self.expire_open_runs(now);
-        self.release_held(now);
-        self.count_unseen(self.unix_ms_at(now));
-        if self.knows_sizes(now) {
+        self.expire_unresolved_runs(now);
+        self.send_recorded_starts(now);
+        self.count_unconfirmed(self.unix_ms_at(now));
+        if self.has_fresh_worker_list(now) {
             self.place_all(now);
         }
-        self.report_restarts(now);
+        self.report_late_restarts(now);
     }
 
     fn stop_run(
@@ -402,20 +401,20 @@
             return;
         }
         if entry.phase == RunPhase::Recording {
-            return self.withdraw_held(key, &task, run, now);
+            return self.withdraw_unsent(key, &task, run, now);
         }
-        entry.phase = RunPhase::Stopping(StopTry::first(now));
+        entry.phase = RunPhase::Stopping(StopAttempt::first(now));
         let (life, token) = (worker.entry.life.clone(), worker.token);
         self.events.push(CellEvent::Stopping { task, run, worker: life, reason });
         self.orders.push(CellOrder::Stop(StopOrder { worker: key, task, run, token }));
     }
 
-    fn repeat_stops(&mut self, now: Moment) {
-        let again = self.timing.stop_again;
+    fn retry_stops(&mut self, now: Moment) {
+        let interval = self.timing.stop_retry_interval;
         for (number, worker) in self.workers.iter_mut().enumerate() {
             for (task, run) in &mut worker.runs {
                 let RunPhase::Stopping(stop) = run.phase else { continue };
-                let Some(stop) = stop.next(again, now) else { continue };
+                let Some(stop) = stop.next(interval, now) else { continue };
                 run.phase = RunPhase::Stopping(stop);
                 let (worker, token) = (WorkerKey(number), worker.token);
                 let order = StopOrder { worker, task: *task, run: run.run, token };
@@ -434,12 +433,12 @@
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
-        let work = &mut job.tasks[index];
+        let active_task = &mut job.tasks[index];
         if let Some(checkpoint) = checkpoint.filter(|text| !text.is_empty()) {
-            work.kept.checkpoint = checkpoint.to_owned();
+            active_task.progress.checkpoint = checkpoint.to_owned();
         }
-        if matches!(work.phase, TaskPhase::Placed(_, placed) if placed == run) {
-            work.phase = TaskPhase::Waiting(from);
+        if matches!(active_task.phase, TaskPhase::Placed(_, placed) if placed == run) {
+            active_task.phase = TaskPhase::Waiting(from);
         }
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -9,8 +9,8 @@
 
 use sedgehill_core::units::{Moment, ResourceSet, TimeSpan};
 
+use super::active_job::{ActiveJob, ActiveTask, TaskPhase};
 use super::room::Candidate;
-use super::work::{JobWork, TaskPhase, TaskWork};
 use super::worker::{WorkerRun, WorkerState};
 use super::*;
 use crate::ids::{OrganisationName, StepId};
@@ -23,29 +23,29 @@
 
 /// An organisation may send what it is due in so much time at once, before more counts as excess: the span
 /// over which its rate is counted.
-const DUE_SPAN: TimeSpan = TimeSpan(1_000);
+const BURST_SPAN: TimeSpan = TimeSpan(1_000);
 /// Thousandths of a job, in which what is due is counted, times milliseconds.
-const JOB_COST: u64 = 1_000 * 1_000;
+const TOKENS_PER_JOB: u64 = 1_000 * 1_000;
 
 /// What an organisation is due: jobs that it may still send before they count as excess. It fills at the
 /// organisation's weight.
 #[derive(Debug, Clone, Copy)]
-struct DueBucket {
+struct ShareBucket {
     /// In thousandths of a job times milliseconds.
     level: u64,
     at: Moment,
 }
 
-impl DueBucket {
+impl ShareBucket {
     /// Takes one job out of what is due at `now`. Returns whether there was enough.
     fn take(&mut self, weight: ShareWeight, now: Moment) -> bool {
-        let most = (weight.0 * DUE_SPAN.0).max(JOB_COST);
+        let capacity = (weight.0 * BURST_SPAN.0).max(TOKENS_PER_JOB);
         let filled = self.level.saturating_add(weight.0 * now.since(self.at).0);
-        self.level = filled.min(most);
+        self.level = filled.min(capacity);
         self.at = self.at.max(now);
-        let enough = self.level >= JOB_COST;
+        let enough = self.level >= TOKENS_PER_JOB;
         if enough {
-            self.level -= JOB_COST;
+            self.level -= TOKENS_PER_JOB;
         }
         enough
     }
@@ -60,21 +60,21 @@
     /// What runs, or may run, as far as it is known.
     running: ResourceSet,
     /// What may run besides, unheard of.
-    unseen: ResourceSet,
+    unconfirmed: ResourceSet,
     /// What is left to steps that wait, in this turn.
-    kept: ResourceSet,
-    due: DueBucket,
+    reserved: ResourceSet,
+    share_bucket: ShareBucket,
 }
 
 impl OrganisationAccount {
     fn room(&self) -> ResourceSet {
-        self.limit.room_beside(&self.running.plus(&self.unseen).plus(&self.kept))
+        self.limit.room_beside(&self.running.plus(&self.unconfirmed).plus(&self.reserved))
     }
 }
 
 /// What operators are shown of an organisation.
 #[derive(Debug, Clone, PartialEq)]
-pub struct OrganisationFigures {
+pub struct OrganisationStats {
     /// The organisation.
     pub name: OrganisationName,
     /// What runs, or may run.
@@ -89,12 +89,12 @@
 
 /// The account of all organisations.
 #[derive(Debug, Default)]
-pub struct OrganisationBook {
+pub struct OrganisationTable {
     accounts: Vec<OrganisationAccount>,
     keys: HashMap<OrganisationName, OrganisationKey>,
 }
 
-impl OrganisationBook {
+impl OrganisationTable {
     /// Takes in what the configuration says. One that it does not name any more keeps its last limit, as
     /// long as this lead lasts.
     pub fn set_policies(&mut self, policies: &[OrganisationPolicy], now: Moment) {
@@ -107,7 +107,7 @@
     }
 
     /// The handle of a job's owner.
-    pub fn know(&mut self, owner: &JobOwner, now: Moment) -> OrganisationKey {
+    pub fn key_for_owner(&mut self, owner: &JobOwner, now: Moment) -> OrganisationKey {
         self.key_of(&owner.organisation, owner.maximum, now)
     }
 
@@ -127,18 +127,18 @@
             weight: ShareWeight::default(),
             limit,
             running: ResourceSet::default(),
-            unseen: ResourceSet::default(),
-            kept: ResourceSet::default(),
-            due: DueBucket { level: u64::MAX, at: now },
+            unconfirmed: ResourceSet::default(),
+            reserved: ResourceSet::default(),
+            share_bucket: ShareBucket { level: u64::MAX, at: now },
         });
         key
     }
 
     /// Whether a job accepted at `now` is beyond what its organisation is due.
-    pub fn is_excess(&mut self, key: OrganisationKey, now: Moment) -> bool {
+    pub fn exceeds_share(&mut self, key: OrganisationKey, now: Moment) -> bool {
         let account = &mut self.accounts[key.0];
         // Of an organisation that the configuration does not name nothing is known to be due.
-        account.weight.0 > 0 && !account.due.take(account.weight, now)
+        account.weight.0 > 0 && !account.share_bucket.take(account.weight, now)
     }
 
     fn take(&mut self, run: &WorkerRun) {
@@ -151,7 +151,7 @@
         let (Some(key), Some(need)) = (run.owner, run.need) else { return };
         let account = &mut self.accounts[key.0];
         let left = account.running.minus(&need);
-        account.running = left.expect("an organisation gives back what was counted for it");
+        account.running = left.expect("the need of each removed run was counted before");
     }
 
     /// How many tasks that each need `need` may be started now.
@@ -164,40 +164,46 @@
     /// Whether more runs for an organisation, or may, than its limit allows by now.
     pub fn is_over_limit(&self, key: Option<OrganisationKey>) -> bool {
         let account = key.map(|key| &self.accounts[key.0]);
-        account.is_some_and(|account| !account.limit.admits(&account.running.plus(&account.unseen)))
+        account.is_some_and(|account| {
+            !account.limit.admits(&account.running.plus(&account.unconfirmed))
+        })
     }
 
     /// Leaves room under a limit to a step that waits, if it could ever run there.
-    fn keep(&mut self, key: OrganisationKey, need: &ResourceSet) {
+    fn reserve(&mut self, key: OrganisationKey, need: &ResourceSet) {
         let account = &mut self.accounts[key.0];
         if account.limit.admits(need) {
-            account.kept = account.kept.plus(need);
+            account.reserved = account.reserved.plus(need);
         }
     }
 
-    fn keep_nothing(&mut self) {
+    fn clear_reservations(&mut self) {
         for account in &mut self.accounts {
-            account.kept = ResourceSet::default();
+            account.reserved = ResourceSet::default();
         }
     }
 
-    fn note_unseen(&mut self, needs: &HashMap<OrganisationKey, ResourceSet>, most: &ResourceSet) {
+    fn set_unconfirmed(
+        &mut self,
+        needs: &HashMap<OrganisationKey, ResourceSet>,
+        max: &ResourceSet,
+    ) {
         for (number, account) in self.accounts.iter_mut().enumerate() {
             let need = needs.get(&OrganisationKey(number)).copied().unwrap_or_default();
-            account.unseen = ResourceSet {
-                cores: need.cores.min(most.cores),
-                memory: need.memory.min(most.memory),
-                accelerators: need.accelerators.min(most.accelerators),
+            account.unconfirmed = ResourceSet {
+                cores: need.cores.min(max.cores),
+                memory: need.memory.min(max.memory),
+                accelerators: need.accelerators.min(max.accelerators),
             };
         }
     }
 
-    fn held_event(&self, key: OrganisationKey, step: StepId, need: ResourceSet) -> CellEvent {
+    fn limit_event(&self, key: OrganisationKey, step: StepId, need: ResourceSet) -> CellEvent {
         let account = &self.accounts[key.0];
-        CellEvent::Held {
+        CellEvent::LimitReached {
             step,
             organisation: account.name.clone(),
-            running: account.running.plus(&account.unseen),
+            running: account.running.plus(&account.unconfirmed),
             limit: account.limit,
             need,
         }
@@ -211,12 +217,12 @@
     }
 
     /// Gives a job that came in its owner.
-    pub(super) fn note_owner(&mut self, id: JobId, now: Moment) {
+    pub(super) fn set_owner(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.owner.is_none()) else { return };
         let Some(owner) = &job.record.owner else { return };
-        let key = self.organisations.know(owner, now);
+        let key = self.organisations.key_for_owner(owner, now);
         job.owner = Some(key);
-        job.excess = self.organisations.is_excess(key, job.accepted);
+        job.over_share = self.organisations.exceeds_share(key, job.accepted);
     }
 
     /// Puts a run on a worker.
@@ -233,21 +239,23 @@
     }
 
     /// Counts what earlier leads may have started on workers that did not answer yet.
-    pub(super) fn count_unseen(&mut self, unix_ms: u64) {
+    pub(super) fn count_unconfirmed(&mut self, unix_ms: u64) {
         let mut needs: HashMap<OrganisationKey, ResourceSet> = HashMap::new();
-        let mut most = ResourceSet::default();
+        let mut unheard_capacity = ResourceSet::default();
         if !self.take_over.settled {
             let unheard =
                 |worker: &&WorkerState| worker.inherited && !worker.dead && !worker.fenced;
-            let largest = self.workers.iter().filter(unheard).map(|worker| worker.largest);
-            most = largest.fold(most, |sum, capacity| sum.plus(&capacity));
-            for job in self.jobs.values().filter(|job| job.foreign_orders) {
+            let capacities =
+                self.workers.iter().filter(unheard).map(|worker| worker.largest_capacity);
+            unheard_capacity =
+                capacities.fold(unheard_capacity, |sum, capacity| sum.plus(&capacity));
+            for job in self.jobs.values().filter(|job| job.unsettled_starts) {
                 let Some(key) = job.owner else { continue };
                 let need = needs.entry(key).or_default();
-                *need = need.plus(&unseen_need(job, unix_ms));
+                *need = need.plus(&unconfirmed_need(job, unix_ms));
             }
         }
-        self.organisations.note_unseen(&needs, &most);
+        self.organisations.set_unconfirmed(&needs, &unheard_capacity);
     }
 
     /// How many tasks of a step its organisation may start now, of `waiting` that wait. A gang starts whole
@@ -263,51 +271,51 @@
         let Some(key) = job.owner else { return waiting };
         let room = self.organisations.room_for(job.owner, &spec.need).min(waiting);
         let allowed = if spec.gang && room < waiting { 0 } else { room };
-        let work = &mut job.steps[step];
-        let held = allowed == 0 && waiting > 0;
-        if held && !work.held {
-            self.events.push(self.organisations.held_event(key, work.id, spec.need));
+        let active_step = &mut job.steps[step];
+        let limit_reached = allowed == 0 && waiting > 0;
+        if limit_reached && !active_step.limit_reached {
+            self.events.push(self.organisations.limit_event(key, active_step.id, spec.need));
         }
-        work.held = held;
+        active_step.limit_reached = limit_reached;
         allowed
     }
 
     /// Whether a job goes after all that is due to other organisations: the burst of one should cost the others
     /// nothing that their shares cover.
-    pub(super) fn is_beyond_due(&self, job: &JobWork) -> bool {
-        self.timing.policy.sharing == SharingWay::DueFirst && job.excess
+    pub(super) fn is_over_share(&self, job: &ActiveJob) -> bool {
+        self.timing.policy.sharing == SharingMode::DueFirst && job.over_share
     }
 
     /// Begins a turn, in which nothing is kept yet.
-    pub(super) fn keep_nothing(&mut self) {
-        self.organisations.keep_nothing();
+    pub(super) fn clear_reservations(&mut self) {
+        self.organisations.clear_reservations();
     }
 
     /// Leaves room under the limit of its organisation to the tasks of a step that wait still: what is
     /// ranked after it would take each bit of room that comes free, and a gang would never find enough.
-    pub(super) fn keep_room(
+    pub(super) fn reserve_limit_room(
         &mut self,
         candidate: &Candidate,
         spec: &StepSpec,
-        left: usize,
+        remaining: usize,
         now: Moment,
     ) {
         let Some(job) = self.jobs.get(&candidate.job) else { return };
         let Some(key) = job.owner else { return };
-        let keeps = self.timing.policy.limit_order == LimitOrder::InOrder;
-        if keeps && left > 0 && self.earns(candidate, job, now) {
-            self.organisations.keep(key, &spec.need.times(left as u32));
+        let in_order = self.timing.policy.limit_order == LimitOrder::InOrder;
+        if in_order && remaining > 0 && self.has_value(candidate, job, now) {
+            self.organisations.reserve(key, &spec.need.times(remaining as u32));
         }
     }
 
     /// What operators are shown of the organisations.
-    pub fn organisation_figures(&self) -> Vec<OrganisationFigures> {
-        let mut open = vec![0; self.organisations.accounts.len()];
+    pub fn organisation_stats(&self) -> Vec<OrganisationStats> {
+        let mut open_jobs = vec![0; self.organisations.accounts.len()];
         for key in self.jobs.values().filter_map(|job| job.owner) {
-            open[key.0] += 1;
+            open_jobs[key.0] += 1;
         }
-        let accounts = self.organisations.accounts.iter().zip(open);
-        let figures = |(account, open_jobs): (&OrganisationAccount, usize)| OrganisationFigures {
+        let accounts = self.organisations.accounts.iter().zip(open_jobs);
+        let figures = |(account, open_jobs): (&OrganisationAccount, usize)| OrganisationStats {
             name: account.name.clone(),
             running: account.running,
             limit: account.limit,
@@ -319,14 +327,14 @@
 }
 
 /// What may run of a job that an earlier lead ordered, beside what is known to run.
-fn unseen_need(job: &JobWork, unix_ms: u64) -> ResourceSet {
+fn unconfirmed_need(job: &ActiveJob, unix_ms: u64) -> ResourceSet {
     let mut sum = ResourceSet::default();
     for step in 0..job.steps.len() {
-        if job.steps[step].left == 0 || !job.is_due(step, unix_ms) {
+        if job.steps[step].unfinished == 0 || !job.is_due(step, unix_ms) {
             continue;
         }
         let unheard =
-            |task: &&TaskWork| !task.kept.done && matches!(task.phase, TaskPhase::Waiting(_));
+            |task: &&ActiveTask| !task.progress.done && matches!(task.phase, TaskPhase::Waiting(_));
         let count = job.step_tasks(step).iter().filter(unheard).count() as u32;
         sum = sum.plus(&job.step_spec(step).need.times(count));
     }
--- a/crates/sedgehill-cell/src/scheduler/placement.rs
+++ b/crates/sedgehill-cell/src/scheduler/placement.rs
@@ -1,10 +1,10 @@
 //! Which waiting steps get room and advice.
 
-use super::held::{StartPlan, StartRecord};
 use super::isolation::{split_alone, stage_of};
 use super::rank::{JobRank, StepRank, rank_job};
 use super::room::{Candidate, OpenWorkers};
 use super::worker::{WorkerRun, WorkerTrust};
+use super::write_ahead::{StartPlan, StartRecord};
 use super::*;
 use crate::job::StepSpec;
 use crate::suspicion::SuspectStage;
@@ -15,7 +15,7 @@
 
 /// Tasks of a step that found no room.
 #[derive(Debug, Clone, Copy, Default)]
-struct TasksLeft {
+struct UnplacedTasks {
     /// Those that want a worker of their own.
     alone: usize,
     others: usize,
@@ -24,21 +24,22 @@
 impl Scheduler {
     /// Starts what can be started, and asks for the advice that is missing, best ranked first.
     pub(super) fn place_all(&mut self, now: Moment) {
-        self.expect_restarts(now);
-        self.suspects_seen = self.suspects_seen && self.jobs.values().any(JobWork::has_suspects);
+        self.predict_restarts(now);
+        self.suspects_seen = self.suspects_seen && self.jobs.values().any(ActiveJob::has_suspects);
         let open = self.open_workers(now);
-        let claims = || self.suspects_seen && self.jobs.values().any(JobWork::wants_alone);
-        let waits = || self.restarts.is_empty() && !claims();
-        if open.list.is_empty() && open.least_urgent == 0 && waits() {
+        let needs_alone_worker =
+            || self.suspects_seen && self.jobs.values().any(ActiveJob::wants_alone);
+        let nothing_urgent = || self.restarts.is_empty() && !needs_alone_worker();
+        if open.list.is_empty() && open.least_urgent == 0 && nothing_urgent() {
             return;
         }
-        self.keep_nothing();
+        self.clear_reservations();
         let candidates = self.candidates(now);
-        self.find_unasked(&candidates, now);
+        self.update_starved_step(&candidates, now);
         for (ahead, candidate) in candidates.into_iter().enumerate() {
             let reason = self.place_step(&candidate, &open, now);
             self.note_stall(&candidate, reason, now);
-            self.note_restart_gate(&candidate, reason, ahead);
+            self.note_restart_stall(&candidate, reason, ahead);
         }
         self.report_stalls(&open, now);
     }
@@ -47,15 +48,15 @@
         let settled = self.take_over.settled;
         let unix_ms = self.unix_ms_at(now);
         let mut ranked = Vec::new();
-        let mut barred = Vec::new();
+        let mut blocked = Vec::new();
         for job in self.jobs.values() {
             // A task of a job that an earlier lead marked as ordered may run unseen. It cannot have
             // begun one of another job: since this lead fenced the store, no mark of it is kept.
             // A job that a later lead marked is that lead's alone: this one has not read yet that it was replaced,
             // and would start tasks beside its successor's on workers that have not heard of that.
-            let bar = match job {
-                job if job.later_mark => Some(StallReason::LaterLead),
-                job if !settled && job.foreign_orders => Some(StallReason::EarlierLead),
+            let blocked_by = match job {
+                job if job.led_elsewhere => Some(StallReason::LaterLead),
+                job if !settled && job.unsettled_starts => Some(StallReason::EarlierLead),
                 _ => None,
             };
             if job.is_over() {
@@ -63,40 +64,40 @@
             }
             let mut ranks = RepetitionRanks::default();
             for step in 0..job.steps.len() {
-                if job.steps[step].left == 0 || !job.is_due(step, unix_ms) {
+                if job.steps[step].unfinished == 0 || !job.is_due(step, unix_ms) {
                     continue;
                 }
-                let waiting = self.waiting_parts(job, step, now);
+                let waiting = self.waiting_groups(job, step, now);
                 for candidate in waiting.candidates(job.id, step) {
                     // Of the long-running tasks that stand for themselves it is known where they may run.
-                    let known = candidate.restarts && !job.step_spec(step).gang;
-                    if let Some(reason) = bar
-                        && !(known && reason == StallReason::EarlierLead)
+                    let location_known = candidate.restarts && !job.step_spec(step).gang;
+                    if let Some(reason) = blocked_by
+                        && !(location_known && reason == StallReason::EarlierLead)
                     {
-                        barred.push((reason, candidate));
+                        blocked.push((reason, candidate));
                         continue;
                     }
                     let rank = match waiting.restart_due {
                         Some(since) if candidate.restarts => StepRank::Restart(since),
                         _ => StepRank::Job(ranks.get(job.steps[step].id.repetition, || {
-                            let beyond_due = self.is_beyond_due(job);
-                            self.rank_of(job, step, now).with_beyond_due(beyond_due)
+                            let over_share = self.is_over_share(job);
+                            self.rank_of(job, step, now).with_over_share(over_share)
                         })),
                     };
                     ranked.push((rank, candidate));
                 }
             }
         }
-        for (reason, candidate) in barred {
+        for (reason, candidate) in blocked {
             self.note_stall(&candidate, Some(reason), now);
-            self.note_restart_gate(&candidate, Some(reason), 0);
+            self.note_restart_stall(&candidate, Some(reason), 0);
         }
         ranked.sort_by_key(|(rank, candidate)| (*rank, candidate.job, candidate.step));
         ranked.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
     /// The rank of a step by its job.
-    pub(super) fn rank_of(&self, job: &JobWork, step: usize, now: Moment) -> JobRank {
+    pub(super) fn rank_of(&self, job: &ActiveJob, step: usize, now: Moment) -> JobRank {
         rank_job(job, step, &self.timing.policy, self.unix_ms_at(now), now)
     }
 
@@ -107,22 +108,27 @@
         open: &OpenWorkers,
         now: Moment,
     ) -> Option<StallReason> {
-        if self.judge_step(candidate.job, candidate.step, now) {
+        if self.fail_crashing_step(candidate.job, candidate.step, now) {
             return None;
         }
         let job = self.jobs.get(&candidate.job)?;
         let record = job.record.clone();
         let spec = record.step_spec(candidate.step);
         let displaces = record.policy.priority < open.least_urgent;
-        let isolates = |task: &work::TaskWork| task.suspicion.stage() == SuspectStage::Alone;
-        let claims = self.suspects_seen && job.step_tasks(candidate.step).iter().any(isolates);
-        if !open.most.fits(&spec.need) && !displaces && !claims && !candidate.restarts {
+        let must_run_alone = |task: &ActiveTask| task.suspicion.stage() == SuspectStage::Alone;
+        let needs_alone_worker =
+            self.suspects_seen && job.step_tasks(candidate.step).iter().any(must_run_alone);
+        if !open.max_free.fits(&spec.need)
+            && !displaces
+            && !needs_alone_worker
+            && !candidate.restarts
+        {
             return Some(StallReason::NoRoom);
         }
         let step_id = job.steps[candidate.step].id;
-        let mut waiting = self.waiting_of(candidate, job, now);
-        let ordered = job.ordered == OrderedMark::Recorded;
-        let held = spec.gang && waiting.len() < job.steps[candidate.step].left;
+        let mut waiting = self.waiting_in_group(candidate, job, now);
+        let may_start = job.start_flag == StartFlag::Recorded;
+        let is_deferred = spec.gang && waiting.len() < job.steps[candidate.step].unfinished;
         let expected = match candidate.restarts {
             true => self.restarts.expected(step_id),
             false => 0,
@@ -132,31 +138,31 @@
         }
         let allowed = self.allowed_tasks(candidate.job, candidate.step, spec, waiting.len());
         if allowed == 0 {
-            self.keep_room(candidate, spec, waiting.len(), now);
-            return Some(StallReason::Limit);
+            self.reserve_limit_room(candidate, spec, waiting.len(), now);
+            return Some(StallReason::OrganisationLimit);
         }
         waiting.truncate(allowed);
-        if ordered {
-            let left = self.start_waiting(candidate, spec, open, &waiting, now);
-            if left.alone + left.others == 0 {
+        if may_start {
+            let remaining = self.start_waiting(candidate, spec, open, &waiting, now);
+            if remaining.alone + remaining.others == 0 {
                 return None;
             }
-            self.keep_room(candidate, spec, left.alone + left.others, now);
-            if left.alone > 0 {
-                self.claim_alone(candidate, spec, left.alone, now);
+            self.reserve_limit_room(candidate, spec, remaining.alone + remaining.others, now);
+            if remaining.alone > 0 {
+                self.reserve_alone(candidate, spec, remaining.alone, now);
             }
             if candidate.restarts && !spec.gang {
-                let wanted = left.others + expected;
+                let wanted = remaining.others + expected;
                 return Some(self.find_restart_room(candidate, spec, wanted, open, now));
             }
-            if displaces && left.others > 0 {
-                self.displace_for(candidate, spec, left.others, now);
+            if displaces && remaining.others > 0 {
+                self.displace_for(candidate, spec, remaining.others, now);
             }
         }
-        let reason = self.ask_advice(candidate, spec, open, now);
-        Some(match ordered {
+        let reason = self.request_advice(candidate, spec, open, now);
+        Some(match may_start {
             false => StallReason::NotRecorded,
-            true if held => StallReason::Suspect,
+            true if is_deferred => StallReason::StartDeferred,
             true => reason,
         })
     }
@@ -169,25 +175,25 @@
         open: &OpenWorkers,
         waiting: &[u16],
         now: Moment,
-    ) -> TasksLeft {
-        let Some(job) = self.jobs.get(&candidate.job) else { return TasksLeft::default() };
+    ) -> UnplacedTasks {
+        let Some(job) = self.jobs.get(&candidate.job) else { return UnplacedTasks::default() };
         let (alone, others) = split_alone(job, candidate.step, waiting);
-        let mut left = TasksLeft { alone: alone.len(), others: others.len() };
+        let mut remaining = UnplacedTasks { alone: alone.len(), others: others.len() };
         if spec.gang {
             let assignment = self.assign_gang(candidate, spec, open, waiting, now);
             if assignment.len() == waiting.len() {
-                left = TasksLeft::default();
+                remaining = UnplacedTasks::default();
             }
             self.start_all(candidate, spec, assignment, now);
-            return left;
+            return remaining;
         }
         let assignment = self.assign_alone(candidate, spec, open, &alone, now);
-        left.alone -= assignment.len();
+        remaining.alone -= assignment.len();
         self.start_all(candidate, spec, assignment, now);
         let assignment = self.assign_each(candidate, spec, open, &others, now);
-        left.others -= assignment.len();
+        remaining.others -= assignment.len();
         self.start_all(candidate, spec, assignment, now);
-        left
+        remaining
     }
 
     fn assign_each(
@@ -199,7 +205,7 @@
         now: Moment,
     ) -> Assignment {
         let mut rooms = self.usable_rooms(candidate, spec, open, now);
-        rooms.retain(|(key, _)| !self.workers[key.0].is_claimed_alone(now));
+        rooms.retain(|(key, _)| !self.workers[key.0].has_alone_reservation(now));
         let Some(job) = self.jobs.get(&candidate.job) else { return Vec::new() };
         let mut assignment = Vec::new();
         for index in waiting {
@@ -207,7 +213,7 @@
                 break;
             }
             let task = &job.step_tasks(candidate.step)[usize::from(*index)];
-            let joins = |key: WorkerKey| self.may_join(key, job.id, &task.suspicion, now);
+            let joins = |key: WorkerKey| self.may_share_worker(key, job.id, &task.suspicion, now);
             let choice = rooms
                 .iter()
                 .position(|(key, _)| Some(*key) != task.failed_at && joins(*key))
@@ -228,7 +234,7 @@
         now: Moment,
     ) -> Assignment {
         let Some(job) = self.jobs.get(&candidate.job) else { return Vec::new() };
-        let left = job.steps[candidate.step].left;
+        let left = job.steps[candidate.step].unfinished;
         if waiting.len() < left {
             return Vec::new();
         }
@@ -241,7 +247,7 @@
         rooms.retain(|(key, _)| assignment.iter().all(|(_, taken)| taken != key));
         for index in others {
             let task = &job.step_tasks(candidate.step)[usize::from(index)];
-            let joins = |key: WorkerKey| self.may_join(key, job.id, &task.suspicion, now);
+            let joins = |key: WorkerKey| self.may_share_worker(key, job.id, &task.suspicion, now);
             let Some(choice) = rooms.iter().position(|(key, _)| joins(*key)) else {
                 return Vec::new();
             };
@@ -261,16 +267,16 @@
         if assignment.is_empty() {
             return;
         }
-        let highest = job.step_tasks(candidate.step).iter().map(|task| task.kept.run).max();
+        let highest = job.step_tasks(candidate.step).iter().map(|task| task.progress.run).max();
         let gang_run = highest.unwrap_or_default().next();
         let step = &job.steps[candidate.step];
-        let (first, step_id) = (step.first, step.id);
+        let (first, step_id) = (step.first_task, step.id);
         // Any member's saved state serves for its gang, and all must bring the same.
-        let saved = job.step_tasks(candidate.step).iter().map(|task| &task.kept.checkpoint);
+        let saved = job.step_tasks(candidate.step).iter().map(|task| &task.progress.checkpoint);
         let gang_checkpoint =
             saved.filter(|text| !text.is_empty()).max().cloned().unwrap_or_default();
         let Some(job) = self.jobs.get(&candidate.job) else { return };
-        let is_suspect = |index: u16| self.is_recorded_ahead(job, first + usize::from(index));
+        let is_suspect = |index: u16| self.needs_write_ahead(job, first + usize::from(index));
         let gang_suspect = spec.gang && assignment.iter().any(|(index, _)| is_suspect(*index));
         let record = |index: u16| match gang_suspect || is_suspect(index) {
             true => StartRecord::Suspect,
@@ -283,16 +289,19 @@
             let place = (self.workers[key.0].entry.life.clone(), self.token);
             let Some(job) = self.jobs.get_mut(&candidate.job) else { return };
             let task = CellTask { step: step_id, index };
-            let work = &mut job.tasks[first + usize::from(index)];
-            assert!(!work.kept.done, "{task} has ended done and must not begin again");
-            assert!(matches!(work.phase, TaskPhase::Waiting(_)), "{task} runs already, or may");
-            let run = if spec.gang { gang_run } else { work.kept.run.next() };
-            work.kept.run = run;
-            work.phase = TaskPhase::Placed(key, run);
-            work.place = spec.long_running.then_some(place);
+            let active_task = &mut job.tasks[first + usize::from(index)];
+            assert!(!active_task.progress.done, "{task} is done and must not start again");
+            assert!(
+                matches!(active_task.phase, TaskPhase::Waiting(_)),
+                "{task} already runs, or may run"
+            );
+            let run = if spec.gang { gang_run } else { active_task.progress.run.next() };
+            active_task.progress.run = run;
+            active_task.phase = TaskPhase::Placed(key, run);
+            active_task.location = spec.long_running.then_some(place);
             let checkpoint = match spec.gang {
                 true => gang_checkpoint.clone(),
-                false => work.kept.checkpoint.clone(),
+                false => active_task.progress.checkpoint.clone(),
             };
             let alone = stage_of(job, candidate.step, index) == SuspectStage::Alone;
             let start = StartPlan { worker: key, task, run, checkpoint, alone, record };
@@ -309,7 +318,7 @@
         let worker = &mut self.workers[key.0];
         assert!(worker.free.fits(&need), "{}: {task} does not fit", worker.entry.life);
         let allowed = self.organisations.room_for(job.owner, &need) > 0;
-        assert!(allowed, "{task} would take its organisation past its limit");
+        assert!(allowed, "{task} would exceed the limit of its organisation");
         let estimate = job.step_spec(step).estimate.0 as f64;
         let factor = self.estimates.get(&job.record.queue).map_or(1.0, FactorAverage::factor);
         let long_running = job.step_spec(step).long_running;
@@ -327,15 +336,15 @@
             seen: false,
             long_running,
         };
-        if worker.claim.is_some_and(|claim| claim.step == task.step) {
-            worker.claim = None;
+        if worker.reservation.is_some_and(|reservation| reservation.step == task.step) {
+            worker.reservation = None;
         }
-        if matches!(worker.trust, WorkerTrust::Shunned(_)) {
-            worker.trust = WorkerTrust::Probed;
+        if matches!(worker.trust, WorkerTrust::Suspended(_)) {
+            worker.trust = WorkerTrust::Probing;
         }
         self.add_run(key, task, entry);
         match ahead {
-            true => self.hold_start(start, now),
+            true => self.defer_start(start, now),
             false => self.send_start(key, task, run, start.checkpoint, now),
         }
     }
@@ -351,14 +360,14 @@
     ) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(step) = job.step_index(&task.step) else { return };
-        let earlier = self.earlier_settled(job);
+        let earlier = self.settlement_of(job);
         let ticket = job.steps[step].advice.ticket(key, now, TimeSpan(0));
         let worker = &mut self.workers[key.0];
         let (life, token) = (worker.entry.life.clone(), worker.token);
-        worker.start_moved = now;
+        worker.start_activity_at = now;
         let lease_until = worker
             .extend_lease(now, self.timing.lease)
-            .expect("a worker that takes work has a clock");
+            .expect("a worker that takes work has a clock reading");
         self.events.push(CellEvent::Placed {
             task,
             run,
@@ -406,7 +415,7 @@
     key
 }
 
-pub(super) fn waiting_tasks(job: &JobWork, step: usize, now: Moment) -> Vec<u16> {
+pub(super) fn waiting_tasks(job: &ActiveJob, step: usize, now: Moment) -> Vec<u16> {
     let tasks = job.step_tasks(step).iter().enumerate();
     tasks.filter(|(_, task)| task.is_ready(now)).map(|(index, _)| index as u16).collect()
 }
--- a/crates/sedgehill-cell/src/scheduler/policy.rs
+++ b/crates/sedgehill-cell/src/scheduler/policy.rs
@@ -6,7 +6,7 @@
 
 /// Who goes first when there is not room for all organisations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SharingWay {
+pub enum SharingMode {
     /// Jobs are ranked whosever they are; limits alone bound an organisation.
     LimitsOnly,
     /// What an organisation sends beyond its weight in jobs a second goes after all that is due.
@@ -56,13 +56,13 @@
     }
 }
 
-impl FromStr for SharingWay {
+impl FromStr for SharingMode {
     type Err = SharingError;
 
-    fn from_str(text: &str) -> Result<SharingWay, SharingError> {
+    fn from_str(text: &str) -> Result<SharingMode, SharingError> {
         match text {
-            "limits-only" => Ok(SharingWay::LimitsOnly),
-            "due-first" => Ok(SharingWay::DueFirst),
+            "limits-only" => Ok(SharingMode::LimitsOnly),
+            "due-first" => Ok(SharingMode::DueFirst),
             _ => Err(SharingError::Unknown(text.to_owned())),
         }
     }
@@ -88,7 +88,7 @@
     /// Accounts wait less while calls to workers get lost.
     pub short_accounts: bool,
     /// Who goes first when there is not room for all organisations.
-    pub sharing: SharingWay,
+    pub sharing: SharingMode,
     /// What a limit leaves to work that is ranked later.
     pub limit_order: LimitOrder,
 }
@@ -104,7 +104,7 @@
             stragglers: true,
             short_only: true,
             short_accounts: true,
-            sharing: SharingWay::DueFirst,
+            sharing: SharingMode::DueFirst,
             limit_order: LimitOrder::InOrder,
         }
     }
--- a/crates/sedgehill-cell/src/scheduler/naming.rs
+++ b/crates/sedgehill-cell/src/scheduler/questions.rs
@@ -9,8 +9,8 @@
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
-use super::advice::AskedWorkers;
-use super::desk::AskerKind;
+use super::advice::InFlightQuestion;
+use super::advice_dispatch::QuestionUrgency;
 use super::isolation::split_alone;
 use super::room::{Candidate, OpenWorkers};
 use super::*;
@@ -18,7 +18,7 @@
 use crate::job::StepSpec;
 
 /// Workers named in one question, at the most, as the advice service allows.
-pub(super) const NAMED_MOST: usize = 100;
+pub(super) const MAX_WORKERS_PER_QUESTION: usize = 100;
 /// Room to ask for, as a multiple of what the step needs: others take some of it meanwhile.
 const ROOM_FACTOR: f64 = 1.6;
 /// The same for gangs, which need all of it at once: what is missing costs another question.
@@ -28,21 +28,21 @@
 const FILL_COST_PERCENT: u64 = 150;
 /// Questions for one gang at once: one names some thirty good workers at the most, each with room for one to
 /// three members, and a wide gang needs more before the first tickets end.
-const GANG_QUESTIONS: usize = 3;
+const MAX_GANG_QUESTIONS: usize = 3;
 /// Questions for a step at once that has long-running tasks which lost their run.
-const RESTART_QUESTIONS: usize = 2;
+const MAX_RESTART_QUESTIONS: usize = 2;
 /// How long a question that failed is not repeated.
 const ASK_BACKOFF: TimeSpan = TimeSpan(60);
 
 /// Room on a worker that a question could name. The order is that in which workers are named.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct RoomToName {
+struct QuestionCandidate {
     /// The worker did badly, and the step would try it again.
-    tried: bool,
+    untrusted: bool,
     /// It was never asked about.
     unknown: bool,
-    fullest: Reverse<usize>,
-    turn: usize,
+    most_places: Reverse<usize>,
+    rotation: usize,
     /// Tasks that it has room for.
     places: usize,
     key: WorkerKey,
@@ -50,20 +50,20 @@
 
 /// The room that tickets could open to a step.
 #[derive(Debug, Default)]
-struct AdviceRooms {
-    rooms: Vec<RoomToName>,
+struct AdvicePlaces {
+    candidates: Vec<QuestionCandidate>,
     /// Places on workers with tickets.
     usable: usize,
     /// Places that questions under way are expected to open, and the most that they may.
-    asked: f64,
+    expected: f64,
     /// See above.
-    asked_most: usize,
+    expected_max: usize,
 }
 
 impl Scheduler {
     /// Asks which workers may run a step, if there is room that an answer could open. Returns what the step waits
     /// for.
-    pub(super) fn ask_advice(
+    pub(super) fn request_advice(
         &mut self,
         candidate: &Candidate,
         spec: &StepSpec,
@@ -71,120 +71,120 @@
         now: Moment,
     ) -> StallReason {
         let Some(job) = self.jobs.get(&candidate.job) else { return StallReason::NoRoom };
-        let room = if spec.gang { StallReason::GangRoom } else { StallReason::NoRoom };
-        let Some(policy) = job.record.policy.advice else { return room };
+        let no_room = if spec.gang { StallReason::PartialGangRoom } else { StallReason::NoRoom };
+        let Some(policy) = job.record.policy.advice else { return no_room };
         let advice = &job.steps[candidate.step].advice;
-        let at_once = match spec.gang {
-            true => GANG_QUESTIONS,
+        let max_questions = match spec.gang {
+            true => MAX_GANG_QUESTIONS,
             // One for tasks that never ran may be under way.
-            false if candidate.restarts => RESTART_QUESTIONS,
+            false if candidate.restarts => MAX_RESTART_QUESTIONS,
             false => 1,
         };
-        if advice.expected_answers() >= at_once {
-            return StallReason::Asking;
+        if advice.expected_answers() >= max_questions {
+            return StallReason::AwaitingAdvice;
         }
-        if now < advice.not_before {
-            return StallReason::AskedLately;
+        if now < advice.retry_at {
+            return StallReason::RecentFailure;
         }
         // Which workers to name takes far longer to find than whether anybody could ask.
-        let asker = match candidate.restarts || self.unasked == Some(*candidate) {
-            true => AskerKind::Pressing,
-            false => AskerKind::Usual,
+        let urgency = match candidate.restarts || self.starved_step == Some(*candidate) {
+            true => QuestionUrgency::Urgent,
+            false => QuestionUrgency::Normal,
         };
-        if self.desk.free_helper(policy.cost(1), asker, now).is_none() {
-            return StallReason::NoHelper;
+        if self.advice_dispatcher.free_helper(policy.cost(1), urgency, now).is_none() {
+            return StallReason::NoFreeHelper;
         }
         let named = match candidate.restarts && !spec.gang {
-            true => self.restart_names(candidate, job, spec, now),
-            false => self.workers_to_name(candidate, job, spec, open, now),
+            true => self.select_restart_workers(candidate, job, spec, now),
+            false => self.select_workers(candidate, job, spec, open, now),
         };
         let named = match named {
             Ok(named) => named,
-            Err(_) if !advice.asking.is_empty() => return StallReason::Asking,
+            Err(_) if !advice.in_flight.is_empty() => return StallReason::AwaitingAdvice,
             Err(reason) => {
-                if reason == StallReason::NobodyGood
+                if reason == StallReason::NoneAllowed
                     && let Some(job) = self.jobs.get_mut(&candidate.job)
                 {
-                    job.steps[candidate.step].advice.doubt_others(now);
+                    job.steps[candidate.step].advice.recheck_rejected(now);
                 }
                 return reason;
             }
         };
         let cost = policy.cost(named.len());
-        let Some(helper) = self.desk.free_helper(cost, asker, now) else {
-            return StallReason::NoHelper;
+        let Some(helper) = self.advice_dispatcher.free_helper(cost, urgency, now) else {
+            return StallReason::NoFreeHelper;
         };
         let step = job.steps[candidate.step].id;
-        self.desk.begin(helper, step, cost, now);
-        self.unasked.take_if(|unasked| *unasked == *candidate);
-        self.events.push(CellEvent::Asked { step, named: named.len(), helper });
+        self.advice_dispatcher.begin(helper, step, cost, now);
+        self.starved_step.take_if(|step| *step == *candidate);
+        self.events.push(CellEvent::AdviceRequested { step, named: named.len(), helper });
         let ids = named.iter().map(|key| self.workers[key.0].entry.life.id.clone()).collect();
         self.orders.push(CellOrder::Ask(AdviceQuestion { helper, step, workers: ids }));
         if let Some(job) = self.jobs.get_mut(&candidate.job) {
-            let asked = AskedWorkers { helper, workers: named, late: false };
+            let question = InFlightQuestion { helper, workers: named, overdue: false };
             let advice = &mut job.steps[candidate.step].advice;
-            advice.asking.push(asked);
-            advice.asked = Some(now);
+            advice.in_flight.push(question);
+            advice.last_asked_at = Some(now);
         }
-        StallReason::Asking
+        StallReason::AwaitingAdvice
     }
 
     /// What share of the workers is taken as good for a step of a queue that was not asked about.
-    pub(super) fn share_of(&self, queue: &QueueName) -> f64 {
+    pub(super) fn allowed_share(&self, queue: &QueueName) -> f64 {
         self.shares.get(queue).copied().unwrap_or_default().share()
     }
 
     /// The workers whose tickets could give the step enough room: those known as good first, then
     /// those with the most room. Otherwise why it would be of no use to ask.
-    fn workers_to_name(
+    fn select_workers(
         &self,
         candidate: &Candidate,
-        job: &JobWork,
+        job: &ActiveJob,
         spec: &StepSpec,
         open: &OpenWorkers,
         now: Moment,
     ) -> Result<Vec<WorkerKey>, StallReason> {
-        let waiting = self.waiting_of(candidate, job, now);
-        let share = self.share_of(&job.record.queue);
-        let AdviceRooms { mut rooms, usable, asked, asked_most } =
-            self.advice_rooms(candidate, job, spec, open, &waiting, now);
-        let left = job.steps[candidate.step].left;
+        let waiting = self.waiting_in_group(candidate, job, now);
+        let share = self.allowed_share(&job.record.queue);
+        let AdvicePlaces { mut candidates, usable, expected: in_flight, expected_max } =
+            self.advice_places(candidate, job, spec, open, &waiting, now);
+        let unfinished = job.steps[candidate.step].unfinished;
         let needed = waiting.len().saturating_sub(usable);
-        let expected = |room: &RoomToName| {
-            room.places.min(left) as f64 * if room.unknown { share } else { 1.0 }
+        let expected = |entry: &QuestionCandidate| {
+            entry.places.min(unfinished) as f64 * if entry.unknown { share } else { 1.0 }
         };
-        let whole: f64 = rooms.iter().map(expected).sum();
-        if spec.gang && whole + asked < needed as f64 {
-            let most: usize = rooms.iter().map(|room| room.places).sum();
-            if most + asked_most < needed {
-                let unknown = rooms.iter().any(|room| room.unknown) || asked_most > 0;
+        let expected_total: f64 = candidates.iter().map(expected).sum();
+        if spec.gang && expected_total + in_flight < needed as f64 {
+            let max_places: usize = candidates.iter().map(|entry| entry.places).sum();
+            if max_places + expected_max < needed {
+                let unknown = candidates.iter().any(|entry| entry.unknown) || expected_max > 0;
                 return Err(match unknown {
-                    true => StallReason::GangRoom,
-                    false => self.lack_of_names(candidate, job, spec, now),
+                    true => StallReason::PartialGangRoom,
+                    false => self.no_candidates_reason(candidate, job, spec, now),
                 });
             }
             // The share is that of other steps, and nothing but a question about this one tells whether it holds
             // here: gangs for which it expected too little stood to the end beside room for them twice over. Each
             // worker is asked about once, so it costs the step one question for each hundred workers.
-            rooms.retain(|room| room.unknown);
-            if rooms.is_empty() {
-                return Err(StallReason::ExpectedRoom);
+            candidates.retain(|entry| entry.unknown);
+            if candidates.is_empty() {
+                return Err(StallReason::TooLittleExpectedRoom);
             }
         }
-        rooms.sort_unstable();
+        candidates.sort_unstable();
         let factor = if spec.gang { GANG_ROOM_FACTOR } else { ROOM_FACTOR };
         let wanted = needed as f64 * factor;
-        let mut sum = asked;
+        let mut sum = in_flight;
         let mut named = Vec::new();
-        for room in rooms.into_iter().take(NAMED_MOST) {
+        for entry in candidates.into_iter().take(MAX_WORKERS_PER_QUESTION) {
             if sum >= wanted {
                 break;
             }
-            sum += expected(&room);
-            named.push(room.key);
+            sum += expected(&entry);
+            named.push(entry.key);
         }
         if named.is_empty() {
-            return Err(self.lack_of_names(candidate, job, spec, now));
+            return Err(self.no_candidates_reason(candidate, job, spec, now));
         }
         if self.timing.policy.fill_questions {
             self.fill_question(candidate, job, spec, &mut named, now);
@@ -193,29 +193,29 @@
     }
 
     /// The room that tickets could open to a step.
-    fn advice_rooms(
+    fn advice_places(
         &self,
         candidate: &Candidate,
-        job: &JobWork,
+        job: &ActiveJob,
         spec: &StepSpec,
         open: &OpenWorkers,
         waiting: &[u16],
         now: Moment,
-    ) -> AdviceRooms {
-        let share = self.share_of(&job.record.queue);
+    ) -> AdvicePlaces {
+        let share = self.allowed_share(&job.record.queue);
         let advice = &job.steps[candidate.step].advice;
         let displaces = job.record.policy.priority < open.least_urgent
             && !spec.gang
-            && self.earns(candidate, job, now);
+            && self.has_value(candidate, job, now);
         // Steps that ask at the same moment should not all name the same of many like workers.
-        let turn = (job.id.0 % self.workers.len() as u64) as usize;
+        let offset = (job.id.0 % self.workers.len() as u64) as usize;
         // Tickets for workers on which others run are of no use to tasks that want one of their own.
         let is_alone = split_alone(job, candidate.step, waiting).1.is_empty();
-        let mut sight = AdviceRooms::default();
+        let mut result = AdvicePlaces::default();
         for key in open.list.iter().copied() {
             let known = advice.known.get(&key);
-            let of_use = !is_alone || self.workers[key.0].is_clear_for(job.id, now);
-            if matches!(known, Some(None)) || !of_use {
+            let useful = !is_alone || self.workers[key.0].is_exclusive_for(job.id, now);
+            if matches!(known, Some(None)) || !useful {
                 continue;
             }
             let places = match self.room_on(key, job, candidate.step, spec, now) {
@@ -226,32 +226,32 @@
                 continue;
             }
             if advice.is_asked(key) {
-                sight.asked += places as f64 * if known.is_none() { share } else { 1.0 };
-                sight.asked_most += places;
+                result.expected += places as f64 * if known.is_none() { share } else { 1.0 };
+                result.expected_max += places;
                 continue;
             }
             match known {
                 Some(Some(ticket)) if ticket.until > now.after(self.timing.ticket_margin) => {
-                    sight.usable += places;
+                    result.usable += places;
                 }
-                _ => sight.rooms.push(RoomToName {
-                    tried: self.is_tried_by(spec, key),
+                _ => result.candidates.push(QuestionCandidate {
+                    untrusted: self.probes_untrusted(spec, key),
                     unknown: known.is_none(),
-                    fullest: Reverse(places),
-                    turn: (key.0 + turn) % self.workers.len(),
+                    most_places: Reverse(places),
+                    rotation: (key.0 + offset) % self.workers.len(),
                     places,
                     key,
                 }),
             }
         }
-        sight
+        result
     }
 
     /// Why there is nobody to ask about.
-    pub(super) fn lack_of_names(
+    pub(super) fn no_candidates_reason(
         &self,
         candidate: &Candidate,
-        job: &JobWork,
+        job: &ActiveJob,
         spec: &StepSpec,
         now: Moment,
     ) -> StallReason {
@@ -263,20 +263,20 @@
                 continue;
             }
             usable += 1;
-            let whole = self.workers[key.0].entry.capacity.capacity_for(&spec.need) as usize;
+            let fitting = self.workers[key.0].entry.capacity.capacity_for(&spec.need) as usize;
             match known.get(&key) {
                 Some(Some(_)) => {
-                    places += whole.min(spec.max_per_worker.map_or(whole, usize::from))
+                    places += fitting.min(spec.max_per_worker.map_or(fitting, usize::from))
                 }
                 Some(None) => {}
                 None => unknown += 1,
             }
         }
-        let needed = if spec.gang { job.steps[candidate.step].left } else { 1 };
+        let needed = if spec.gang { job.steps[candidate.step].unfinished } else { 1 };
         match usable {
             0 => StallReason::NoRoom,
-            _ if unknown == 0 && places < needed => StallReason::NobodyGood,
-            _ => StallReason::KnownRoom,
+            _ if unknown == 0 && places < needed => StallReason::NoneAllowed,
+            _ => StallReason::NoAllowedRoom,
         }
     }
 
@@ -285,21 +285,23 @@
     fn fill_question(
         &self,
         candidate: &Candidate,
-        job: &JobWork,
+        job: &ActiveJob,
         spec: &StepSpec,
         named: &mut Vec<WorkerKey>,
         now: Moment,
     ) {
         let Some(policy) = job.record.policy.advice else { return };
-        let most = policy.cost(named.len()).0 * FILL_COST_PERCENT / 100;
+        let max_cost_ms = policy.cost(named.len()).0 * FILL_COST_PERCENT / 100;
         let advice = &job.steps[candidate.step].advice;
         let known = &advice.known;
-        let turn = (job.id.0 % self.workers.len() as u64) as usize;
+        let offset = (job.id.0 % self.workers.len() as u64) as usize;
         for number in 0..self.workers.len() {
-            if named.len() >= NAMED_MOST || policy.cost(named.len() + 1).0 > most {
+            if named.len() >= MAX_WORKERS_PER_QUESTION
+                || policy.cost(named.len() + 1).0 > max_cost_ms
+            {
                 return;
             }
-            let key = WorkerKey((number + turn) % self.workers.len());
+            let key = WorkerKey((number + offset) % self.workers.len());
             let new = !known.contains_key(&key) && !advice.is_asked(key) && !named.contains(&key);
             if new && self.could_ever_run(key, job, spec, now) {
                 named.push(key);
@@ -308,7 +310,13 @@
     }
 
     /// Whether a worker might run the step once it has room. What never answered may be no worker.
-    fn could_ever_run(&self, key: WorkerKey, job: &JobWork, spec: &StepSpec, now: Moment) -> bool {
+    fn could_ever_run(
+        &self,
+        key: WorkerKey,
+        job: &ActiveJob,
+        spec: &StepSpec,
+        now: Moment,
+    ) -> bool {
         let worker = &self.workers[key.0];
         let entry = &worker.entry;
         !worker.is_over()
@@ -329,14 +337,14 @@
         now: Moment,
     ) {
         let (helper, step) = (question.helper, question.step);
-        let sent = self.desk.finish(helper, step, answer.is_some(), now);
-        let good = answer.as_ref().map(Vec::len);
+        let sent = self.advice_dispatcher.finish(helper, step, answer.is_some(), now);
+        let allowed = answer.as_ref().map(Vec::len);
         let took = sent.map(|sent| now.since(sent));
-        self.events.push(CellEvent::Advised { step, helper, good, took });
+        self.events.push(CellEvent::AdviceReceived { step, helper, allowed, took });
         let Some(answer) = answer else {
             // Of a question that was given up before, nothing is left to forget.
             if sent.is_some() {
-                self.forget_question(helper, step, now);
+                self.drop_question(helper, step, now);
             }
             return;
         };
@@ -344,7 +352,7 @@
         let Some(step) = job.step_index(&question.step) else { return };
         let advice = &mut job.steps[step].advice;
         // What is said of an id is of the life that was there when it was asked about.
-        let asked = advice.asked_of(question.helper);
+        let asked = advice.workers_asked(question.helper);
         let key_of = |id: &WorkerId| {
             let newest = self.ids.get(id).copied();
             if newest.is_some_and(|key| asked.contains(&key)) {
@@ -353,7 +361,7 @@
             let earlier = asked.iter().find(|key| self.workers[key.0].entry.life.id == *id);
             earlier.copied().or(newest)
         };
-        advice.forget_asked(question.helper);
+        advice.remove_question(question.helper);
         let keys: Vec<WorkerKey> = question.workers.iter().filter_map(&key_of).collect();
         // Workers that were known as good before tell nothing about the others.
         let new: Vec<WorkerKey> =
@@ -365,28 +373,29 @@
                 advice.known.insert(key, Some(advice::StepTicket { text, until }));
             }
         }
-        let good = new.iter().filter(|key| matches!(advice.known.get(key), Some(Some(_)))).count();
+        let allowed =
+            new.iter().filter(|key| matches!(advice.known.get(key), Some(Some(_)))).count();
         // Of answers that were doubted the same was learned before.
-        if advice.doubts > 0 {
+        if advice.rechecks > 0 {
             return;
         }
         let share = self.shares.entry(job.record.queue.clone()).or_default();
-        share.learn(good, new.len());
+        share.learn(allowed, new.len());
     }
 
     /// The answer to a question is overdue.
-    pub(super) fn note_overdue(&mut self, helper: HelperId, step: StepId) {
+    pub(super) fn mark_question_overdue(&mut self, helper: HelperId, step: StepId) {
         self.events.push(CellEvent::AdviceOverdue { step, helper });
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(index) = job.step_index(&step) else { return };
-        job.steps[index].advice.note_late(helper);
+        job.steps[index].advice.mark_overdue(helper);
     }
 
-    pub(super) fn forget_question(&mut self, helper: HelperId, step: StepId, now: Moment) {
+    pub(super) fn drop_question(&mut self, helper: HelperId, step: StepId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
         let Some(index) = job.step_index(&step) else { return };
         let advice = &mut job.steps[index].advice;
-        advice.forget_asked(helper);
-        advice.not_before = now.after(ASK_BACKOFF);
+        advice.remove_question(helper);
+        advice.retry_at = now.after(ASK_BACKOFF);
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/rank.rs
+++ b/crates/sedgehill-cell/src/scheduler/rank.rs
@@ -2,27 +2,27 @@
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
+use super::active_job::ActiveJob;
 use super::policy::CellPolicy;
-use super::work::JobWork;
 
 /// A late job still earns a part of its worth until this many times its objective.
 const LATE_FACTOR: u64 = 3;
 
 /// A job that can begin so much later and still meet its objective leaves room to those that cannot, late ones that
 /// still earn a part among them.
-const PATIENT_SLACK: TimeSpan = TimeSpan(6_000);
+const DEFERRABLE_SLACK: TimeSpan = TimeSpan(6_000);
 
 /// What a job can still earn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Prospect {
+enum ValueClass {
     /// It can end within its objective if it begins soon.
     OnTime,
     /// It can end while it still earns a part.
     Late,
     /// It can end within its objective though it begins later.
-    Patient,
+    Deferrable,
     /// It earns nothing any more, but has to end.
-    Lost,
+    Worthless,
 }
 
 /// The place of a step among those that wait; the least goes first.
@@ -40,31 +40,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
     /// Jobs that earn nothing any more go last, whosever they are.
-    lost: bool,
+    worthless: bool,
     /// What is due to organisations goes before what one of them sends beyond it.
-    beyond_due: bool,
-    prospect: Prospect,
+    over_share: bool,
+    value_class: ValueClass,
     priority: u32,
     latest_start: u64,
 }
 
 impl JobRank {
     /// The same for a job that its organisation sent beyond what is due to it, or not.
-    pub fn with_beyond_due(self, beyond_due: bool) -> JobRank {
-        JobRank { beyond_due, ..self }
+    pub fn with_over_share(self, over_share: bool) -> JobRank {
+        JobRank { over_share, ..self }
     }
 
     /// Whether the job still earns something.
-    pub fn earns(&self) -> bool {
-        !self.lost
+    pub fn has_value(&self) -> bool {
+        !self.worthless
     }
 }
 
 /// The latest moment at which what is left of a step's repetition can begin and meet the objective, by its estimates.
 /// `unix_ms` is the time of day at `now`.
-pub fn latest_start(job: &JobWork, step: usize, unix_ms: u64, now: Moment) -> u64 {
+pub fn latest_start(job: &ActiveJob, step: usize, unix_ms: u64, now: Moment) -> u64 {
     let objective = job.record.objective().as_millis();
-    let asked = job.asked_at(step, unix_ms, now);
+    let asked = job.objective_start(step, unix_ms, now);
     (asked.0 + objective).saturating_sub(job.remaining_chain(step).as_millis())
 }
 
@@ -72,7 +72,7 @@
 /// meet the objective. Each repetition is judged from the time at which it is due: from the acceptance of the job, the later ones
 /// would be late before their time has come.
 pub fn rank_job(
-    job: &JobWork,
+    job: &ActiveJob,
     step: usize,
     policy: &CellPolicy,
     unix_ms: u64,
@@ -81,22 +81,23 @@
     let objective = job.record.objective().as_millis();
     let chain = job.remaining_chain(step).as_millis();
     let end = now.0 + chain;
-    let accepted = job.asked_at(step, unix_ms, now).0;
+    let accepted = job.objective_start(step, unix_ms, now).0;
     let latest_start = latest_start(job, step, unix_ms, now);
-    let prospect = if policy.patience && !job.lasts() && latest_start > now.0 + PATIENT_SLACK.0 {
-        Prospect::Patient
-    } else if end <= accepted + objective || job.lasts() {
-        // A long-running job earns from whenever it begins, for as long as it lives: it is never late.
-        Prospect::OnTime
-    } else if end <= accepted + LATE_FACTOR * objective {
-        Prospect::Late
-    } else {
-        Prospect::Lost
-    };
+    let value_class =
+        if policy.patience && !job.is_long_running() && latest_start > now.0 + DEFERRABLE_SLACK.0 {
+            ValueClass::Deferrable
+        } else if end <= accepted + objective || job.is_long_running() {
+            // A long-running job earns from whenever it begins, for as long as it lives: it is never late.
+            ValueClass::OnTime
+        } else if end <= accepted + LATE_FACTOR * objective {
+            ValueClass::Late
+        } else {
+            ValueClass::Worthless
+        };
     JobRank {
-        lost: prospect == Prospect::Lost,
-        beyond_due: false,
-        prospect,
+        worthless: value_class == ValueClass::Worthless,
+        over_share: false,
+        value_class,
         priority: job.record.policy.priority,
         latest_start,
     }
--- a/crates/sedgehill-cell/src/scheduler/record.rs
+++ b/crates/sedgehill-cell/src/scheduler/record.rs
@@ -10,15 +10,16 @@
         if self.next_batch - 1 > self.recorded {
             return None;
         }
-        let lazy_due =
-            self.lazy_since.is_some_and(|since| now >= since.after(self.timing.lazy_record));
-        let due = !self.dirty.is_empty() || lazy_due || self.roster_changed;
+        let delayed_due = self
+            .delayed_since
+            .is_some_and(|since| now >= since.after(self.timing.max_record_delay));
+        let due = !self.dirty.is_empty() || delayed_due || self.roster_changed;
         if !due && !self.confirmation_wanted {
             return None;
         }
         let mut ids = std::mem::take(&mut self.dirty);
-        ids.append(&mut self.lazy);
-        self.lazy_since = None;
+        ids.append(&mut self.delayed);
+        self.delayed_since = None;
         let jobs: Vec<(JobId, JobProgress)> = ids
             .into_iter()
             .filter_map(|id| self.jobs.get(&id).map(|job| (id, job.progress())))
@@ -40,8 +41,8 @@
     ///
     /// Time alone does not tell that a run has ended. A lead that was replaced and does not know it still holds
     /// its term, while its successor may have renewed the lease of the run.
-    pub(super) fn is_confirmed(&mut self, moment: Moment) -> bool {
-        let confirmed = self.confirmed >= moment;
+    pub(super) fn was_sole_lead_at(&mut self, moment: Moment) -> bool {
+        let confirmed = self.lead_confirmed_at >= moment;
         // A batch that was taken since then will tell.
         if !confirmed && self.batch_taken < moment {
             self.confirmation_wanted = true;
@@ -53,20 +54,20 @@
     pub fn batch_recorded(&mut self, batch: &ProgressBatch) {
         self.recorded = batch.number;
         if is_sent(batch) {
-            self.confirmed = self.batch_taken;
+            self.lead_confirmed_at = self.batch_taken;
         }
         for entry in batch.roster.iter().flat_map(|roster| &roster.workers) {
             // Meanwhile the life may have been listed at another address, which no roster holds yet.
             if let Some(key) = self.lives.get(&entry.life)
                 && self.workers[key.0].entry.address == entry.address
             {
-                self.workers[key.0].rostered = true;
+                self.workers[key.0].in_roster = true;
             }
         }
         for (id, progress) in &batch.jobs {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            if job.ordered == OrderedMark::Asked && progress.ordered {
-                job.ordered = OrderedMark::Recorded;
+            if job.start_flag == StartFlag::Pending && progress.ordered {
+                job.start_flag = StartFlag::Recorded;
             }
             let over = progress.state.is_final() && job.placed().is_empty();
             if over && !self.dirty.contains(id) {
--- a/crates/sedgehill-cell/src/scheduler/accounts.rs
+++ b/crates/sedgehill-cell/src/scheduler/reports.rs
@@ -2,7 +2,7 @@
 
 use sedgehill_core::units::{Moment, ResourceSet};
 
-use super::work::TaskWork;
+use super::active_job::ActiveTask;
 use super::worker::WorkerRun;
 use super::*;
 
@@ -15,7 +15,7 @@
             self.lose_run(key, lost.task, lost.run, &life, cause, now);
         }
         for lost in &runs {
-            self.note_lost(key, lost, &cause, now);
+            self.assess_lost_run(key, lost, &cause, now);
         }
     }
 
@@ -33,8 +33,8 @@
         self.release_task(&task, run, now, None);
         if removed.as_ref().is_some_and(|entry| entry.seen) {
             // It may have ended at any time since then.
-            let heard = self.workers[key.0].answered.unwrap_or(now);
-            self.note_run_over(&task, RestartCause::WorkerLost, heard);
+            let heard = self.workers[key.0].last_answer_at.unwrap_or(now);
+            self.note_run_ended(&task, RestartCause::WorkerLost, heard);
         }
         if removed.is_some_and(|entry| entry.phase == RunPhase::Recording) {
             self.abort_gang(&task, run, now);
@@ -48,7 +48,7 @@
         let worker = &mut self.workers[key.0];
         let lease = match store_answers {
             true => self.timing.lease,
-            false => self.timing.lease_most,
+            false => self.timing.max_lease,
         };
         // A silent worker may hear what it does not answer: asking it only to look lets its lease
         // come to an end, after which its tasks can run elsewhere.
@@ -57,17 +57,17 @@
             _ => None,
         };
         // An account that gets lost hides every end until it is given up.
-        let lossy = self.timing.policy.short_accounts && self.losses.is_high();
+        let lossy = self.timing.policy.short_accounts && self.call_losses.is_high();
         let wait = match lease_until {
             Some(_) if lossy => self.timing.hold_wait_lossy,
             Some(_) => self.timing.hold_wait,
             None => TimeSpan(0),
         };
-        worker.told = match worker.may_have_begun_anew() {
+        worker.acknowledged_to = match worker.may_have_restarted() {
             true => 0,
             false => worker.acknowledged(recorded),
         };
-        HoldOrder { lease_until, acknowledged: worker.told, wait, token: worker.token }
+        HoldOrder { lease_until, acknowledged: worker.acknowledged_to, wait, token: worker.token }
     }
 
     /// Takes in what came of a hold that was sent at `sent`.
@@ -79,7 +79,7 @@
         now: Moment,
     ) {
         match answer {
-            WorkerAnswer::Done(report) => self.take_account(key, report, sent, now),
+            WorkerAnswer::Done(report) => self.take_report(key, report, sent, now),
             WorkerAnswer::NotDone(refusal) => {
                 self.note_refusal(key, WorkerCall::Account, refusal, now);
             }
@@ -87,19 +87,19 @@
         }
     }
 
-    fn take_account(&mut self, key: WorkerKey, report: HoldReport, sent: Moment, now: Moment) {
+    fn take_report(&mut self, key: WorkerKey, report: HoldReport, sent: Moment, now: Moment) {
         if self.workers[key.0].is_over() || !self.is_of_life(key, &report, sent, now) {
             return;
         }
         let is_first = !self.workers[key.0].fenced;
-        self.note_account(key, &report, now);
-        self.losses.note(true);
+        self.report_contact(key, &report, now);
+        self.call_losses.note(true);
         let worker = &mut self.workers[key.0];
-        worker.accounted = Some(now);
+        worker.last_report_at = Some(now);
         worker.note_answer(report.clock, now, &self.timing);
         if is_first {
             self.end_earlier_lives(key, now);
-            self.settle_followed(key, now);
+            self.resolve_replaced_lives(key, now);
         }
         for end in &report.ended {
             if self.workers[key.0].is_new_end(end.number) {
@@ -109,64 +109,70 @@
             }
         }
         // What ran at the time of an older account, one that was overtaken, tells nothing any more.
-        if sent < self.workers[key.0].account_asked {
+        if sent < self.workers[key.0].report_asked_at {
             return;
         }
-        self.workers[key.0].account_asked = sent;
+        self.workers[key.0].report_asked_at = sent;
         for row in &report.running {
             self.take_running(key, row, now);
         }
         self.drop_unlisted(key, &report, sent, now);
-        self.settle_living(key, &report, sent);
+        self.resolve_as_alive(key, &report, sent);
     }
 
     /// Takes in a row of a run.
     fn take_running(&mut self, key: WorkerKey, row: &RunningRow, now: Moment) {
-        let job = row.task.step.job;
+        let id = row.task.step.job;
         if let Some(entry) = self.workers[key.0].runs.get_mut(&row.task) {
             if entry.run == row.run {
                 if entry.confirm(now) {
-                    self.note_running(&row.task);
+                    self.note_run_confirmed(&row.task);
                 }
-                self.note_checkpoint(&row.task, row.run, &row.checkpoint);
-                self.note_begun(job, now);
+                self.save_checkpoint(&row.task, row.run, &row.checkpoint);
+                self.note_started(id, now);
             }
             return;
         }
-        let place = (self.workers[key.0].entry.life.clone(), self.token);
-        let Some(work) = self.jobs.get_mut(&job) else {
-            return self.adopt_foreign(key, row, now);
+        let location = (self.workers[key.0].entry.life.clone(), self.token);
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return self.track_unknown(key, row, now);
         };
-        let Some(index) = work.task_index(&row.task) else {
-            return self.adopt_foreign(key, row, now);
+        let Some(index) = job.task_index(&row.task) else {
+            return self.track_unknown(key, row, now);
         };
-        let step = work.step_index(&row.task.step).expect("a task that exists has a step");
-        let need = work.step_spec(step).need;
-        let long_running = work.step_spec(step).long_running;
-        let over = work.is_over();
-        let task: &mut TaskWork = &mut work.tasks[index];
-        task.kept.run = task.kept.run.max(row.run);
-        let wanted = !over && !task.kept.done && matches!(task.phase, TaskPhase::Waiting(_));
+        let step = job.step_index(&row.task.step).expect("every task belongs to a step");
+        let need = job.step_spec(step).need;
+        let long_running = job.step_spec(step).long_running;
+        let is_over = job.is_over();
+        let task: &mut ActiveTask = &mut job.tasks[index];
+        task.progress.run = task.progress.run.max(row.run);
+        let wanted = !is_over && !task.progress.done && matches!(task.phase, TaskPhase::Waiting(_));
         if wanted {
             task.phase = TaskPhase::Placed(key, row.run);
-            task.place = long_running.then_some(place);
+            task.location = long_running.then_some(location);
         }
-        self.adopt(key, row, Some(need), now);
+        self.track_run(key, row, Some(need), now);
         match wanted {
             true => {
-                self.note_adopted(key, row);
-                self.note_running(&row.task);
-                self.note_checkpoint(&row.task, row.run, &row.checkpoint);
-                self.note_begun(job, now);
+                self.report_adopted(key, row);
+                self.note_run_confirmed(&row.task);
+                self.save_checkpoint(&row.task, row.run, &row.checkpoint);
+                self.note_started(id, now);
             }
             false => {
-                self.note_unwanted(key, row, now);
+                self.report_unwanted(key, row, now);
                 self.stop_run(key, row.task, row.run, "not wanted", now);
             }
         }
     }
 
-    fn adopt(&mut self, key: WorkerKey, row: &RunningRow, need: Option<ResourceSet>, now: Moment) {
+    fn track_run(
+        &mut self,
+        key: WorkerKey,
+        row: &RunningRow,
+        need: Option<ResourceSet>,
+        now: Moment,
+    ) {
         let run = WorkerRun {
             run: row.run,
             need,
@@ -190,19 +196,19 @@
 
     /// A run of a job that is over and forgotten: it is stopped, and until it is gone the worker
     /// takes no work, since its need is not known.
-    fn adopt_foreign(&mut self, key: WorkerKey, row: &RunningRow, now: Moment) {
-        self.adopt(key, row, None, now);
-        self.note_unwanted(key, row, now);
+    fn track_unknown(&mut self, key: WorkerKey, row: &RunningRow, now: Moment) {
+        self.track_run(key, row, None, now);
+        self.report_unwanted(key, row, now);
         self.stop_run(key, row.task, row.run, "unknown job", now);
     }
 
-    fn note_checkpoint(&mut self, task: &CellTask, run: RunNumber, checkpoint: &str) {
+    fn save_checkpoint(&mut self, task: &CellTask, run: RunNumber, checkpoint: &str) {
         if checkpoint.is_empty() {
             return;
         }
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
-        let kept = &mut job.tasks[index].kept;
+        let kept = &mut job.tasks[index].progress;
         if kept.run == run && kept.checkpoint != checkpoint {
             kept.checkpoint = checkpoint.to_owned();
         }
@@ -221,12 +227,12 @@
         let life = worker.entry.life.clone();
         for (task, run, from, seen) in gone {
             let (asked, listed_from) = (now.since(sent), now.since(from));
-            let acknowledged = self.workers[key.0].told;
+            let acknowledged = self.workers[key.0].acknowledged_to;
             let cause = LossCause::NotListed { asked, listed_from, acknowledged };
             self.lose_run(key, task, run, &life, cause, now);
             match seen {
-                true => self.close_run(&task, run),
-                false => self.note_never_begun(&task, run),
+                true => self.resolve_run(&task, run),
+                false => self.note_never_started(&task, run),
             }
         }
     }
@@ -238,16 +244,17 @@
             if worker.dead || worker.runs.is_empty() {
                 continue;
             }
-            if let Some(since) = worker.followed {
-                self.expire_followed(WorkerKey(number), since, now);
+            if let Some(since) = worker.replaced_at {
+                self.expire_replaced_life(WorkerKey(number), since, now);
                 continue;
             }
             if worker.silent_calls == 0 {
                 continue;
             }
-            let Some(reading) = worker.lapsed_reading(now, &self.timing) else { continue };
-            let lapsed_by_then = worker.lapsed_reading(self.confirmed, &self.timing).is_some();
-            if lapsed_by_then || self.is_confirmed(now) {
+            let Some(reading) = worker.ended_lease_reading(now, &self.timing) else { continue };
+            let lapsed_by_then =
+                worker.ended_lease_reading(self.lead_confirmed_at, &self.timing).is_some();
+            if lapsed_by_then || self.was_sole_lead_at(now) {
                 self.lose_runs(WorkerKey(number), LossCause::LeaseEnded(reading), now);
             }
         }
--- a/crates/sedgehill-cell/src/scheduler/restart.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart.rs
@@ -15,16 +15,16 @@
 use super::*;
 
 /// A task that has had no run for so long is told of.
-const TOLD_AFTER: TimeSpan = TimeSpan(3_000);
+const REPORT_AFTER: TimeSpan = TimeSpan(3_000);
 /// It is told of again so much later.
-const TOLD_AGAIN: TimeSpan = TimeSpan(3_000);
+const REPORT_INTERVAL: TimeSpan = TimeSpan(3_000);
 /// Room and tickets are looked for so long before the lease of a silent worker ends: a dear question takes about as long, and
 /// tickets are valid for longer.
-const EXPECTED_AHEAD: TimeSpan = TimeSpan(1_500);
+const RESTART_LOOKAHEAD: TimeSpan = TimeSpan(1_500);
 /// Room for the tasks of a step is looked for this often: the look goes over all that runs.
-const SEARCH_EVERY: TimeSpan = TimeSpan(100);
+const SEARCH_INTERVAL: TimeSpan = TimeSpan(100);
 /// Tasks that are told of in one turn, at the most.
-const TOLD_AT_ONCE: usize = 4;
+const MAX_REPORTS_PER_TURN: usize = 4;
 
 /// What took the last run of a long-running task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,22 +56,22 @@
 
 /// A long-running task without a run.
 #[derive(Debug, Clone, Copy)]
-pub struct RestartDue {
+pub struct PendingRestart {
     /// Since when.
     pub since: Moment,
     /// What took its last run.
     pub cause: RestartCause,
     /// The gate that turned it back last.
-    gate: Option<StallReason>,
+    reason: Option<StallReason>,
     /// Steps that were ranked before it then.
     ahead: usize,
-    told: Option<Moment>,
+    reported_at: Option<Moment>,
 }
 
 /// All long-running tasks without a run.
 #[derive(Debug, Default)]
-pub struct RestartBook {
-    due: BTreeMap<CellTask, RestartDue>,
+pub struct RestartTracker {
+    due: BTreeMap<CellTask, PendingRestart>,
     /// Steps with tasks on silent workers whose leases are about to end, in this turn.
     expected: BTreeMap<StepId, ExpectedRestarts>,
     /// When room was last looked for on all workers, by step.
@@ -88,10 +88,10 @@
     left: TimeSpan,
 }
 
-impl RestartBook {
+impl RestartTracker {
     /// A task lost its run. One that was due already stays due since then.
     fn add(&mut self, task: CellTask, cause: RestartCause, now: Moment) {
-        let due = RestartDue { since: now, cause, gate: None, ahead: 0, told: None };
+        let due = PendingRestart { since: now, cause, reason: None, ahead: 0, reported_at: None };
         self.due.entry(task).or_insert(due);
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// What is known of a task that is due.
-    pub fn get(&self, task: &CellTask) -> Option<&RestartDue> {
+    pub fn get(&self, task: &CellTask) -> Option<&PendingRestart> {
         self.due.get(task)
     }
 
@@ -122,21 +122,21 @@
     }
 
     /// The gate that turned a step back last.
-    pub fn last_gate(&self, step: StepId) -> Option<StallReason> {
-        self.due.range(tasks_of(step)).find_map(|(_, due)| due.gate)
+    pub fn last_reason(&self, step: StepId) -> Option<StallReason> {
+        self.due.range(tasks_of(step)).find_map(|(_, due)| due.reason)
     }
 
     /// Whether room may be looked for on all workers now; it counts as looked for then.
-    pub fn may_search(&mut self, step: StepId, now: Moment) -> bool {
+    pub fn begin_search(&mut self, step: StepId, now: Moment) -> bool {
         let searched = self.searched.get(&step);
-        let may = searched.is_none_or(|searched| now >= searched.after(SEARCH_EVERY));
-        if may {
+        let allowed = searched.is_none_or(|searched| now >= searched.after(SEARCH_INTERVAL));
+        if allowed {
             self.searched.insert(step, now);
         }
-        may
+        allowed
     }
 
-    fn of_step(&mut self, step: StepId) -> impl Iterator<Item = &mut RestartDue> {
+    fn of_step(&mut self, step: StepId) -> impl Iterator<Item = &mut PendingRestart> {
         self.due.range_mut(tasks_of(step)).map(|(_, due)| due)
     }
 }
@@ -147,14 +147,14 @@
 
 /// What waits of a step.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct WaitingParts {
+pub(super) struct WaitingGroups {
     /// Since when the first of the tasks is due that lost their run, or are about to; none if there is none.
     pub(super) restart_due: Option<Moment>,
     /// Others wait.
     others: bool,
 }
 
-impl WaitingParts {
+impl WaitingGroups {
     pub(super) fn candidates(self, job: JobId, step: usize) -> impl Iterator<Item = Candidate> {
         let restarts = self.restart_due.map(|_| Candidate { job, step, restarts: true });
         let others = self.others.then_some(Candidate { job, step, restarts: false });
@@ -164,7 +164,7 @@
 
 /// Long-running tasks without a run, as shown to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct RestartFigures {
+pub struct RestartStats {
     /// How many.
     pub tasks: usize,
     /// The longest time that one of them has had none.
@@ -173,7 +173,7 @@
 
 impl Scheduler {
     /// A run that was there is over. A long-running task is due to run again.
-    pub(super) fn note_run_over(&mut self, task: &CellTask, cause: RestartCause, now: Moment) {
+    pub(super) fn note_run_ended(&mut self, task: &CellTask, cause: RestartCause, now: Moment) {
         let Some(job) = self.jobs.get(&task.step.job).filter(|job| !job.is_over()) else { return };
         let Some(step) = job.step_index(&task.step) else { return };
         let Some(index) = job.task_index(task) else { return };
@@ -185,49 +185,51 @@
     /// Before all that earlier leads did is settled: finds long-running tasks that lost their run, since the only worker that may have
     /// had it was heard or has ended. One worker that is gone for good would hold up all of them otherwise.
     pub(super) fn find_settled_restarts(&mut self) {
-        if self.take_over.settled || self.surveyed.is_none() {
+        if self.take_over.settled || self.workers_listed_at.is_none() {
             return;
         }
         let since = self.take_over.since;
-        let jobs = self.jobs.values().filter(|job| job.foreign_orders && job.lasts());
-        let lost = |(_, task): &(CellTask, &work::TaskWork)| {
-            task.started_earlier && task.waits() && self.is_place_settled(task)
+        let jobs = self.jobs.values().filter(|job| job.unsettled_starts && job.is_long_running());
+        let lost = |(_, task): &(CellTask, &ActiveTask)| {
+            task.started_by_earlier_lead && task.waits() && self.is_location_settled(task)
         };
         let lost: Vec<CellTask> =
             jobs.flat_map(|job| job.all_tasks().filter(lost)).map(|(task, _)| task).collect();
         for task in lost {
-            self.note_run_over(&task, RestartCause::EarlierLead, since);
+            self.note_run_ended(&task, RestartCause::EarlierLead, since);
         }
     }
 
     /// Whether the only worker that may have a run of a task was heard by this lead, so that it refuses orders of earlier
     /// ones and what it runs is known, or has ended.
-    fn is_place_settled(&self, task: &work::TaskWork) -> bool {
-        let Some((life, by)) = &task.place else { return false };
+    fn is_location_settled(&self, task: &ActiveTask) -> bool {
+        let Some((life, by)) = &task.location else { return false };
         let worker = self.lives.get(life).map(|key| &self.workers[key.0]);
-        Some(*by) == self.follows && worker.is_some_and(|one| one.dead || one.accounted.is_some())
+        Some(*by) == self.previous_token
+            && worker.is_some_and(|worker| worker.dead || worker.last_report_at.is_some())
     }
 
     /// Whether a task may be started, as far as it may run by the orders of an earlier lead.
-    fn is_settled_task(&self, job: &JobWork, task: &work::TaskWork) -> bool {
-        self.take_over.settled || !job.foreign_orders || self.is_place_settled(task)
+    fn is_settled_task(&self, job: &ActiveJob, task: &ActiveTask) -> bool {
+        self.take_over.settled || !job.unsettled_starts || self.is_location_settled(task)
     }
 
     /// What earlier leads did is settled: long-running tasks that one of them started, and that no worker has, lost their
     /// run before or during the change of leads.
-    pub(super) fn note_lost_restarts(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id).filter(|job| job.foreign_orders) else { return };
-        let lost = |(_, task): &(CellTask, &work::TaskWork)| task.started_earlier && task.waits();
+    pub(super) fn find_lost_restarts(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get(&id).filter(|job| job.unsettled_starts) else { return };
+        let lost =
+            |(_, task): &(CellTask, &ActiveTask)| task.started_by_earlier_lead && task.waits();
         let lost: Vec<CellTask> = job.all_tasks().filter(lost).map(|(task, _)| task).collect();
         let since = self.take_over.since;
         for task in lost {
-            self.note_run_over(&task, RestartCause::EarlierLead, since);
+            self.note_run_ended(&task, RestartCause::EarlierLead, since);
         }
     }
 
     /// A worker says that a run is there. That a long-running task has run is recorded at once: a later lead would take one that
     /// loses its run in the change of leads for a task that never began.
-    pub(super) fn note_running(&mut self, task: &CellTask) {
+    pub(super) fn note_run_confirmed(&mut self, task: &CellTask) {
         self.restarts.remove(task);
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let step = job.step_index(&task.step);
@@ -238,18 +240,18 @@
 
     /// Finds the tasks that are about to be due: room and tickets for them are looked for before the lease of their silent
     /// worker has ended, since the lease alone takes most of the time that users allow.
-    pub(super) fn expect_restarts(&mut self, now: Moment) {
+    pub(super) fn predict_restarts(&mut self, now: Moment) {
         self.restarts.expected.clear();
-        self.restarts.searched.retain(|_, searched| now < searched.after(SEARCH_EVERY));
+        self.restarts.searched.retain(|_, searched| now < searched.after(SEARCH_INTERVAL));
         for worker in self.workers.iter().filter(|worker| worker.silent_calls > 0) {
             if worker.is_over() || !worker.runs.values().any(|run| run.long_running) {
                 continue;
             }
             let Some(left) = worker.lease_left(now, &self.timing) else { continue };
-            if left > EXPECTED_AHEAD {
+            if left > RESTART_LOOKAHEAD {
                 continue;
             }
-            let from = worker.answered.unwrap_or(now);
+            let from = worker.last_answer_at.unwrap_or(now);
             for task in self.long_running_on(worker) {
                 let new = ExpectedRestarts { tasks: 0, from, left };
                 let expected = self.restarts.expected.entry(task.step).or_insert(new);
@@ -273,15 +275,20 @@
     }
 
     /// What waits of a step now. The members of a gang stay together.
-    pub(super) fn waiting_parts(&self, job: &JobWork, step: usize, now: Moment) -> WaitingParts {
+    pub(super) fn waiting_groups(
+        &self,
+        job: &ActiveJob,
+        step: usize,
+        now: Moment,
+    ) -> WaitingGroups {
         let tasks = job.step_tasks(step);
-        let ready = |task: &work::TaskWork| task.is_ready(now);
+        let ready = |task: &ActiveTask| task.is_ready(now);
         if !job.step_spec(step).long_running || self.restarts.is_empty() {
-            return WaitingParts { restart_due: None, others: tasks.iter().any(ready) };
+            return WaitingGroups { restart_due: None, others: tasks.iter().any(ready) };
         }
         let id = job.steps[step].id;
         let expected = self.restarts.expected.get(&id).map(|expected| expected.from);
-        let mut parts = WaitingParts { restart_due: expected, others: false };
+        let mut parts = WaitingGroups { restart_due: expected, others: false };
         for (index, _) in tasks.iter().enumerate().filter(|(_, task)| ready(task)) {
             match self.restarts.get(&CellTask { step: id, index: index as u16 }) {
                 Some(_) if !self.is_settled_task(job, &tasks[index]) => parts.others = true,
@@ -299,7 +306,12 @@
     }
 
     /// The tasks that a candidate stands for.
-    pub(super) fn waiting_of(&self, candidate: &Candidate, job: &JobWork, now: Moment) -> Vec<u16> {
+    pub(super) fn waiting_in_group(
+        &self,
+        candidate: &Candidate,
+        job: &ActiveJob,
+        now: Moment,
+    ) -> Vec<u16> {
         let step = job.steps[candidate.step].id;
         let spec = job.step_spec(candidate.step);
         let mut waiting = waiting_tasks(job, candidate.step, now);
@@ -315,15 +327,15 @@
     }
 
     /// Whether what a candidate stands for still earns something.
-    pub(super) fn earns(&self, candidate: &Candidate, job: &JobWork, now: Moment) -> bool {
-        candidate.restarts || self.rank_of(job, candidate.step, now).earns()
+    pub(super) fn has_value(&self, candidate: &Candidate, job: &ActiveJob, now: Moment) -> bool {
+        candidate.restarts || self.rank_of(job, candidate.step, now).has_value()
     }
 
     /// Notes at which gate the tasks of a step were turned back that are due to run again.
-    pub(super) fn note_restart_gate(
+    pub(super) fn note_restart_stall(
         &mut self,
         candidate: &Candidate,
-        gate: Option<StallReason>,
+        reason: Option<StallReason>,
         ahead: usize,
     ) {
         if !candidate.restarts {
@@ -332,21 +344,21 @@
         let Some(job) = self.jobs.get(&candidate.job) else { return };
         let step = job.steps[candidate.step].id;
         for due in self.restarts.of_step(step) {
-            (due.gate, due.ahead) = (gate, ahead);
+            (due.reason, due.ahead) = (reason, ahead);
         }
     }
 
     /// Drops tasks of jobs that are over, and tells of those that have had no run for long.
-    pub(super) fn report_restarts(&mut self, now: Moment) {
+    pub(super) fn report_late_restarts(&mut self, now: Moment) {
         if self.restarts.due.is_empty() {
             return;
         }
         let jobs = &self.jobs;
         let lives = |task: &CellTask| jobs.get(&task.step.job).is_some_and(|job| !job.is_over());
         self.restarts.due.retain(|task, _| lives(task));
-        let late = |due: &RestartDue| match due.told {
-            None => now >= due.since.after(TOLD_AFTER),
-            Some(told) => now >= told.after(TOLD_AGAIN),
+        let late = |due: &PendingRestart| match due.reported_at {
+            None => now >= due.since.after(REPORT_AFTER),
+            Some(reported_at) => now >= reported_at.after(REPORT_INTERVAL),
         };
         let due = self.restarts.due.iter().filter(|(_, due)| late(due));
         let mut late: Vec<(Moment, CellTask)> = due.map(|(task, due)| (due.since, *task)).collect();
@@ -355,33 +367,40 @@
             return;
         }
         let open = self.open_workers(now);
-        for (_, task) in late.into_iter().take(TOLD_AT_ONCE) {
-            self.tell_restart(task, &open, now);
+        for (_, task) in late.into_iter().take(MAX_REPORTS_PER_TURN) {
+            self.report_late_restart(task, &open, now);
         }
     }
 
-    fn tell_restart(&mut self, task: CellTask, open: &room::OpenWorkers, now: Moment) {
+    fn report_late_restart(&mut self, task: CellTask, open: &room::OpenWorkers, now: Moment) {
         let Some(step) = self.jobs.get(&task.step.job).and_then(|job| job.step_index(&task.step))
         else {
             return;
         };
         let candidate = Candidate { job: task.step.job, step, restarts: true };
-        let Some(belief) = self.stall_belief(&candidate, open, now) else { return };
-        let knows_sizes = self.knows_sizes(now);
+        let Some(details) = self.stall_details(&candidate, open, now) else { return };
+        let has_fresh_worker_list = self.has_fresh_worker_list(now);
         let Some(due) = self.restarts.due.get_mut(&task) else { return };
-        due.told = Some(now);
+        due.reported_at = Some(now);
         // Where no worker is open at all, no step is looked at.
-        let gate = match knows_sizes {
-            true => due.gate.unwrap_or(StallReason::NoRoom),
-            false => StallReason::OldList,
+        let reason = match has_fresh_worker_list {
+            true => due.reason.unwrap_or(StallReason::NoRoom),
+            false => StallReason::StaleWorkerList,
         };
         let (cause, ahead, without_run) = (due.cause, due.ahead, now.since(due.since));
-        self.events.push(CellEvent::RestartLate { task, cause, without_run, gate, ahead, belief });
+        self.events.push(CellEvent::RestartLate {
+            task,
+            cause,
+            without_run,
+            reason,
+            ahead,
+            details,
+        });
     }
 
     /// The long-running tasks without a run.
-    pub fn restart_figures(&self, now: Moment) -> RestartFigures {
+    pub fn restart_stats(&self, now: Moment) -> RestartStats {
         let spans = self.restarts.due.values().map(|due| now.since(due.since));
-        RestartFigures { tasks: self.restarts.due.len(), longest: spans.max().unwrap_or_default() }
+        RestartStats { tasks: self.restarts.due.len(), longest: spans.max().unwrap_or_default() }
     }
 }
