--- a/crates/sedgehill-cell/src/scheduler/active_job.rs
+++ b/crates/sedgehill-cell/src/scheduler/active_job.rs
@@ -1,4 +1,4 @@
-//! A job as the lead works on it.
+//! A job that is being scheduled, with its steps and tasks.
 
 use std::rc::Rc;
 
@@ -13,102 +13,104 @@
 use crate::progress::{JobProgress, JobState, TaskPlace, TaskProgress};
 use crate::suspicion::{SuspectStage, TaskSuspicion};
 
-/// Runs of a task that one lead may order without recording any of them. Each lead counts from its
-/// token times this number, so that no two use the same number for different runs. A start that is refused uses a
-/// number each 30 ms, so these last for two minutes of refusals, and for a million leads.
+/// Run numbers of a task that one lead can use without recording them. A lead counts from its token
+/// times this number, so that two leads never use one number for different runs. Refused starts use
+/// one number each 30 ms, so these last for two minutes of refusals, and for a million leads.
 const RUN_NUMBERS_PER_LEAD: u64 = 4_096;
 
-/// Where a task is.
+/// Whether a task is placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// It runs nowhere, as far as is known, and not before the given moment.
+    /// It runs nowhere, as far as is known, and must not start before the given moment.
     Waiting(Moment),
-    /// It runs on a worker, or may.
+    /// It runs, or may run, on a worker.
     Placed(WorkerKey, RunNumber),
 }
 
-/// One task.
+/// The state of one task.
 #[derive(Debug, Clone)]
 pub struct ActiveTask {
-    /// Where it is.
+    /// Whether it is placed.
     pub phase: TaskPhase,
-    /// What is kept of it.
+    /// The progress that is recorded in the store.
     pub progress: TaskProgress,
-    /// Where its last run failed.
+    /// The worker on which its last run failed.
     pub failed_at: Option<WorkerKey>,
-    /// What is known of the workers that were lost under it.
+    /// Its history of workers that were lost while it ran there.
     pub suspicion: TaskSuspicion,
-    /// The run under way, if its start counts among those that are allowed after crashes.
+    /// The current run, if its start counts against the number of starts allowed after crashes.
     pub counted_start: Option<RunNumber>,
-    /// A start of it was recorded by an earlier lead.
+    /// An earlier lead recorded a start of it.
     pub started_by_earlier_lead: bool,
-    /// The only worker that may have a run of it, with the lead that knows so; none if that is not known.
+    /// The only worker that may have a run of it, and the lead that recorded so; none if it is not
+    /// known.
     pub location: Option<(WorkerLife, FencingToken)>,
 }
 
 impl ActiveTask {
-    /// Whether it is to be started, now or later.
+    /// Whether it is not done and runs nowhere, as far as is known.
     pub fn waits(&self) -> bool {
         !self.progress.done && matches!(self.phase, TaskPhase::Waiting(_))
     }
 
-    /// Whether it may be started now, given room.
+    /// Whether it may be started now if there is room.
     pub fn is_ready(&self, now: Moment) -> bool {
         let waits = matches!(self.phase, TaskPhase::Waiting(from) if now >= from);
         waits && !self.progress.done && self.suspicion.stage() != SuspectStage::Held
     }
 }
 
-/// One step of one repetition.
+/// The state of one step in one repetition of the job.
 #[derive(Debug)]
 pub struct ActiveStep {
     /// Its id.
     pub id: StepId,
-    /// Its tasks' place among the tasks of the job.
+    /// The index of its first task among the tasks of the job.
     pub first_task: usize,
-    /// Tasks that are not done.
+    /// The number of tasks that are not done.
     pub unfinished: usize,
-    /// What the advice service said.
+    /// The advice service's answers.
     pub advice: StepAdvice,
-    /// Whether it was last held back by the limit of its organisation.
+    /// Whether the limit of its organisation kept all its waiting tasks from starting last time.
     pub limit_reached: bool,
-    /// Set while its turn has come and nothing of it runs.
+    /// Set while the step is due and none of its tasks runs.
     pub stall: Option<StepStall>,
 }
 
-/// Whether it is recorded that tasks of the job may run.
+/// Whether it is recorded in the store that tasks of the job may have started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartFlag {
-    /// Not even asked for.
+    /// It is neither recorded nor about to be.
     Unset,
-    /// In this batch, or one to come.
+    /// It is in the current batch or the next one.
     Pending,
-    /// Recorded: tasks may be started.
+    /// It is recorded, so tasks may be started.
     Recorded,
 }
 
-/// A job as the lead works on it.
+/// The state of a job that is being scheduled.
 #[derive(Debug)]
 pub struct ActiveJob {
     /// The job.
     pub id: JobId,
-    /// What was accepted.
+    /// The job as accepted.
     pub record: Rc<JobRecord>,
-    /// Whose it is; none if nobody's limit bounds it.
+    /// Its organisation; none if no limit applies.
     pub owner: Option<OrganisationKey>,
-    /// What its organisation is due came before it.
+    /// It was accepted when its organisation had used up its share of jobs.
     pub over_share: bool,
     /// When it was accepted, by this box's clock.
     pub accepted: Moment,
-    /// How far it is.
+    /// Its progress as callers see it.
     pub state: JobState,
     /// Whether the caller cancelled it.
     pub cancelled: bool,
     /// Whether tasks may be started.
     pub start_flag: StartFlag,
-    /// An earlier lead may have started tasks of it, unknown to this one.
+    /// An earlier lead may have started tasks of it that this lead does not know of.
     pub unsettled_starts: bool,
-    /// The same, whether or not that is settled by now.
+    /// An earlier lead may have started tasks of it. Unlike `unsettled_starts` this stays set after
+    /// the take-over.
     pub started_by_earlier_lead: bool,
     /// A later lead may start tasks of it.
     pub led_elsewhere: bool,
@@ -119,7 +121,7 @@
 }
 
 impl ActiveJob {
-    /// A job with what was kept of its course, for the lead that holds `token`.
+    /// Creates the state of a job from its recorded progress, for the lead that holds `token`.
     pub fn new(
         id: JobId,
         record: Rc<JobRecord>,
@@ -205,21 +207,21 @@
         }
     }
 
-    /// The place of a step among all steps, if there is such a step.
+    /// Returns the index of a step among all steps; none if there is no such step.
     pub fn step_index(&self, step: &StepId) -> Option<usize> {
         let steps_per_repetition = self.record.spec.steps.len();
         let index = step.repetition as usize * steps_per_repetition + usize::from(step.step);
         (usize::from(step.step) < steps_per_repetition && index < self.steps.len()).then_some(index)
     }
 
-    /// The place of a task among all tasks, if there is such a task.
+    /// Returns the index of a task among all tasks; none if there is no such task.
     pub fn task_index(&self, task: &CellTask) -> Option<usize> {
         let step = self.step_index(&task.step)?;
         let count = self.step_spec(step).count;
         (task.index < count).then(|| self.steps[step].first_task + usize::from(task.index))
     }
 
-    /// What the caller said of a step.
+    /// The step as submitted.
     pub fn step_spec(&self, step: usize) -> &StepSpec {
         self.record.step_spec(step)
     }
@@ -230,22 +232,23 @@
         &self.tasks[first..first + usize::from(self.step_spec(step).count)]
     }
 
-    /// When the repetition of a step is due, in milliseconds since 1970; none if the job has no times.
+    /// Returns when the repetition of a step is due, in milliseconds since 1970; none if the job
+    /// has no schedule.
     fn due_unix_ms(&self, step: usize) -> Option<u64> {
         let repetition = u64::from(self.steps[step].id.repetition);
         let due = |repeat: RepeatSpec| repeat.start_at_ms + repetition * repeat.interval.0;
         self.record.spec.repeat.map(due)
     }
 
-    /// From when the objective of a step counts: the acceptance of the job, or the time of the repetition if that is
-    /// later. `unix_ms` is the time of day at `now`.
+    /// Returns when the time for the objective of a step starts: at the acceptance of the job, or
+    /// when the repetition is due if that is later. `unix_ms` is the time of day at `now`.
     pub fn objective_start(&self, step: usize, unix_ms: u64, now: Moment) -> Moment {
         let Some(due) = self.due_unix_ms(step) else { return self.accepted };
         let due = Moment((now.0 + due).saturating_sub(unix_ms));
         due.max(self.accepted)
     }
 
-    /// Whether the time of the step has come, and the steps before it are done.
+    /// Whether the repetition of the step is due and the steps before it are done.
     pub fn is_due(&self, step: usize, unix_ms: u64) -> bool {
         if self.due_unix_ms(step).is_some_and(|due| unix_ms < due) {
             return false;
@@ -256,7 +259,8 @@
         after.iter().all(|before| self.steps[base + usize::from(*before)].unfinished == 0)
     }
 
-    /// The longest chain of estimates over steps that are not done, in the repetition of a step.
+    /// Returns the longest chain of estimates over the unfinished steps in the repetition of a
+    /// step.
     pub fn remaining_chain(&self, step: usize) -> TimeSpan {
         let steps_per_repetition = self.record.spec.steps.len();
         let base = step - step % steps_per_repetition;
@@ -272,7 +276,7 @@
         TimeSpan(ends.into_iter().max().unwrap_or(0))
     }
 
-    /// Whether it has tasks that run until it is cancelled.
+    /// Whether it has tasks that run until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.record.spec.steps.iter().any(|step| step.long_running)
     }
@@ -282,15 +286,15 @@
         self.steps.iter().all(|step| step.unfinished == 0)
     }
 
-    /// Whether no task is to be started any more.
+    /// Whether no task is to be started any more: the job is cancelled or has a final state.
     pub fn is_over(&self) -> bool {
         self.cancelled || self.state.is_final()
     }
 
-    /// What is kept of the job's course now.
+    /// Returns the progress to record in the store.
     pub fn progress(&self) -> JobProgress {
         let untouched = TaskProgress::default();
-        // Of a job that is over only the state matters.
+        // Only the state of a finished job matters.
         let omit_tasks =
             self.state.is_final() || self.tasks.iter().all(|task| task.progress == untouched);
         let tasks = match omit_tasks {
@@ -309,7 +313,8 @@
         }
     }
 
-    /// Where its tasks run, or ran last, as far as that is kept; nothing once the job is over.
+    /// Returns where its long-running tasks run, or last ran; nothing once the job has a final
+    /// state.
     fn locations(&self) -> Vec<TaskPlace> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
         let location = |(number, task): (usize, &ActiveTask)| {
@@ -319,12 +324,12 @@
         tasks.filter_map(location).collect()
     }
 
-    /// Whether workers were lost under one of its tasks, or may have been.
+    /// Whether a task has lost a worker that crashed or may have crashed.
     pub fn has_suspects(&self) -> bool {
         self.tasks.iter().any(|task| !task.suspicion.is_clear())
     }
 
-    /// Whether a task waits that wants a worker of its own, now or once more is known.
+    /// Whether a task that must run alone, or may have to, is waiting.
     pub fn wants_alone(&self) -> bool {
         self.tasks.iter().any(|task| {
             let stage = task.suspicion.stage();
@@ -333,7 +338,8 @@
         })
     }
 
-    /// A list of what is known of each task under which workers were lost; nothing once the job is over.
+    /// Returns one list of each task's crash history, where it is not empty; nothing once the job
+    /// has a final state.
     fn history_lists<T: Clone>(
         &self,
         list: impl Fn(&TaskSuspicion) -> &Vec<T>,
@@ -343,20 +349,21 @@
         histories.map(|(index, task)| (index as u32, list(&task.suspicion).clone())).collect()
     }
 
-    /// What is kept of the tasks under which workers were lost; nothing once the job is over.
+    /// Returns the crash histories of its tasks; nothing once the job has a final state.
     fn suspects(&self) -> Vec<(u32, TaskSuspicion)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
         let suspects = tasks.filter(|(_, task)| !task.suspicion.is_clear());
         suspects.map(|(index, task)| (index as u32, task.suspicion.clone())).collect()
     }
 
-    /// What was accepted is dropped once the job is over, and whose it is would go with it.
+    /// Returns the organisation once the job has a final state, as the accepted record, which names
+    /// it, is dropped then.
     fn finished_owner(&self) -> Option<OrganisationName> {
         let owner = self.record.owner.as_ref().filter(|_| self.state.is_final());
         owner.map(|owner| owner.organisation.clone())
     }
 
-    /// All tasks, step after step, with their ids.
+    /// All tasks in the order of their steps, with their ids.
     pub fn all_tasks(&self) -> impl Iterator<Item = (CellTask, &ActiveTask)> {
         let steps = self.steps.iter().enumerate();
         steps.flat_map(|(number, step)| {
@@ -365,7 +372,7 @@
         })
     }
 
-    /// Runs that are placed, with their workers.
+    /// Returns the runs that are placed, with their workers.
     pub fn placed(&self) -> Vec<(CellTask, WorkerKey, RunNumber)> {
         let placed = |(id, task): (CellTask, &ActiveTask)| match task.phase {
             TaskPhase::Placed(worker, run) => Some((id, worker, run)),
