--- a/crates/sedgehill-cell/src/scheduler/advice.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice.rs
@@ -1,4 +1,4 @@
-//! Who may run a step: what the advice service said.
+//! The advice service's answers for a step: which workers may run it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,74 +7,77 @@
 
 use super::message::{HelperId, WorkerKey};
 
-/// Answers that leave too few workers for a step are doubted after so long, and after twice as long each further time ...
+/// When too few workers may run a step, rejected workers are asked about again after this time, and
+/// after twice the time with each further repetition, up to [`MAX_RECHECK_DOUBLINGS`].
 const RECHECK_DELAY: TimeSpan = TimeSpan(500);
-/// ... up to so many doublings: a step that truly has too few costs a question each 16 s.
+/// With 5 doublings, a step that really has too few workers costs one question every 16 s.
 const MAX_RECHECK_DOUBLINGS: u32 = 5;
 
-/// A ticket for one worker.
+/// Permission to run a step on one worker.
 #[derive(Debug, Clone)]
 pub struct StepTicket {
-    /// What a start brings.
+    /// The text that a start order carries.
     pub text: Arc<str>,
-    /// When it ends at the latest.
+    /// When the ticket expires at the latest.
     pub until: Moment,
 }
 
-/// A question under way.
+/// A question in flight.
 #[derive(Debug)]
 pub struct InFlightQuestion {
     /// The box that asks.
     pub helper: HelperId,
     /// The workers that it names.
     pub workers: Vec<WorkerKey>,
-    /// The answer is overdue: the same may be asked by way of another box.
+    /// The answer is overdue, so the question may be asked again through another box.
     pub overdue: bool,
 }
 
-/// What is known of one step. Which workers are good never changes; tickets end.
+/// What is known of one step. Whether a worker may run it never changes, but tickets expire.
 #[derive(Debug, Default)]
 pub struct StepAdvice {
-    /// Workers that were asked about, with the ticket of those that may run the step.
+    /// Workers that were asked about, with the tickets of those that may run the step.
     pub known: HashMap<WorkerKey, Option<StepTicket>>,
-    /// Questions under way.
+    /// Questions in flight.
     pub in_flight: Vec<InFlightQuestion>,
-    /// No question before then.
+    /// No question is asked before this moment.
     pub retry_at: Moment,
-    /// When the last question was sent.
+    /// When the last question was sent; none if there was none.
     pub last_asked_at: Option<Moment>,
-    /// How often it was doubted that the others are not good, and when it may be the next time.
+    /// How often rejected workers have been asked about again.
     pub rechecks: u32,
-    /// See above.
+    /// When they may be asked about again; 0 until too few workers are found for the first time.
     pub recheck_at: Moment,
 }
 
 impl StepAdvice {
-    /// The ticket for a worker, if it is valid for at least `margin`.
+    /// Returns the ticket for a worker if it is valid for at least `margin`.
     pub fn ticket(&self, key: WorkerKey, now: Moment, margin: TimeSpan) -> Option<&StepTicket> {
         let ticket = self.known.get(&key)?.as_ref()?;
         (ticket.until > now.after(margin)).then_some(ticket)
     }
 
-    /// Whether a question under way names a worker, and its answer can be expected.
+    /// Whether a question in flight that is not overdue names the worker.
     pub fn is_asked(&self, key: WorkerKey) -> bool {
         self.in_flight.iter().any(|question| !question.overdue && question.workers.contains(&key))
     }
 
-    /// Questions under way whose answers can be expected.
+    /// The number of questions in flight that are not overdue.
     pub fn expected_answers(&self) -> usize {
         self.in_flight.iter().filter(|question| !question.overdue).count()
     }
 
-    /// The answer to the question of a box is overdue.
+    /// Marks the question of a box as overdue.
     pub fn mark_overdue(&mut self, helper: HelperId) {
         let questions = self.in_flight.iter_mut().filter(|question| question.helper == helper);
         questions.for_each(|question| question.overdue = true);
     }
 
-    /// Nobody may run the step, or too few, by what was answered. That does not change, so an answer may have been wrong:
-    /// those that are not good are asked about again, the first time soon, and ever more rarely, since a step may
-    /// truly have too few. A step for which a service that was not itself named nobody once stood to the end.
+    /// Forgets which workers were rejected, at growing intervals, so that they are asked about
+    /// again. Called when too few workers may run the step by the answers so far. Which workers may
+    /// run it does not change, so such an answer may have been wrong: without rechecks, a step
+    /// stalled for good because the service, in a fault, had named no worker. The intervals grow
+    /// because a step may really have too few workers.
     pub fn recheck_rejected(&mut self, now: Moment) {
         if now < self.recheck_at {
             return;
@@ -93,7 +96,7 @@
         question.map(|question| question.workers.clone()).unwrap_or_default()
     }
 
-    /// The question of a box is not under way any more.
+    /// Removes the question of a box, which is no longer in flight.
     pub fn remove_question(&mut self, helper: HelperId) {
         self.in_flight.retain(|question| question.helper != helper);
     }
@@ -109,16 +112,16 @@
     }
 }
 
-/// What share of the workers is good for the steps of a queue, learned from answers.
+/// The share of workers that may run the steps of a queue, learned from answers.
 #[derive(Debug, Clone, Copy)]
 pub struct AllowedShare {
     allowed: f64,
     named: f64,
 }
 
-/// Weight of the guess before any answer, in workers.
+/// Weight of the initial share, in workers.
 const INITIAL_WEIGHT: f64 = 20.0;
-/// The guess before any answer.
+/// The share that is assumed before any answer.
 const INITIAL_SHARE: f64 = 0.5;
 
 impl Default for AllowedShare {
@@ -128,12 +131,12 @@
 }
 
 impl AllowedShare {
-    /// The share, between 0 and 1.
+    /// Returns the share, between 0 and 1.
     pub fn share(&self) -> f64 {
         self.allowed / self.named
     }
 
-    /// Learns from an answer.
+    /// Adds an answer by which `allowed` of `named` workers may run a step.
     pub fn learn(&mut self, allowed: usize, named: usize) {
         self.allowed += allowed as f64;
         self.named += named as f64;
