--- a/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
@@ -1,12 +1,13 @@
-//! Which box asks the advice service next.
+//! Distributes the lead's questions to the advice service over boxes.
 //!
-//! The service answers one question at a time for each box that asks, and a question takes long for
-//! some queues. The lead therefore spreads its questions over all boxes, keeps the order of the
-//! questions itself, and keeps some boxes free of long questions so that short ones never wait.
+//! The service answers one question at a time for each box that asks, and questions about some
+//! queues take long. The lead therefore spreads its questions over all boxes, keeps their order
+//! itself, and keeps some boxes free of long questions so that short ones never wait behind them.
 //!
-//! A box that cannot reach the service fails each question at once and is free again: it drew every question of a step
-//! to itself, 125 of 126. One that never answers held a step up for as long as questions went there. So boxes are known
-//! by what their questions did: those that fail rest and come last, and what is overdue is asked elsewhere.
+//! A box that cannot reach the service fails each question at once and is free again: without a
+//! backoff, one such box received 125 of the 126 questions about a step. A box that never gets an
+//! answer delays a step for as long as questions go to it. Boxes whose questions fail therefore
+//! back off and are chosen last, and an overdue question is asked again through another box.
 
 use std::collections::BTreeMap;
 
@@ -16,33 +17,37 @@
 use crate::ids::StepId;
 use crate::patience::RepeatBudget;
 
-/// Questions that take at least this long go only to some boxes.
+/// Questions that cost at least this much are long, and go only to some boxes.
 const LONG_QUESTION_COST: TimeSpan = TimeSpan(200);
 /// One box in this many is kept free of long questions.
 const SHORT_ONLY_ONE_IN: usize = 3;
-/// Of those, one in this many, but one at least, asks long questions about steps that were not asked about for long.
+/// Of the boxes that are kept free of long questions, one in this many, and at least one, takes
+/// long questions that are urgent.
 const LONG_ON_SHORT_ONLY_ONE_IN: usize = 2;
-/// Short questions under way for one box: the second travels while the first is answered.
+/// Short questions in flight for one box: the second travels while the first is answered.
 const MAX_SHORT_QUESTIONS: usize = 2;
-/// A question is overdue after this many hundredths of what it and those before it cost ...
+/// A question is overdue after this percentage of its cost and that of the questions before it,
+/// plus [`OVERDUE_SLACK`].
 const OVERDUE_PERCENT: u64 = 150;
-/// ... and this time: a box that stands still for a moment, and the way there and back.
+/// Allows for a box that pauses for a moment, and for the round trip.
 const OVERDUE_SLACK: TimeSpan = TimeSpan(300);
-/// A question without an answer is given up after this many times its cost ...
+/// A question without an answer is given up after this many times its cost, plus [`TIMEOUT_SLACK`].
 const TIMEOUT_FACTOR: u64 = 3;
-/// ... and this time. Its answer is used all the same.
+/// Added to the timeout of a question. An answer that arrives later is still used.
 const TIMEOUT_SLACK: TimeSpan = TimeSpan(1_500);
-/// A box whose question failed asks nothing for so long, and twice as long with each further failure ...
+/// Backoff of a box after a failed question. It doubles with each further failure, up to
+/// [`MAX_HELPER_BACKOFF`].
 const MIN_HELPER_BACKOFF: TimeSpan = TimeSpan(250);
-/// ... up to this: the service may be well again at any time, and no other box may be left.
+/// Kept short, since the service may recover at any time and there may be no other box.
 const MAX_HELPER_BACKOFF: TimeSpan = TimeSpan(2_000);
 
-/// For what kind of step a box is wanted.
+/// How urgently a question has to be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuestionUrgency {
-    /// Any.
+    /// Waits for a box that is free for questions of its cost.
     Normal,
-    /// One that is asked about before all others: it was not asked about for long, or lost its run.
+    /// May use boxes that are kept free of long questions: the step has long waited for a box to
+    /// ask, or its long-running tasks lost their run.
     Urgent,
 }
 
@@ -60,25 +65,25 @@
         self.cost >= LONG_QUESTION_COST
     }
 
-    /// Whether it is given up.
+    /// Whether the question is given up.
     fn is_timed_out(&self, now: Moment) -> bool {
         let timeout = TimeSpan(self.cost.0 * TIMEOUT_FACTOR + TIMEOUT_SLACK.0);
         now >= self.sent.after(timeout)
     }
 }
 
-/// A box that asks.
+/// The questions of one box and how its last ones went.
 #[derive(Debug, Default)]
 struct AdviceHelper {
     in_flight: Vec<PendingQuestion>,
     /// Questions in a row without an answer.
     failures: u32,
-    /// It asks nothing before then.
+    /// The box asks nothing before this moment.
     backoff_until: Moment,
 }
 
 impl AdviceHelper {
-    /// Whether it can take a question now. Behind one that is overdue a further one would wait.
+    /// Whether the box can take a question now. A question behind an overdue one would wait too.
     fn can_ask(&self, now: Moment) -> bool {
         now >= self.backoff_until && !self.in_flight.iter().any(|question| question.overdue)
     }
@@ -100,12 +105,13 @@
 pub struct AdviceDispatcher {
     helpers: BTreeMap<HelperId, AdviceHelper>,
     keep_short_only: bool,
-    /// How many questions may be asked a second time while the first is overdue.
+    /// Limits how many overdue questions are asked again.
     repeats: RepeatBudget,
 }
 
 impl AdviceDispatcher {
-    /// A desk without boxes. `keeps_short` says whether some of them are kept free of long questions.
+    /// Creates a dispatcher without boxes. `keep_short_only` tells whether some boxes are kept free
+    /// of long questions.
     pub fn new(keep_short_only: bool) -> AdviceDispatcher {
         AdviceDispatcher {
             helpers: BTreeMap::new(),
@@ -114,19 +120,20 @@
         }
     }
 
-    /// A box can ask from now on.
+    /// Notes that a box can ask questions.
     pub fn add_helper(&mut self, helper: HelperId) {
         self.helpers.entry(helper).or_default();
     }
 
-    /// A box cannot ask any more. Returns the steps that it was asking about.
+    /// Notes that a box can no longer ask questions. Returns the steps that it was asking about.
     pub fn remove_helper(&mut self, helper: HelperId) -> Vec<StepId> {
         let in_flight = self.helpers.remove(&helper).unwrap_or_default().in_flight;
         in_flight.into_iter().map(|question| question.step).collect()
     }
 
-    /// The box that should ask a question of this cost now, if one is free for it. Those whose last question failed
-    /// come after all others. For a pressing step, some of the boxes that are kept for short questions ask as well.
+    /// Returns the box that should ask a question of this cost now, if one is free for it. Boxes
+    /// whose last questions failed are chosen last. An urgent long question may also go to some of
+    /// the boxes that are kept for short questions.
     pub fn free_helper(
         &self,
         cost: TimeSpan,
@@ -144,7 +151,7 @@
         }
     }
 
-    /// How many boxes are kept for short questions.
+    /// The number of boxes that are kept for short questions.
     fn short_only_count(&self) -> usize {
         let count = self.helpers.len();
         match count {
@@ -154,7 +161,8 @@
         }
     }
 
-    /// One of the boxes that are kept for short questions, as long as enough of them stay free for those.
+    /// Returns a free box among those kept for short questions, unless too many of them ask long
+    /// questions already.
     fn free_short_only(&self, now: Moment) -> Option<HelperId> {
         let short_only = || self.helpers.iter().take(self.short_only_count());
         let asks_long = |state: &AdviceHelper| state.in_flight.iter().any(PendingQuestion::is_long);
@@ -170,7 +178,7 @@
     fn free_for_long(&self, now: Moment) -> Option<HelperId> {
         let short_only = self.short_only_count();
         let can_ask = |(_, state): &(&HelperId, &AdviceHelper)| state.can_ask(now);
-        // Where none of the others can ask, those that are kept for short questions do.
+        // If none of the other boxes can ask, those kept for short questions take long ones.
         let skipped = match self.helpers.iter().skip(short_only).any(|entry| can_ask(&entry)) {
             true => short_only,
             false => 0,
@@ -193,7 +201,7 @@
             .map(|(helper, _)| *helper)
     }
 
-    /// Notes that a box asks.
+    /// Notes that a box asks a question.
     pub fn begin(&mut self, helper: HelperId, step: StepId, cost: TimeSpan, now: Moment) {
         let state = self.helpers.entry(helper).or_default();
         let total_ms = state.queued_ms() + cost.0;
@@ -202,7 +210,8 @@
         self.repeats.note_first();
     }
 
-    /// Notes that a question was answered, or failed. Returns when it was asked; none if it was given up.
+    /// Notes that a question was answered or failed. Returns when it was asked; none if it had been
+    /// given up.
     pub fn finish(
         &mut self,
         helper: HelperId,
@@ -223,7 +232,8 @@
         Some(sent)
     }
 
-    /// Finds questions that have become overdue and may be asked elsewhere. Returns who asked, and about which step.
+    /// Marks questions that have become overdue and may be asked again. Returns the box that asked
+    /// and the step of each.
     pub fn find_overdue(&mut self, now: Moment) -> Vec<(HelperId, StepId)> {
         let mut overdue = Vec::new();
         for (helper, state) in &mut self.helpers {
@@ -237,7 +247,7 @@
         overdue
     }
 
-    /// Removes questions that were not answered in time. Returns who asked, and about which step.
+    /// Removes questions that have timed out. Returns the box that asked and the step of each.
     pub fn expire(&mut self, now: Moment) -> Vec<(HelperId, StepId)> {
         let mut expired = Vec::new();
         for (helper, state) in &mut self.helpers {
