--- a/crates/sedgehill-cell/src/scheduler/answers.rs
+++ b/crates/sedgehill-cell/src/scheduler/answers.rs
@@ -1,4 +1,5 @@
-//! What workers answer to starts and stops, and what refusals and silence say about them.
+//! Processes workers' answers to starts and stops, and what refusals and silence say about a
+//! worker.
 
 use sedgehill_core::units::Moment;
 
@@ -16,7 +17,8 @@
             return;
         }
         if worker.silent_calls == 0 {
-            // Further calls to a worker that is out of touch tell nothing about the others.
+            // Only the first unanswered call counts: further calls to an unreachable worker say
+            // nothing about the others.
             self.call_losses.note(false);
         }
         worker.silent_calls += 1;
@@ -34,7 +36,7 @@
         refusal: WorkerRefusal,
         now: Moment,
     ) {
-        // A later life refuses the token of an earlier one as well.
+        // A later life also refuses the token of an earlier one.
         if self.workers[key.0].is_over() {
             return;
         }
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Takes in what came of a start.
+    /// Processes the result of a start order.
     pub fn start_answered(
         &mut self,
         order: &StartOrder,
@@ -106,7 +108,7 @@
         self.note_started(task.step.job, now);
     }
 
-    /// A start was surely not done: the task is free again.
+    /// Returns a task whose start was certainly not carried out to the waiting tasks.
     fn withdraw_start(
         &mut self,
         key: WorkerKey,
@@ -129,7 +131,8 @@
         self.finish_if_over(task.step.job, now);
     }
 
-    /// A gang that cannot become whole is stopped, so that it holds no room in vain.
+    /// Stops the other members of a gang that cannot be complete, so that they do not occupy room
+    /// in vain.
     pub(super) fn abort_gang(&mut self, task: &CellTask, run: RunNumber, now: Moment) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(step) = job.step_index(&task.step) else { return };
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Takes in what came of a stop.
+    /// Processes the result of a stop order.
     pub fn stop_answered(
         &mut self,
         order: &StopOrder,
@@ -162,8 +165,8 @@
                     runs.get_mut(&order.task).filter(|entry| entry.run == order.run)
                 {
                     entry.phase = RunPhase::Stopped;
-                    // From here on the worker refuses the run if it has not begun, and lists it
-                    // until its end if it has.
+                    // From now on the worker refuses the run if it has not started, and otherwise
+                    // lists it until it ends.
                     entry.listed_from = Some(now);
                 }
             }
