--- a/crates/sedgehill-cell/src/scheduler/background_crashes.rs
+++ b/crates/sedgehill-cell/src/scheduler/background_crashes.rs
@@ -1,9 +1,10 @@
-//! How often workers crash by themselves.
+//! Measures how often workers crash without a known cause.
 //!
-//! A task that runs alone on a worker may be there when that crashes for another reason. Where that is rare, one crash
-//! of a worker that a suspect had for itself is enough to take it as the cause. Where workers crash often, two are
-//! asked for: with a worker in 48 that crashed by itself each 1.5 s, and one job in a hundred that crashed its workers,
-//! one of 3,564 innocent jobs was given up by one such crash, and none by two.
+//! A task that runs alone on a worker may be there when the worker crashes for another reason.
+//! Where that is rare, one crash of a worker on which a suspect ran alone is enough to consider the
+//! task the cause. Where workers crash often, two are required: with one of 48 workers crashing by
+//! itself each 1.5 s, and one job in a hundred that crashed its workers, requiring one such crash
+//! gave up one of 3,564 innocent jobs, and requiring two gave up none.
 
 use std::collections::VecDeque;
 
@@ -11,32 +12,35 @@
 
 use crate::ids::WorkerLife;
 
-/// Crashes count for so long.
+/// How long a crash counts.
 const CRASH_WINDOW: TimeSpan = TimeSpan(60_000);
-/// The chance that a worker crashes by itself under one run, above which two crashes are asked for, in thousandths.
+/// Two crashes are required above this chance, in thousandths, that a worker crashes by itself
+/// during one run.
 const CHANCE_PERMILLE: u64 = 2;
-/// A run is taken to last so long at the least: its start and the time until its end is heard belong to it.
+/// The least duration assumed for a run, including its start and the time until its end is heard.
 const MIN_RUN_SPAN: TimeSpan = TimeSpan(500);
 
-/// Workers that crashed lately, but for those with a task on which another one had crashed as well.
+/// Recent worker crashes, without those under a task that had lost another worker as well.
 #[derive(Debug, Default)]
 pub struct BackgroundCrashes {
     crashes: VecDeque<(Moment, WorkerLife)>,
 }
 
 impl BackgroundCrashes {
-    /// A worker crashed.
+    /// Adds a crash.
     pub fn note(&mut self, life: WorkerLife, now: Moment) {
         self.crashes.retain(|(at, other)| now < at.after(CRASH_WINDOW) && *other != life);
         self.crashes.push_back((now, life));
     }
 
-    /// A worker crashed under a task that had lost another one: most likely by its doing.
+    /// Removes a crash under a task that had lost another worker, as the task most likely caused
+    /// it.
     pub fn remove_explained(&mut self, life: &WorkerLife) {
         self.crashes.retain(|(_, other)| other != life);
     }
 
-    /// How many crashes with a task alone tell that it is the cause, where `workers` live.
+    /// Returns how many crashes while the task ran alone are required to consider it the cause,
+    /// with `workers` alive.
     pub fn required_alone_crashes(&self, workers: usize, run: TimeSpan, now: Moment) -> usize {
         let recent =
             self.crashes.iter().filter(|(at, _)| now < at.after(CRASH_WINDOW)).count() as u64;
