--- a/crates/sedgehill-cell/src/scheduler/diagnostics.rs
+++ b/crates/sedgehill-cell/src/scheduler/diagnostics.rs
@@ -1,27 +1,27 @@
-//! What tells from outside why a lead decided as it did. Nothing here decides.
+//! Events and status that show why a lead decided as it did. Nothing here affects decisions.
 
 use sedgehill_core::units::Moment;
 
 use super::*;
 
-/// Names of workers in one line.
+/// The most workers that one log line names.
 const MAX_LISTED_WORKERS: usize = 5;
 
-/// What a new lead goes by, once it has caught up.
+/// What a new lead has to wait for, known once it has read all records of earlier leads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeOverStatus {
     /// Whether an earlier lead may give orders until its term ends.
     pub waits_for_term: bool,
-    /// When whatever earlier leads may have ordered has surely ended.
+    /// When everything that earlier leads may have started must have ended.
     pub settled_by: Moment,
-    /// Jobs that are not over.
+    /// The number of jobs that are not over.
     pub jobs: usize,
-    /// Those of which an earlier lead may have started tasks.
+    /// The number of jobs of which an earlier lead may have started tasks.
     pub earlier_jobs: usize,
 }
 
 impl Scheduler {
-    /// What this lead goes by until it has settled what earlier leads did.
+    /// Returns what this lead waits for until the take-over is settled.
     pub fn take_over_status(&self) -> TakeOverStatus {
         TakeOverStatus {
             waits_for_term: self.take_over.predecessor,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The take-over is about to be settled.
+    /// Reports that the take-over is about to be settled.
     pub(super) fn report_settled(&mut self, now: Moment) {
         let inherited = || self.workers.iter().filter(|worker| worker.inherited);
         let unheard = || inherited().filter(|worker| !worker.dead && !worker.fenced);
@@ -55,7 +55,8 @@
         self.events.push(CellEvent::TakeOverSettled(settled));
     }
 
-    /// What settled the orders of earlier leads for a job that one of them may have begun.
+    /// Returns what settled the orders of earlier leads, for a job that one of them may have
+    /// started.
     pub(super) fn settlement_of(&self, job: &ActiveJob) -> Option<SettlementCause> {
         if !job.started_by_earlier_lead {
             return None;
@@ -63,13 +64,14 @@
         Some(self.take_over.settled_by.unwrap_or(SettlementCause::Nothing))
     }
 
-    /// A job with a mark became known after this lead had caught up.
+    /// Reports a job with the start flag that appeared after this lead had read all earlier
+    /// records.
     pub(super) fn report_led_elsewhere(&mut self, id: JobId, now: Moment) {
         let after = now.since(self.take_over.since);
         self.events.push(CellEvent::JobLedElsewhere { job: id, after });
     }
 
-    /// A worker answered, maybe for the first time or after a silence.
+    /// Reports that a worker answered for the first time, or again after a silence.
     pub(super) fn report_contact(&mut self, key: WorkerKey, report: &HoldReport, now: Moment) {
         let worker = &self.workers[key.0];
         if worker.fenced && worker.silent_calls > 0 {
@@ -85,18 +87,18 @@
                 after: now.since(self.take_over.since),
             };
             self.events.push(event);
-            // It gets work once it stands there.
+            // It gets work once it is in the roster.
             self.roster_changed |= !worker.in_roster;
         }
     }
 
-    /// A run of an earlier lead is taken over.
+    /// Reports that a run of an earlier lead was taken over.
     pub(super) fn report_adopted(&mut self, key: WorkerKey, row: &RunningRow) {
         let worker = self.workers[key.0].entry.life.clone();
         self.events.push(CellEvent::RunAdopted { task: row.task, run: row.run, worker });
     }
 
-    /// A run is listed that is not wanted.
+    /// Reports that a worker listed a run that is not wanted.
     pub(super) fn report_unwanted(&mut self, key: WorkerKey, row: &RunningRow, now: Moment) {
         let worker = self.workers[key.0].entry.life.clone();
         let known_state = self.known_state_of(&row.task, now);
@@ -119,13 +121,13 @@
                 let answered = other.last_answer_at.map(|at| now.since(at));
                 KnownTaskState::Placed { run, worker: other.entry.life.clone(), answered }
             }
-            // It waits and could be taken over, but for its job.
+            // A waiting task of a job that goes on would have taken the run over.
             TaskPhase::Waiting(_) if job.cancelled => KnownTaskState::JobOver(JobState::Cancelled),
             TaskPhase::Waiting(_) => KnownTaskState::JobOver(job.state),
         }
     }
 
-    /// A life has ended, by the answer of another one.
+    /// Reports that a life is considered ended, since another one answered.
     pub(super) fn report_worker_ended(&mut self, key: WorkerKey, call: WorkerCall, now: Moment) {
         let worker = &self.workers[key.0];
         let event = CellEvent::WorkerEnded {
@@ -138,7 +140,7 @@
         self.events.push(event);
     }
 
-    /// A worker says that a later lead exists; the first one is told of.
+    /// Reports the first worker that refused this lead because of a later one.
     pub(super) fn report_fenced_out(&mut self, key: WorkerKey, call: WorkerCall) {
         if !self.fenced_out {
             let worker = self.workers[key.0].entry.life.clone();
@@ -146,7 +148,7 @@
         }
     }
 
-    /// A worker's standing changed.
+    /// Reports a change of a worker's state.
     pub(super) fn report_worker_change(&mut self, key: WorkerKey, change: &'static str) {
         let entry = &self.workers[key.0].entry;
         let (worker, address) = (entry.life.clone(), entry.address);
