--- a/crates/sedgehill-cell/src/scheduler/displacement.rs
+++ b/crates/sedgehill-cell/src/scheduler/displacement.rs
@@ -1,8 +1,8 @@
 //! Makes room for urgent work by stopping less urgent work that saves its state.
 //!
-//! A step that only few workers may run finds all of them full most of the time, while less urgent work
-//! there could run later, or elsewhere, and still end in time. What is stopped goes on from its saved
-//! state. The room that comes free is claimed for the step, since others would take it.
+//! A step that only few workers may run usually finds all of them full, while less urgent work
+//! there could run later or elsewhere and still meet its objective. Stopped work resumes from its
+//! saved state. The freed room is reserved for the step, since other steps would take it.
 
 use std::cmp::Reverse;
 
@@ -15,36 +15,37 @@
 use crate::ids::StepId;
 use crate::job::StepSpec;
 
-/// A job is displaced only if it could begin again so much later and still meet its objective: it needs a
-/// new ticket and room, and takes up its saved state.
+/// A job is displaced only if it could restart this much later and still meet its objective: it
+/// needs a new ticket and room, and has to restore its saved state.
 const MIN_DISPLACED_SLACK: TimeSpan = TimeSpan(3_000);
-/// How long room is kept free beyond the time that a stop may take: an end is heard some 20 ms after it,
-/// and up to 100 ms later where calls are lost.
+/// How much longer than a stop may take the room stays reserved: the end of a run is heard some 20
+/// ms after it, and up to 100 ms later where calls are lost.
 const RESERVATION_MARGIN: TimeSpan = TimeSpan(300);
 
-/// Room on a worker that is kept for a step.
+/// Room on a worker that is reserved for a step.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerReservation {
     /// The step.
     pub step: StepId,
-    /// How much.
+    /// The room.
     pub need: ResourceSet,
-    /// Until when.
+    /// When the reservation expires.
     pub until: Moment,
-    /// It is for a task that runs with nothing of another job beside it.
+    /// It is for a task that must run alone.
     pub alone: bool,
 }
 
-/// Runs whose end makes room for a task.
+/// Runs to stop on a worker to make room for a task.
 struct Displacement {
     worker: WorkerKey,
     runs: Vec<(CellTask, RunNumber)>,
-    /// What they use, as a measure of what is disturbed.
+    /// The resources they use, weighted, as a measure of the disturbance.
     weight: u64,
 }
 
 impl WorkerState {
-    /// Those of the runs that may be stopped whose end makes room for a task, with what they use; few and large ones.
+    /// Chooses runs to stop, among those that may be stopped, so that a task fits. Prefers few and
+    /// large ones. Returns none if the task would not fit.
     pub(super) fn runs_to_stop(
         &self,
         wanted: &ResourceSet,
@@ -56,7 +57,7 @@
             .filter(|(task, run)| may_stop(task, run))
             .filter_map(|(task, run)| Some((*task, run.run, run.need?)))
             .collect();
-        // The largest first: few stops disturb less than many.
+        // The largest first, since fewer stops disturb less.
         runs.sort_by_key(|(task, _, need)| (Reverse((need.accelerators, need.cores)), *task));
         let mut free = self.free;
         let mut chosen = Vec::new();
@@ -70,7 +71,7 @@
         if !free.fits(wanted) {
             return None;
         }
-        // What turned out not to be needed goes on.
+        // Keep runs that turned out not to be needed.
         chosen.retain(|(_, _, need)| match free.minus(need) {
             Some(rest) if rest.fits(wanted) => {
                 free = rest;
@@ -83,8 +84,8 @@
 }
 
 impl Scheduler {
-    /// Stops less urgent runs for the tasks of a step that found no room though workers with tickets
-    /// could run them. `left` tasks still wait.
+    /// Stops less urgent runs for the tasks of a step that found no room although workers with
+    /// tickets could run them. `left` tasks still wait.
     pub(super) fn displace_for(
         &mut self,
         candidate: &Candidate,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The worker on which the least has to be stopped for one task of a step.
+    /// Returns the runs to stop for one task of a step that disturb the least.
     fn find_displacement(
         &self,
         candidate: &Candidate,
@@ -132,7 +133,7 @@
             .min_by_key(|found| (found.weight, found.worker))
     }
 
-    /// Whether a task of the step would find room on a worker if less urgent work was stopped there.
+    /// Whether a task of the step would fit on a worker if less urgent runs were stopped there.
     pub(super) fn could_displace_on(
         &self,
         key: WorkerKey,
@@ -187,7 +188,7 @@
     }
 }
 
-/// An accelerator counts as much as eight cores, by which the users price them.
+/// An accelerator counts as much as eight cores, which is the ratio of their prices.
 const ACCELERATOR_CORES: u64 = 8;
 
 fn weight_of(need: &ResourceSet) -> u64 {
