--- a/crates/sedgehill-cell/src/scheduler/ends.rs
+++ b/crates/sedgehill-cell/src/scheduler/ends.rs
@@ -1,11 +1,11 @@
-//! Ends of runs, and what they mean for their jobs.
+//! Processes the ends of runs, and their effect on jobs.
 
 use sedgehill_core::units::Moment;
 
 use super::*;
 
 impl Scheduler {
-    /// Takes in an end. Returns whether it changed what is kept of its job.
+    /// Processes a run end. Returns whether it has to be recorded, since its job is known.
     pub(super) fn take_end(&mut self, key: WorkerKey, row: &EndRow, now: Moment) -> bool {
         let worker = &self.workers[key.0];
         let life = worker.entry.life.clone();
@@ -79,7 +79,7 @@
         if let TaskPhase::Placed(worker, run) = phase
             && !gang
         {
-            // Another run of a task that is done; a gang's members end by themselves.
+            // This is another run of a task that is done. The members of a gang end by themselves.
             self.stop_run(worker, *task, run, "done elsewhere", now);
         }
     }
@@ -93,7 +93,7 @@
         };
         let spec = job.step_spec(step);
         let (gang, long_running) = (spec.gang, spec.long_running);
-        // A failed run of a gang counts once, at its first task.
+        // A failed run of a gang counts once, at the gang's first task.
         let counted = match gang {
             true => job.steps[step].first_task,
             false => index,
