--- a/crates/sedgehill-cell/src/scheduler/event.rs
+++ b/crates/sedgehill-cell/src/scheduler/event.rs
@@ -1,4 +1,4 @@
-//! Decisions of the scheduler, with what decided them.
+//! Events that the scheduler reports for logs and metrics, with the reasons for its decisions.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::organisation::ResourceLimit;
 use crate::progress::JobState;
 
-/// A decision worth a log line.
+/// An event that is logged and counted.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CellEvent {
     /// A start was ordered.
@@ -23,15 +23,16 @@
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// Since the job was accepted.
+        /// Time since the job was accepted.
         waited: TimeSpan,
-        /// Time left on the ticket.
+        /// Time left on the ticket; none without a ticket.
         ticket_left: Option<TimeSpan>,
-        /// What settled the orders of earlier leads, if one of them may have begun the job.
+        /// What settled the orders of earlier leads, if one of them may have started the job.
         earlier: Option<SettlementCause>,
-        /// How long a long-running task has had no run; none for any other, and for its first one.
+        /// How long the long-running task has had no run; none for its first run and for other
+        /// tasks.
         without_run: Option<TimeSpan>,
     },
     /// A start was refused or went unanswered.
@@ -40,9 +41,9 @@
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// Why; none if there was no answer.
+        /// The worker's reason; none if there was no answer.
         refusal: Option<WorkerRefusal>,
     },
     /// A run ended.
@@ -51,9 +52,9 @@
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// How.
+        /// How it ended.
         end: RunEnd,
     },
     /// A stop was ordered.
@@ -62,272 +63,280 @@
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// Why.
+        /// Why it is stopped.
         reason: &'static str,
     },
-    /// A run is taken as gone.
+    /// A run is considered gone without a report of its end.
     RunLost {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// Why.
+        /// Why it is considered gone.
         cause: LossCause,
     },
-    /// A run was lost with a worker out of touch: it is open whether that crashed.
+    /// A run was lost with an unreachable worker, which may or may not have crashed.
     LossUnresolved {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
     },
-    /// A worker that was out of touch lives: its loss counts against none of its tasks.
+    /// An unreachable worker turned out to be alive, so the lost run does not count as a crash.
     LossCleared {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
     },
-    /// A worker crashed under a task.
+    /// A worker crashed while a task ran there.
     CrashCounted {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// The life that ended.
+        /// The life that crashed.
         worker: WorkerLife,
-        /// Nothing of another job was there.
+        /// No run of another job that could have caused the crash was on the worker.
         alone: bool,
-        /// The worker had said that the run was there.
+        /// The worker had reported the run.
         seen: bool,
-        /// Other runs that were there; 0 where that is not known any more.
+        /// Other runs on the worker; 0 if that is no longer known.
         other_runs: usize,
-        /// What told the crash.
+        /// How the crash was detected.
         detected_by: CrashDetection,
-        /// Workers that crashed under the task so far.
+        /// Crashes that now count for the task.
         count: usize,
     },
-    /// A worker crashed under a task together with others, so that it says nothing of the task.
+    /// A worker crashed at the same time as many others, so the crash is no evidence against the
+    /// task.
     CorrelatedCrash {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// The life that ended.
+        /// The life that crashed.
         worker: WorkerLife,
-        /// Workers that were lost at that moment with nothing of the task's job on them.
+        /// Other workers lost at that moment on which the task's job had no runs.
         others: usize,
     },
-    /// A worker crashed on which a start went unanswered, which most likely came to a worker that was down.
+    /// A worker crashed on which a start went unanswered. Most likely it was already down when the
+    /// start was sent.
     UnansweredStartLost {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// The life that ended.
+        /// The life that crashed.
         worker: WorkerLife,
-        /// Such losses of the task that are remembered.
+        /// Such losses that are remembered for the task.
         count: usize,
     },
-    /// A task is taken as the cause of crashes, and its job fails.
+    /// A task is considered the cause of crashes, and its job fails.
     TaskGivenUp {
         /// The task.
         task: CellTask,
-        /// The lives that ended under it.
+        /// The lives that crashed while the task ran there.
         workers: Vec<WorkerLife>,
     },
-    /// A run of an earlier lead is taken over.
+    /// This lead took over a run that an earlier lead started.
     RunAdopted {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
     },
-    /// A worker lists a run that this lead does not want; it is stopped.
+    /// A worker reports a run that this lead does not want, and the run is stopped.
     RunUnwanted {
         /// The task.
         task: CellTask,
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// What the lead takes as true of the task instead.
+        /// What this lead knows of the task.
         known_state: KnownTaskState,
     },
-    /// The advice service was asked.
+    /// A question was sent to the advice service.
     AdviceRequested {
         /// The step.
         step: StepId,
-        /// Workers named.
+        /// The number of workers that the question names.
         named: usize,
-        /// Who asks.
+        /// The box that asks.
         helper: HelperId,
     },
-    /// The advice service answered, or did not.
+    /// A question to the advice service was answered or failed.
     AdviceReceived {
         /// The step.
         step: StepId,
-        /// Who asked.
+        /// The box that asked.
         helper: HelperId,
-        /// Workers that may run the step; none without an answer.
+        /// The number of workers that may run the step; none without an answer.
         allowed: Option<usize>,
-        /// Since the question; none if it was given up before.
+        /// Time since the question was sent; none if it had been given up before.
         took: Option<TimeSpan>,
     },
-    /// The answer of the advice service takes far longer than the question costs: it may be asked elsewhere.
+    /// An answer of the advice service is overdue. The question may be asked again through another
+    /// box.
     AdviceOverdue {
         /// The step.
         step: StepId,
-        /// Who asked.
+        /// The box that asked.
         helper: HelperId,
     },
-    /// Tasks of a step could run but for the limit of their organisation.
+    /// The limit of an organisation is all that keeps tasks of a step from starting.
     LimitReached {
         /// The step.
         step: StepId,
-        /// Whose limit.
+        /// The organisation.
         organisation: OrganisationName,
-        /// What runs for it, or may.
+        /// The resources of its tasks that run, or may run.
         running: ResourceSet,
-        /// The most that may.
+        /// Its limit.
         limit: ResourceLimit,
-        /// What one more task needs.
+        /// The resources that one more task needs.
         need: ResourceSet,
     },
-    /// Nothing of a step runs, though its turn came long ago and there is room for it twice over.
+    /// No task of a step has run for a long time although it is due and there is twice the room
+    /// that it needs.
     Stalled {
         /// The step.
         step: StepId,
-        /// Where it was turned back last.
+        /// What prevented its last attempt.
         reason: StallReason,
-        /// For how long.
+        /// How long it has been stalled.
         stalled_for: TimeSpan,
-        /// What was believed then.
+        /// The scheduler's view of the step.
         details: StallDetails,
     },
-    /// A long-running task lost its run a while ago and does not run again yet.
+    /// A long-running task that lost its run is not running again in time.
     RestartLate {
         /// The task.
         task: CellTask,
-        /// What took its run.
+        /// How it lost its run.
         cause: RestartCause,
-        /// For how long it has had none.
+        /// How long it has had no run.
         without_run: TimeSpan,
-        /// The gate that turned it back last.
+        /// What prevented its last attempt.
         reason: StallReason,
-        /// Steps that were ranked before it then.
+        /// The number of steps that ranked before it in that attempt.
         ahead: usize,
-        /// What is believed of its step.
+        /// The scheduler's view of its step.
         details: StallDetails,
     },
     /// A job is over.
     JobEnded {
         /// The job.
         job: JobId,
-        /// How.
+        /// Its final state.
         state: JobState,
-        /// Since it was accepted.
+        /// Time since it was accepted.
         after: TimeSpan,
     },
-    /// A worker is new, or takes orders again, or does not.
+    /// The state of a worker changed: for instance it is new, silent, or answers again.
     WorkerChanged {
         /// The worker.
         worker: WorkerLife,
-        /// What changed.
+        /// What changed, as shown in logs.
         change: &'static str,
-        /// Where it takes orders.
+        /// The address that takes its orders.
         address: SocketAddr,
     },
-    /// A worker answered this lead for the first time, and so refuses every earlier one.
+    /// A worker reported to this lead for the first time, and from now on refuses every earlier
+    /// lead.
     WorkerHeard {
         /// The worker.
         worker: WorkerLife,
-        /// It stood in the roster of an earlier lead.
+        /// It was in the roster of an earlier lead.
         inherited: bool,
-        /// Runs that it listed as running.
+        /// Runs that it reported as running.
         running: usize,
-        /// Ends that it listed.
+        /// Run ends that it reported.
         ended: usize,
-        /// Its clock.
+        /// The reading of its clock.
         clock: WorkerTime,
-        /// When the longest lease that an earlier lead may have asked for ends.
+        /// The end of the longest lease that an earlier lead may have asked for, by the worker's
+        /// clock.
         lease_until: WorkerTime,
-        /// Since the store refuses earlier leads.
+        /// Time since the store began to refuse earlier leads.
         after: TimeSpan,
     },
-    /// A life of a worker is taken as ended, since another one answered at its address.
+    /// A life of a worker is considered ended, since another life answered at its address.
     WorkerEnded {
         /// The life that ended.
         worker: WorkerLife,
-        /// Where the other one answered.
+        /// The address that answered.
         address: SocketAddr,
-        /// What it was asked.
+        /// The call that was answered.
         call: WorkerCall,
-        /// Runs that were there.
+        /// Runs that were on it.
         runs: usize,
-        /// How long ago the ended life last answered this lead; none if it never did.
+        /// Time since the ended life last answered this lead; none if it never did.
         silent: Option<TimeSpan>,
     },
-    /// A worker started again under its id: another life answers than the one that is known. That one counts as ended
-    /// once the next is heard under its own token.
+    /// A worker restarted under its id: another life than the known one answered. The known life
+    /// counts as ended once the new one has reported under its own token.
     WorkerRestarted {
-        /// The life that was known.
+        /// The known life.
         worker: WorkerLife,
-        /// The one that answers.
+        /// The life that answered.
         next: WorkerLife,
-        /// The token for calls to that; none while all are used up.
+        /// The token for calls to the new life; none while all tokens are used up.
         token: Option<FencingToken>,
-        /// Runs that the earlier life had, or may have had.
+        /// Runs that the known life had, or may have had.
         runs: usize,
-        /// The number up to which it was told to forget ends.
+        /// The number up to which its run ends were acknowledged.
         acknowledged: u64,
-        /// How long ago it last answered this lead; none if it never did.
+        /// Time since the known life last answered this lead; none if it never did.
         silent: Option<TimeSpan>,
     },
-    /// An account does not tell which life gives it, though that is known of the worker; or it is of an earlier life.
+    /// A report was ignored: it does not name the life that sent it, although the worker is known
+    /// to name it, or it comes from an earlier life.
     ReportIgnored {
         /// The life that was asked.
         worker: WorkerLife,
-        /// The start that the account tells.
+        /// The start of the life that the report names.
         start: Option<LifeStart>,
     },
-    /// A worker has seen a higher token.
+    /// A worker refused this lead, since it has seen a higher token.
     FencedByWorker {
         /// The worker.
         worker: WorkerLife,
-        /// What it was asked.
+        /// The call that was refused.
         call: WorkerCall,
     },
-    /// What earlier leads did is settled.
+    /// It is now known what earlier leads started.
     TakeOverSettled(TakeOverSettled),
-    /// A job became known, after this lead had caught up, whose tasks another lead may start. Nothing of it is
-    /// started unless this lead's own record turns out to be the mark.
+    /// After this lead had read all earlier records, a job appeared whose tasks another lead may
+    /// start. None of its tasks are started unless the job's record turns out to be this lead's
+    /// own.
     JobLedElsewhere {
         /// The job.
         job: JobId,
-        /// Since the store refuses earlier leads.
+        /// Time since the store began to refuse earlier leads.
         after: TimeSpan,
     },
 }
 
-/// What settled whether an earlier lead has something of a job running.
+/// What settled whether an earlier lead's runs of a job still exist.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettlementCause {
-    /// Every worker of the roster has answered this lead, or has ended.
+    /// Every worker of the roster has reported to this lead, or has ended.
     Heard,
     /// The term and the longest lease of earlier leads have passed.
     Time,
-    /// Nothing did: the take-over is not settled.
+    /// The take-over is not settled yet.
     Nothing,
 }
 
@@ -342,33 +351,33 @@
     }
 }
 
-/// How what earlier leads did came to be settled.
+/// How the take-over from earlier leads was settled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TakeOverSettled {
-    /// By what.
+    /// What settled it.
     pub by: SettlementCause,
-    /// Since the store refuses earlier leads.
+    /// Time since the store began to refuse earlier leads.
     pub after: TimeSpan,
-    /// Workers of the inherited roster that have answered.
+    /// Workers of the inherited roster that have reported.
     pub heard: usize,
-    /// Those that are taken as ended.
+    /// Workers of the inherited roster that are considered ended.
     pub ended: usize,
-    /// Those that did neither.
+    /// Workers of the inherited roster that have neither reported nor ended.
     pub unheard: usize,
-    /// Some of these.
+    /// The first few of these.
     pub unheard_some: Vec<WorkerLife>,
-    /// Jobs that an earlier lead may have begun, and whose tasks may start from now on.
+    /// Jobs that an earlier lead may have started, and whose tasks may start from now on.
     pub jobs: usize,
 }
 
-/// A call to a worker.
+/// A kind of call to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerCall {
-    /// For its account.
+    /// A hold, which asks for a report.
     Account,
-    /// To start a run.
+    /// An order to start a run.
     Start,
-    /// To stop a run.
+    /// An order to stop a run.
     Stop,
 }
 
@@ -383,26 +392,26 @@
     }
 }
 
-/// Why a run is taken as gone, with what said so.
+/// Why a run is considered gone, with the evidence.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LossCause {
     /// The worker has been silent for longer than its lease.
     LeaseEnded(LeaseReading),
-    /// An account that was asked for after the run had to be listed lists it neither as running nor
-    /// as ended.
+    /// A report that had to list the run, because it was asked for late enough, lists it neither as
+    /// running nor as ended.
     NotListed {
-        /// How long ago the account was asked for.
+        /// Time since the report was asked for.
         asked: TimeSpan,
-        /// Since when the run had to be listed.
+        /// Time since the run had to be listed in reports.
         listed_from: TimeSpan,
-        /// The number up to which the account told the worker to forget ends.
+        /// The number up to which the hold that asked for the report acknowledged run ends.
         acknowledged: u64,
     },
     /// Another life answered at the worker's address.
     WorkerEnded {
         /// The address.
         address: SocketAddr,
-        /// What it was asked.
+        /// The call that was answered.
         call: WorkerCall,
     },
 }
@@ -418,36 +427,36 @@
     }
 }
 
-/// What a lease is taken as ended by.
+/// The evidence that a lease has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseReading {
     /// The end of the last lease that any lead may have asked for.
     pub until: WorkerTime,
     /// The newest reading of the worker's clock.
     pub clock: WorkerTime,
-    /// How old the reading is.
+    /// The age of the reading.
     pub age: TimeSpan,
-    /// The least that the clock shows now.
+    /// The earliest time that the clock can show now.
     pub least: WorkerTime,
 }
 
-/// What a lead takes as true of a task.
+/// What a lead knows of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KnownTaskState {
-    /// It runs on another worker, or may.
+    /// It runs, or may run, on another worker.
     Placed {
         /// The run.
         run: RunNumber,
-        /// Where.
+        /// The worker.
         worker: WorkerLife,
-        /// How long ago that worker last answered this lead; none if it never did.
+        /// Time since that worker last answered this lead; none if it never did.
         answered: Option<TimeSpan>,
     },
     /// It ended done.
     Done,
     /// Its job is cancelled or over.
     JobOver(JobState),
-    /// There is no such job, or it has no such task.
+    /// The job is unknown, or has no such task.
     Unknown,
 }
 
