--- a/crates/sedgehill-cell/src/scheduler/isolation.rs
+++ b/crates/sedgehill-cell/src/scheduler/isolation.rs
@@ -1,9 +1,10 @@
-//! Where tasks are started under which workers were lost.
+//! Places tasks whose workers were lost so that the cause of the crashes can be found.
 //!
-//! A task that lost one worker is kept apart from others that were there, so that a second crash tells which of
-//! them it follows. One that lost two gets a worker on which nothing of another job stands; if there is none, a
-//! worker is claimed and comes free as its runs end. What runs beside a suspect would be lost with it, and could
-//! not be told from it.
+//! A task that lost one worker is kept apart from the other tasks that were there, so that a second
+//! crash shows which of them it follows. A task that lost two workers runs alone: on a worker
+//! without recent runs of other jobs. If there is none, a worker is reserved, which becomes free as
+//! its runs end. Runs beside a suspect task would be lost with it, and could not be ruled out as
+//! the cause.
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
@@ -14,29 +15,30 @@
 use crate::job::StepSpec;
 use crate::suspicion::{SuspectStage, TaskSuspicion};
 
-/// A run that has gone on for so long is not what crashes its worker. Tasks of the users that crash workers do so
-/// within a second of their start, and their longest usual tasks take some six.
+/// A run that has lasted this long is not considered the cause of a crash. Users' tasks that crash
+/// workers do so within a second of their start, and the longest usual tasks take some six seconds.
 const CRASH_SUSPECT_SPAN: TimeSpan = TimeSpan(10_000);
-/// A claim for a task that wants a worker of its own lasts so long, and is renewed with each turn.
+/// How long a reservation for a task that must run alone lasts. It is renewed each turn.
 const ALONE_RESERVATION_SPAN: TimeSpan = TimeSpan(1_000);
-/// One in so many workers of a pool may be claimed for such tasks: the others go on with all other work.
+/// One worker in this many of a pool may be reserved for such tasks; the others go on with all
+/// other work.
 const ALONE_RESERVATION_ONE_IN: usize = 8;
 
 impl WorkerState {
-    /// Whether nothing of another job is there that could be the cause of a crash.
+    /// Whether no run of another job that could cause a crash is there.
     pub(super) fn is_exclusive_for(&self, job: JobId, now: Moment) -> bool {
         let trusted = |run: &worker::WorkerRun| now >= run.since.after(CRASH_SUSPECT_SPAN);
         self.runs.iter().all(|(task, run)| task.step.job == job || trusted(run))
     }
 
-    /// Whether a task of another job wants the worker for itself.
+    /// Whether a run of another job must stay alone on the worker.
     pub(super) fn excludes_job(&self, job: JobId, now: Moment) -> bool {
         let wants =
             |run: &worker::WorkerRun| run.alone && now < run.since.after(CRASH_SUSPECT_SPAN);
         self.has_alone_run && self.runs.iter().any(|(task, run)| task.step.job != job && wants(run))
     }
 
-    /// How long it takes at the most until nothing of another job is there that could be the cause of a crash.
+    /// Returns the longest time until no run of another job that could cause a crash is there.
     fn time_until_exclusive(&self, job: JobId, now: Moment) -> TimeSpan {
         let time_left = |run: &worker::WorkerRun| {
             let age = now.since(run.since);
@@ -47,24 +49,24 @@
         others.map(|(_, run)| time_left(run)).max().unwrap_or_default()
     }
 
-    /// Whether it is kept for a task that is to run with nothing of another job beside it.
+    /// Whether it is reserved for a task that must run alone.
     pub(super) fn has_alone_reservation(&self, now: Moment) -> bool {
         self.active_reservation(now).is_some_and(|reservation| reservation.alone)
     }
 }
 
-/// How a task of a step may be started.
+/// Returns how a task may be started, by its crash history.
 pub(super) fn stage_of(job: &ActiveJob, step: usize, index: u16) -> SuspectStage {
     job.step_tasks(step)[usize::from(index)].suspicion.stage()
 }
 
-/// The tasks that want a worker of their own, and the others.
+/// Splits tasks into those that must run alone and the others.
 pub(super) fn split_alone(job: &ActiveJob, step: usize, tasks: &[u16]) -> (Vec<u16>, Vec<u16>) {
     tasks.iter().partition(|index| stage_of(job, step, **index) == SuspectStage::Alone)
 }
 
 impl Scheduler {
-    /// Places tasks that want a worker of their own, as far as there is one for each.
+    /// Assigns workers to tasks that must run alone, as far as there are enough.
     pub(super) fn assign_alone(
         &self,
         candidate: &Candidate,
@@ -79,12 +81,12 @@
         let mut rooms = self.usable_rooms(candidate, spec, open, now);
         rooms.retain(|(key, _)| self.workers[key.0].is_exclusive_for(candidate.job, now));
         rooms.sort_by_key(|(key, _)| !self.workers[key.0].runs.is_empty());
-        // The members of a gang are lost together, wherever they stand.
+        // Gang members may share a worker, since they are lost together wherever they run.
         let slots = |(key, room)| std::iter::repeat_n(key, if spec.gang { room } else { 1 });
         tasks.iter().copied().zip(rooms.into_iter().flat_map(slots)).collect()
     }
 
-    /// Keeps workers from new work until each of `wanted` tasks of a step finds one that is clear.
+    /// Reserves workers until each of `wanted` tasks has one on which it can run alone.
     pub(super) fn reserve_alone(
         &mut self,
         candidate: &Candidate,
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The worker that is clear the soonest.
+    /// Returns the unreserved worker on which a task can run alone soonest.
     fn find_reservable(
         &self,
         candidate: &Candidate,
@@ -140,7 +142,8 @@
                 .filter_map(|worker| worker.active_reservation(now))
                 .filter(|reservation| reservation.alone)
         };
-        // A gang that wants more than that would never become whole, so the first step has what it wants.
+        // The first step may exceed the maximum, since a gang that needs more could otherwise never
+        // start.
         if reservations().count() >= max_reservations
             && reservations().any(|reservation| reservation.step != step)
         {
@@ -163,7 +166,8 @@
         })
     }
 
-    /// Whether a task may be put on a worker beside what runs there.
+    /// Whether a task may run on a worker beside what runs there: no suspect run of another job may
+    /// have lost a worker together with it.
     pub(super) fn may_share_worker(
         &self,
         key: WorkerKey,
