--- a/crates/sedgehill-cell/src/scheduler/lives.rs
+++ b/crates/sedgehill-cell/src/scheduler/lives.rs
@@ -1,37 +1,40 @@
-//! Lives of a worker that starts again under its id.
+//! Handles workers that restart under the same id.
 //!
-//! The start of a life tells it from the one before. What a lead keeps of a worker, all numbers and clocks, is of one
-//! life: the next one gets a state of its own, and nothing is left to be cleared. Accounts alone tell which life is there;
-//! entries in the store may be old, or another's.
+//! A *life* of a worker is one incarnation, from its start to its end; the start time tells the
+//! lives of one id apart. All state that a lead keeps of a worker, numbers and clock readings
+//! included, belongs to one life. The next life gets a new state, so nothing has to be reset. Only
+//! reports show which life exists: entries in the store may be old, or written by another process.
 //!
-//! Calls name a worker by its id, so what was sent to the earlier life may be carried out by the next one, seconds later:
-//! an acknowledgement would make it forget ends that nobody read, a start would run a task there that was begun elsewhere
-//! meanwhile. So calls to the next life have a higher token, and the earlier life counts as ended only with the first
-//! account under that token: from then on the worker refuses what was sent before, and what it had begun by then is listed.
+//! Calls name a worker by its id, so the next life may carry out a call to the earlier one seconds
+//! later. An acknowledgement would make it forget run ends that nobody has read, and a start would
+//! run a task that has started elsewhere meanwhile. Calls to the next life therefore have a higher
+//! token, and the earlier life counts as ended only with the first report under that token. From
+//! then on the worker refuses earlier calls, and the report lists whatever it started before.
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
 use super::*;
 use crate::ids::{LifeStart, TOKENS_PER_LEAD};
 
-/// How long after it was sent a call may be carried out: several times the twelve seconds that users speak of. A worker
-/// whose lives used up the tokens of a lead is left alone for so long, and begins with the first one again.
+/// How long after sending a call may still be carried out: several times the twelve seconds that
+/// users report. A worker whose lives used up the tokens of a lead is not called for this long, and
+/// then starts with the first token again.
 const MAX_CALL_DELAY: TimeSpan = TimeSpan(60_000);
 
-/// Which life gave an account.
+/// Which life sent a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReportOrigin {
-    /// The one that was asked.
+    /// The life that was asked.
     Same,
-    /// One that began later.
+    /// A life that began later.
     Next(Option<LifeStart>),
-    /// One that is over by now, or nobody can tell.
+    /// A life that has ended, or one that cannot be identified.
     Unused,
 }
 
 impl Scheduler {
-    /// Whether an account, asked for at `sent`, is of the life that is known as `key`. If it is of a later one, that
-    /// one is asked from now on.
+    /// Whether a report that was asked for at `sent` comes from the life known as `key`. If it
+    /// comes from a later life, that one is polled from now on.
     pub(super) fn is_of_life(
         &mut self,
         key: WorkerKey,
@@ -50,7 +53,7 @@
             }
             ReportOrigin::Unused => {
                 if report.start.is_none() {
-                    // Whatever gives it, nothing can be gone by.
+                    // Nothing can be concluded, whichever life sent it.
                     self.note_silence(key, now);
                 }
                 let worker = self.workers[key.0].entry.life.clone();
@@ -74,8 +77,9 @@
         if reported.is_none() {
             return ReportOrigin::Unused;
         }
-        // What was asked after the known life had answered was not answered by one before it, whatever their clocks said.
-        // Answers that overtake each other are told apart by the starts.
+        // A report asked for after the known life had reported does not come from an earlier life,
+        // whatever their clocks say. Among reports that overtook each other, the start times
+        // decide.
         let asked_later = worker.last_report_at.is_none_or(|at| sent >= at);
         match asked_later || reported > known {
             true => ReportOrigin::Next(reported),
@@ -83,7 +87,7 @@
         }
     }
 
-    /// The start of a life becomes known that stood in a record without it.
+    /// Sets the start of a life that was first known from a record without it.
     fn set_life_start(&mut self, key: WorkerKey, start: Option<LifeStart>) {
         let life = &mut self.workers[key.0].entry.life;
         if life.start == start {
@@ -95,7 +99,7 @@
         self.roster_changed = true;
     }
 
-    /// Another life answers under the id of `key`.
+    /// Notes that another life answers under the id of `key`.
     fn replace_life(&mut self, key: WorkerKey, start: Option<LifeStart>, now: Moment) {
         let worker = &mut self.workers[key.0];
         worker.replaced_at = Some(now);
@@ -114,8 +118,8 @@
         });
     }
 
-    /// The handle of a life that answers at the address of `key`, if it is looked for there already. One that is looked
-    /// for elsewhere is not there.
+    /// Returns the key of a life that answers at the address of `key`, if it is already known
+    /// there. If it is known at another address, it is not there and that key is given up.
     fn known_life_here(&mut self, key: WorkerKey, life: &WorkerLife) -> Option<WorkerKey> {
         let known = self.lives.get(life).copied()?;
         let is_here = self.workers[known.0].entry.address == self.workers[key.0].entry.address;
@@ -128,8 +132,9 @@
         None
     }
 
-    /// A handle for a life that answers at the address of `key`: as its entry says, if that was read, or else like the
-    /// life before it, without work until it is read.
+    /// Adds a life that answers at the address of `key`, with its entry if that has been read.
+    /// Otherwise it is assumed to be like the earlier life, and gets no work until its entry is
+    /// read.
     fn add_unlisted_life(
         &mut self,
         key: WorkerKey,
@@ -151,8 +156,8 @@
         Some(next)
     }
 
-    /// Another life under the id of `earlier`. None while the tokens for it are used up: it is not called then, and is
-    /// found in the list once one is free.
+    /// Adds another life under the id of `earlier`. Returns none while its tokens are used up: it
+    /// is not called then, and is added from the list once a token is free.
     pub(super) fn add_life(
         &mut self,
         entry: WorkerEntry,
@@ -167,14 +172,15 @@
         Some(key)
     }
 
-    /// Takes the lives that follow on others and that nobody asks for accounts yet.
+    /// Takes the lives that replaced others and are not polled yet.
     pub fn take_new_lives(&mut self) -> Vec<WorkerKey> {
         let mut keys = std::mem::take(&mut self.unpolled_lives);
         keys.retain(|key| !std::mem::replace(&mut self.workers[key.0].polled, true));
         keys
     }
 
-    /// A token above those of all calls to earlier lives of an id that may be on their way.
+    /// Returns a token above those of all calls to earlier lives of an id that may still be in
+    /// flight.
     fn next_token(&self, id: &WorkerId, earlier: WorkerKey, now: Moment) -> Option<FencingToken> {
         let newest = &self.workers[self.ids.get(id).copied().unwrap_or(earlier).0];
         let earlier = &self.workers[earlier.0];
@@ -190,8 +196,8 @@
         }
     }
 
-    /// A life was heard under its own token: those before it under its id have ended, and what was sent to them is
-    /// refused from now on. What it has of it already, its account lists.
+    /// Ends the earlier lives of an id, once a life has reported under its own token. Calls to them
+    /// are refused from now on, and the report lists whatever they made it start.
     pub(super) fn end_earlier_lives(&mut self, key: WorkerKey, now: Moment) {
         if !std::mem::take(&mut self.workers[key.0].replaces_earlier) {
             return;
@@ -210,7 +216,7 @@
         }
     }
 
-    /// A life has ended: nothing runs there any more.
+    /// Ends a life, on which nothing runs any more.
     pub(super) fn end_life(&mut self, key: WorkerKey, call: WorkerCall, now: Moment) {
         let worker = &self.workers[key.0];
         let (life, address) = (worker.entry.life.clone(), worker.entry.address);
@@ -225,8 +231,8 @@
         self.resolve_as_crash(&life, address, CrashDetection::OtherLife, now);
     }
 
-    /// A life that was followed by another one, which is not heard: what was sent to the one may run on the other for as
-    /// long as a lease lasts.
+    /// Ends a life that was replaced by one that does not report. A start sent to the replaced life
+    /// may run on the new one for as long as a lease lasts.
     pub(super) fn expire_replaced_life(&mut self, key: WorkerKey, since: Moment, now: Moment) {
         let lease = self.timing.max_lease;
         let end =
