--- a/crates/sedgehill-cell/src/scheduler/message.rs
+++ b/crates/sedgehill-cell/src/scheduler/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and out of the scheduler.
+//! Inputs and outputs of the scheduler.
 
 use std::fmt;
 use std::hash::{DefaultHasher, Hasher};
@@ -16,15 +16,15 @@
 use crate::progress::JobProgress;
 use crate::stored::decode_grown;
 
-/// The scheduler's handle of one life of a worker.
+/// The scheduler's index of one life of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerKey(pub usize);
 
-/// A box that asks the advice service on the lead's behalf. The service serves each box by itself.
+/// A box that asks the advice service for the lead. The service has a queue for each box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HelperId(pub u64);
 
-/// The lead's own box as a helper.
+/// The helper id of the lead's own box.
 pub const OWN_BOX: HelperId = HelperId(0);
 
 /// A time on a worker's own clock, in milliseconds.
@@ -32,26 +32,26 @@
 pub struct WorkerTime(pub u64);
 
 impl WorkerTime {
-    /// The time `span` later.
+    /// Returns the time `span` later.
     pub fn after(self, span: TimeSpan) -> WorkerTime {
         WorkerTime(self.0 + span.as_millis())
     }
 }
 
-/// A worker as it stands in the store.
+/// A worker as listed in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerEntry {
     /// The life of the worker.
     pub life: WorkerLife,
-    /// Where it takes orders.
+    /// The address that takes its orders.
     pub address: SocketAddr,
     /// The pool it serves.
     pub pool: PoolName,
-    /// It will leave and takes no new work.
+    /// It is about to leave and takes no new work.
     pub draining: bool,
-    /// What it has.
+    /// Its total resources.
     pub capacity: ResourceSet,
-    /// Its kind and its rack.
+    /// Labels of its kind and of its rack.
     pub labels: Vec<Arc<str>>,
 }
 
@@ -64,15 +64,15 @@
     pub task: CellTask,
     /// The run.
     pub run: RunNumber,
-    /// The job, for what the task is given.
+    /// The job, which holds the payload of the task.
     pub record: Rc<JobRecord>,
-    /// The lease of all runs on the worker lasts at least until then.
+    /// The earliest end of the lease of all runs on the worker.
     pub lease_until: WorkerTime,
-    /// What allows the step to run there.
+    /// The ticket that allows the step to run there; none if the queue needs no advice.
     pub ticket: Option<Arc<str>>,
-    /// What the run goes on from; empty for a start from nothing.
+    /// The saved state to resume from; empty to start from the beginning.
     pub checkpoint: String,
-    /// The token for calls to this life.
+    /// The token for calls to this life of the worker.
     pub token: FencingToken,
 }
 
@@ -85,22 +85,22 @@
     pub task: CellTask,
     /// The run.
     pub run: RunNumber,
-    /// The token for calls to this life.
+    /// The token for calls to this life of the worker.
     pub token: FencingToken,
 }
 
-/// A question for the advice service.
+/// A question to the advice service: which of some workers may run a step.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdviceQuestion {
     /// The box that asks.
     pub helper: HelperId,
     /// The step.
     pub step: StepId,
-    /// The workers in question. The service tells of the life that is there.
+    /// The workers. An answer about an id applies to the life that was there when it was asked.
     pub workers: Vec<WorkerId>,
 }
 
-/// What the scheduler wants done.
+/// An action that the scheduler wants carried out.
 #[derive(Debug, Clone)]
 pub enum CellOrder {
     /// Start a run.
@@ -111,33 +111,34 @@
     Ask(AdviceQuestion),
 }
 
-/// What to ask of a worker next: renew the lease, forget ends, and say what runs.
+/// A hold: the periodic call to a worker that renews its lease, acknowledges run ends and asks for
+/// a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HoldOrder {
-    /// The lease lasts at least until then; none for a look that renews nothing.
+    /// The earliest end of the lease; none to ask for a report without renewing.
     pub lease_until: Option<WorkerTime>,
-    /// Ends up to this number are in the store.
+    /// Run ends up to this number are in the store, and the worker may forget them.
     pub acknowledged: u64,
-    /// How long the answer may wait for an end.
+    /// How long the worker may delay its answer while no run ends.
     pub wait: TimeSpan,
-    /// The token for calls to this life.
+    /// The token for calls to this life of the worker.
     pub token: FencingToken,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It did its work.
+    /// The task is done.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of the task or the worker.
     Failed,
-    /// It was stopped by an order.
+    /// An order stopped it.
     Stopped,
     /// Its lease ended.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of its gang did not start in time.
     Alone,
 }
 
@@ -155,7 +156,7 @@
     }
 }
 
-/// A run that a worker lists as running.
+/// A run in a report that is still running.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunningRow {
     /// The task.
@@ -166,10 +167,10 @@
     pub checkpoint: String,
 }
 
-/// An end that a worker lists.
+/// A run end in a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndRow {
-    /// The number of the end in this life of the worker.
+    /// The number of the end, counted in this life of the worker.
     pub number: u64,
     /// The task.
     pub task: CellTask,
@@ -181,41 +182,42 @@
     pub checkpoint: String,
 }
 
-/// A worker's account of what runs there.
+/// A worker's report, the answer to a hold.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HoldReport {
-    /// When the life began that answered; none on a platform that does not tell it, where each life has its own id.
+    /// When the life that answered began; none on a platform that does not report it, where each
+    /// life has its own id.
     pub start: Option<LifeStart>,
-    /// The worker's clock.
+    /// The reading of the worker's clock.
     pub clock: WorkerTime,
-    /// What runs.
+    /// Runs that are running.
     pub running: Vec<RunningRow>,
-    /// Ends that were not yet acknowledged.
+    /// Run ends that have not been acknowledged.
     pub ended: Vec<EndRow>,
 }
 
-/// Why a worker did not do as ordered. Nothing was done.
+/// Why an order was certainly not carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerRefusal {
-    /// A higher token has been seen there.
+    /// The worker has seen a higher token.
     Fenced,
-    /// The run is not above one that was stopped or ended there.
+    /// The worker has already stopped or ended this run or a later one of the task.
     OldRun,
-    /// The order's lease had ended before it arrived.
+    /// The lease in the order had ended before the order arrived.
     Late,
-    /// It does not fit.
+    /// The worker has too little room.
     NoRoom,
     /// The ticket is not valid.
     Ticket,
-    /// The worker is not well.
+    /// The worker is not healthy.
     Unhealthy,
     /// Another life of the worker answered.
     OtherLife,
-    /// The worker found the order wrong.
+    /// The worker could not read the order.
     Malformed,
-    /// Nothing was sent, or surely nothing arrived.
+    /// Nothing was sent, or it certainly did not arrive.
     Unreached,
-    /// The lead held the order back, since it may not be the lead any more.
+    /// The lead did not send the order, since it may no longer be the lead.
     Withheld,
 }
 
@@ -237,29 +239,29 @@
     }
 }
 
-/// What came of a call to a worker.
+/// The result of a call to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerAnswer<T> {
-    /// It was done.
+    /// It was carried out.
     Done(T),
-    /// It was surely not done.
+    /// It was certainly not carried out.
     NotDone(WorkerRefusal),
-    /// It may have been done, or may be done later.
+    /// It may have been carried out, or may be later.
     Unknown,
 }
 
-/// A batch of progress that is to be recorded.
+/// Progress to be recorded in the store together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProgressBatch {
-    /// The number of the batch; batches are recorded in this order.
+    /// The number of the batch. Batches are recorded in this order.
     pub number: u64,
     /// The progress of each job.
     pub jobs: Vec<(JobId, JobProgress)>,
-    /// Set if the workers that may be given work have become more.
+    /// The new roster, if it changed or a record is needed to confirm the lead.
     pub roster: Option<WorkerRoster>,
 }
 
-/// Tells rosters apart in logs.
+/// A digest that identifies a roster in logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RosterDigest(u64);
 
@@ -269,43 +271,44 @@
     }
 }
 
-/// The workers on which a lead may have started something. It is recorded before the first start on
-/// any of them: the store's own list may miss workers that live, for some seconds after an outage.
+/// The workers on which a lead may have started a run. A worker is recorded in the roster before
+/// the first start there, because the store's own list can miss live workers for some seconds after
+/// an outage.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkerRoster {
-    /// The workers, as they were listed last.
+    /// The workers, as last listed.
     pub workers: Vec<WorkerEntry>,
-    /// Those that had more before, by their place in the list, with the most that they had. What was started then
-    /// may still run.
+    /// The largest known resources of workers that have less now, by their index in the list. Runs
+    /// that were started with the larger size may still exist.
     pub shrunk: Vec<(u32, ResourceSet)>,
 }
 
 impl WorkerRoster {
-    /// The key under which the roster is kept.
+    /// The key of the roster in the store.
     pub const KEY: &str = "roster";
 
-    /// The stored form of the roster.
+    /// Encodes the roster for the store.
     pub fn encode(&self) -> Vec<u8> {
         let stored = StoredRoster::from(self);
         postcard::to_stdvec(&stored).expect("all types in a roster can be encoded")
     }
 
-    /// What tells rosters apart in logs: the same for the same workers in the same order.
+    /// A digest for logs, equal for the same workers in the same order.
     pub fn digest(&self) -> RosterDigest {
         let mut hasher = DefaultHasher::new();
         hasher.write(&self.encode());
         RosterDigest(hasher.finish())
     }
 
-    /// Reads a roster back.
+    /// Decodes a stored roster.
     pub fn decode(value: &[u8]) -> Result<WorkerRoster, postcard::Error> {
-        /// Two lists of none: rosters of earlier versions end before one of them, or both.
+        /// Two empty lists, appended when reading: rosters of earlier versions lack one or both.
         const EMPTY_LISTS: [u8; 2] = [0, 0];
         decode_grown::<StoredRoster>(value, &EMPTY_LISTS).map(WorkerRoster::from)
     }
 }
 
-/// A worker as it stands in a stored roster.
+/// A worker in the stored form of a roster.
 #[derive(Serialize, Deserialize)]
 struct StoredEntry {
     id: WorkerId,
@@ -316,12 +319,13 @@
     labels: Vec<Arc<str>>,
 }
 
-/// A stored roster. What came later stands last, where boxes of earlier versions pass over it.
+/// The stored form of a roster. New fields are appended, since boxes of earlier versions ignore
+/// trailing bytes.
 #[derive(Serialize, Deserialize)]
 struct StoredRoster {
     workers: Vec<StoredEntry>,
     shrunk: Vec<(u32, ResourceSet)>,
-    /// When lives began, by their place in the list.
+    /// When lives began, by the worker's index in the list.
     starts: Vec<(u32, LifeStart)>,
 }
 
