--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -1,10 +1,12 @@
-//! The lead of a cell: it owns the account of all workers, runs and waiting tasks.
+//! The scheduler of a cell, run by the box that holds the lead: it keeps the state of all workers,
+//! runs and waiting tasks.
 //!
-//! A new lead begins with what every box knows of the jobs, and with no belief about workers: it
-//! starts nothing before it has an account from every worker, or until whatever an earlier lead may
-//! have ordered has surely ended ([`Scheduler::take_over`]). An end is acknowledged to its worker
-//! only when it is recorded. A task whose start went unanswered is settled before it runs elsewhere:
-//! by an answered stop, by an account that lists the run, or by the end of the worker's lease.
+//! A new lead starts with the jobs that every box knows and with no knowledge of the workers. It
+//! starts no task of an inherited job until every worker has reported to it, or until everything
+//! that an earlier lead may have ordered must have ended ([`Scheduler::take_over`]). The end of a
+//! run is acknowledged to its worker only after it has been recorded in the store. When a start
+//! goes unanswered, the task does not run elsewhere until one of these happens: a stop is answered,
+//! a report of the worker shows whether the run is there, or the worker's lease ends.
 
 mod active_job;
 mod advice;
@@ -70,38 +72,40 @@
 use crate::job::JobRecord;
 use crate::progress::{JobProgress, JobState};
 
-/// How far a new lead has settled what earlier leads did.
+/// How far a new lead knows what earlier leads started.
 #[derive(Debug, Clone, Copy)]
 struct TakeOver {
-    /// When the lead was claimed.
+    /// When the lead was claimed, or when the store began to refuse earlier leads, if that is
+    /// later.
     since: Moment,
-    /// Whether an earlier lead may still give orders for a time.
+    /// An earlier lead may still give orders until its term ends.
     predecessor: bool,
-    /// The store refuses earlier leads.
+    /// The store refuses writes of earlier leads.
     fenced: bool,
-    /// All that earlier leads recorded was taken in.
+    /// All records of earlier leads have been read.
     caught_up: bool,
-    /// Every worker has answered, or what it runs has surely ended.
+    /// Every worker has reported, or everything that earlier leads started must have ended.
     settled: bool,
-    /// What settled it.
+    /// What settled it; none while it is not settled.
     settled_by: Option<SettlementCause>,
-    /// A worker on which an earlier lead may have started something was not heard.
+    /// A worker on which an earlier lead may have started a run ended or did not report to this
+    /// lead.
     lost_workers: bool,
 }
 
-/// The lead's state.
+/// The state of the lead, which decides which task runs on which worker.
 #[derive(Debug)]
 pub struct Scheduler {
     timing: CellTiming,
     token: FencingToken,
-    /// The lead before this one; none if that is not known.
+    /// The token of the lead before this one; none if it is not known.
     previous_token: Option<FencingToken>,
     workers: Vec<WorkerState>,
-    /// All lives that were ever known.
+    /// Every life of a worker that this lead has known.
     lives: HashMap<WorkerLife, WorkerKey>,
-    /// The life that answers under each id, or is looked for.
+    /// The newest life known under each worker id.
     ids: HashMap<WorkerId, WorkerKey>,
-    /// Lives that were met lately, and that nobody asks for accounts yet.
+    /// Lives that replaced others under their id and that are not polled yet.
     unpolled_lives: Vec<WorkerKey>,
     jobs: BTreeMap<JobId, ActiveJob>,
     advice_dispatcher: AdviceDispatcher,
@@ -110,7 +114,7 @@
     call_losses: CallLossRate,
     organisations: OrganisationTable,
     take_over: TakeOver,
-    /// When the list of workers was read last; none if it never was.
+    /// When the list of workers was last read from the store; none if it never was.
     workers_listed_at: Option<Moment>,
     orders: Vec<CellOrder>,
     events: Vec<CellEvent>,
@@ -120,33 +124,35 @@
     roster_changed: bool,
     next_batch: u64,
     recorded: u64,
-    /// Something is to be recorded to learn whether a later lead has fenced.
+    /// Something must be recorded to find out whether a later lead has fenced this one.
     confirmation_wanted: bool,
-    /// When the newest batch that is sent was taken.
+    /// When the newest batch that was not empty was taken.
     batch_taken: Moment,
-    /// No later lead had given orders by then: what was taken then is recorded under this lead's token.
+    /// Up to this moment no later lead had given orders: a batch taken then was recorded under this
+    /// lead's token.
     lead_confirmed_at: Moment,
     fenced_out: bool,
     wall_clock: (u64, Moment),
-    /// Runs of which it is open whether a crash took them.
+    /// Lost runs whose workers may or may not have crashed.
     unresolved_runs: UnresolvedRuns,
-    /// Workers that crashed by themselves, as far as is known.
+    /// Recent worker crashes that are not attributed to a task.
     background_crashes: BackgroundCrashes,
-    /// There may be tasks under which workers were lost.
+    /// Some task may have a history of lost workers.
     suspects_seen: bool,
-    /// Starts that wait until they are recorded.
+    /// Starts that are sent once they are recorded.
     unrecorded_starts: Vec<UnrecordedStart>,
-    /// Long-running tasks that lost their run.
+    /// Long-running tasks that have lost their run.
     restarts: RestartTracker,
-    /// The step that found no box to ask for the longest time, if that is long.
+    /// The step that has waited longest for a box to ask the advice service, once that takes longer
+    /// than the stall limit.
     starved_step: Option<Candidate>,
-    /// When that is looked for next.
+    /// When to search for that step next.
     starved_search_from: Moment,
 }
 
 impl Scheduler {
-    /// The state of a box that has just claimed the lead. `predecessor` says whether an earlier lead
-    /// may go on giving orders until its term ends.
+    /// Creates the state of a box that has just claimed the lead. `predecessor` tells whether an
+    /// earlier lead may go on giving orders until its term ends.
     pub fn take_over(
         timing: CellTiming,
         token: FencingToken,
@@ -200,12 +206,13 @@
         }
     }
 
-    /// Tells which lead was the last one before this.
+    /// Sets the token of the lead before this one.
     pub fn set_previous_token(&mut self, token: FencingToken) {
         self.previous_token = Some(token);
     }
 
-    /// Tells the time of day, in milliseconds since 1970. Jobs with times need it; it may jump.
+    /// Sets the time of day, in milliseconds since 1970, which scheduled jobs are started by. It
+    /// may jump.
     pub fn set_wall_clock(&mut self, unix_ms: u64, now: Moment) {
         self.wall_clock = (unix_ms, now);
     }
@@ -215,49 +222,49 @@
         unix_ms + now.since(at).as_millis()
     }
 
-    /// Whether a worker said that a later lead exists.
+    /// Whether a worker has refused this lead because a later one exists.
     pub fn is_fenced_out(&self) -> bool {
         self.fenced_out
     }
 
-    /// Whether what earlier leads did is settled.
+    /// Whether the effects of earlier leads are known, so that their jobs may be scheduled.
     pub fn is_settled(&self) -> bool {
         self.take_over.settled
     }
 
-    /// Takes the orders that were decided on.
+    /// Takes the orders that are to be carried out.
     pub fn take_orders(&mut self) -> Vec<CellOrder> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Takes the decisions since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// A worker by its handle.
+    /// The stored entry of a worker.
     pub fn entry(&self, worker: WorkerKey) -> &WorkerEntry {
         &self.workers[worker.0].entry
     }
 
-    /// Jobs that are not over.
+    /// The number of jobs that are not over.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A box can ask the advice service.
+    /// Notes that a box can ask the advice service.
     pub fn add_helper(&mut self, helper: HelperId) {
         self.advice_dispatcher.add_helper(helper);
     }
 
-    /// A box cannot ask any more.
+    /// Notes that a box can no longer ask the advice service.
     pub fn remove_helper(&mut self, helper: HelperId, now: Moment) {
         for step in self.advice_dispatcher.remove_helper(helper) {
             self.drop_question(helper, step, now);
         }
     }
 
-    /// Takes in a job. `age` is how long ago it was accepted.
+    /// Adds a job with its recorded progress. `age` is the time since it was accepted.
     pub fn add_job(
         &mut self,
         id: JobId,
@@ -272,8 +279,8 @@
         let accepted = Moment(now.0.saturating_sub(age.as_millis()));
         let mut job = ActiveJob::new(id, record, accepted, progress, self.token);
         if self.take_over.caught_up && progress.ordered {
-            // No earlier lead can have marked it any more. It was marked by this lead, which is about to be told
-            // so, or by a later one.
+            // No earlier lead can have set the start flag any more. It was set by this lead, which
+            // is about to learn so through [`Scheduler::add_own_job`], or by a later lead.
             job.led_elsewhere = true;
             job.unsettled_starts = false;
             job.started_by_earlier_lead = false;
@@ -289,14 +296,15 @@
         self.finish_if_over(id, now);
     }
 
-    /// Whether a job is being worked on.
+    /// Whether the job is among those that are scheduled.
     pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.contains_key(&id)
     }
 
-    /// Takes in a job that this lead accepted, and that is recorded as such. One that is new may start at once,
-    /// since no other lead can have started anything of it. A copy of one that an earlier lead began does not
-    /// make it new: its tasks would start beside those that run already.
+    /// Adds a job that this lead accepted and that is recorded as such. A new job may start at
+    /// once, since no other lead can have started any of its tasks. If the job is already known,
+    /// its state is kept: a copy of a job that an earlier lead began must not make it new, or its
+    /// tasks would start beside those that already run.
     pub fn add_own_job(&mut self, id: JobId, record: Rc<JobRecord>, now: Moment) {
         let job = self.jobs.entry(id).or_insert_with(|| {
             ActiveJob::new(id, record, now, &JobProgress::default(), self.token)
@@ -313,7 +321,7 @@
         }
     }
 
-    /// The caller cancelled a job.
+    /// Cancels a job on its caller's behalf and stops its runs.
     pub fn cancel_job(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.cancelled = true;
@@ -323,10 +331,12 @@
         self.finish_if_over(id, now);
     }
 
-    /// A job with a final state whose runs have all ended needs no further work.
+    /// Updates the job's final state, and has it recorded and reported if it is over and nothing of
+    /// it runs.
     fn finish_if_over(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        // What an earlier lead started of a cancelled job may run on unheard, and counts against a limit until then.
+        // What an earlier lead started of a cancelled job may still run on a worker that has not
+        // reported, and counts against the organisation's limit until it has ended.
         let is_idle = job.placed().is_empty() && !job.unsettled_starts;
         if !job.state.is_final() && job.is_done() {
             job.state = JobState::Completed;
@@ -344,7 +354,7 @@
         }
     }
 
-    /// A job has failed for good: what runs of it is stopped.
+    /// Fails a job and stops its runs.
     fn fail_job(&mut self, id: JobId, reason: &'static str, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.state.is_final()) else { return };
         job.state = JobState::Failed;
@@ -363,7 +373,7 @@
         }
     }
 
-    /// Does what time asks for, and starts what can be started.
+    /// Processes timeouts and then starts whatever can be started.
     pub fn schedule(&mut self, now: Moment) {
         for (helper, step) in self.advice_dispatcher.find_overdue(now) {
             self.mark_question_overdue(helper, step);
@@ -423,7 +433,7 @@
         }
     }
 
-    /// Frees a task whose run is over without having ended done.
+    /// Returns a task whose run is over, but not done, to the waiting tasks.
     fn release_task(
         &mut self,
         task: &CellTask,
