--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -1,9 +1,9 @@
-//! What runs for each organisation, and whether more may be started for it.
+//! Tracks what runs for each organisation, and whether more may be started for it.
 //!
-//! Everything that may be running counts, at its worst: starts without an answer, runs that are being
-//! stopped, and runs on workers out of touch until their lease has surely ended. A new lead has not heard of
-//! what earlier leads ordered: until every worker has answered, waiting tasks of jobs that were ordered count
-//! as running, as far as the workers not yet heard could hold them.
+//! Everything that may be running counts: unanswered starts, runs that are being stopped, and runs
+//! on unreachable workers until their lease must have ended. A new lead does not know what earlier
+//! leads started. Until every worker has reported, the waiting tasks of jobs with the start flag
+//! count as running, as far as the workers that have not reported could hold them.
 
 use std::collections::HashMap;
 
@@ -17,27 +17,28 @@
 use crate::job::StepSpec;
 use crate::organisation::{JobOwner, OrganisationPolicy, ResourceLimit, ShareWeight};
 
-/// The scheduler's handle of an organisation.
+/// The scheduler's index of an organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrganisationKey(usize);
 
-/// An organisation may send what it is due in so much time at once, before more counts as excess: the span
-/// over which its rate is counted.
+/// An organisation may send the jobs of its share for this span at once. It is also the span over
+/// which its rate is measured.
 const BURST_SPAN: TimeSpan = TimeSpan(1_000);
-/// Thousandths of a job, in which what is due is counted, times milliseconds.
+/// Bucket units for one job. A unit is a weight of a thousandth of a job a second, times a
+/// millisecond: a millionth of a job.
 const TOKENS_PER_JOB: u64 = 1_000 * 1_000;
 
-/// What an organisation is due: jobs that it may still send before they count as excess. It fills at the
+/// A token bucket of the jobs that an organisation may send within its share. It fills at the
 /// organisation's weight.
 #[derive(Debug, Clone, Copy)]
 struct ShareBucket {
-    /// In thousandths of a job times milliseconds.
+    /// In millionths of a job.
     level: u64,
     at: Moment,
 }
 
 impl ShareBucket {
-    /// Takes one job out of what is due at `now`. Returns whether there was enough.
+    /// Takes one job out of the bucket at `now`. Returns whether the bucket held enough.
     fn take(&mut self, weight: ShareWeight, now: Moment) -> bool {
         let capacity = (weight.0 * BURST_SPAN.0).max(TOKENS_PER_JOB);
         let filled = self.level.saturating_add(weight.0 * now.since(self.at).0);
@@ -51,17 +52,17 @@
     }
 }
 
-/// One organisation.
+/// The state of one organisation.
 #[derive(Debug)]
 struct OrganisationAccount {
     name: OrganisationName,
     weight: ShareWeight,
     limit: ResourceLimit,
-    /// What runs, or may run, as far as it is known.
+    /// The need of its known runs, including those that may be running.
     running: ResourceSet,
-    /// What may run besides, unheard of.
+    /// The need of runs that earlier leads may have started and that no worker has reported.
     unconfirmed: ResourceSet,
-    /// What is left to steps that wait, in this turn.
+    /// Room under its limit that waiting steps have reserved in this turn.
     reserved: ResourceSet,
     share_bucket: ShareBucket,
 }
@@ -72,22 +73,22 @@
     }
 }
 
-/// What operators are shown of an organisation.
+/// Figures about an organisation, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrganisationStats {
     /// The organisation.
     pub name: OrganisationName,
-    /// What runs, or may run.
+    /// The need of its runs, including those that may be running.
     pub running: ResourceSet,
-    /// The most that may.
+    /// Its limit.
     pub limit: ResourceLimit,
-    /// Its share when everything is full.
+    /// Its share when there is not enough room for all.
     pub weight: ShareWeight,
-    /// Jobs that are not over.
+    /// The number of jobs that are not over.
     pub open_jobs: usize,
 }
 
-/// The account of all organisations.
+/// All organisations that are known.
 #[derive(Debug, Default)]
 pub struct OrganisationTable {
     accounts: Vec<OrganisationAccount>,
@@ -95,8 +96,8 @@
 }
 
 impl OrganisationTable {
-    /// Takes in what the configuration says. One that it does not name any more keeps its last limit, as
-    /// long as this lead lasts.
+    /// Sets the limits and weights from the configuration. An organisation that it no longer names
+    /// keeps its last limit while this lead lasts.
     pub fn set_policies(&mut self, policies: &[OrganisationPolicy], now: Moment) {
         for policy in policies {
             let key = self.key_of(&policy.name, policy.maximum, now);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The handle of a job's owner.
+    /// Returns the key of a job's owner, which is added if it is not known.
     pub fn key_for_owner(&mut self, owner: &JobOwner, now: Moment) -> OrganisationKey {
         self.key_of(&owner.organisation, owner.maximum, now)
     }
@@ -134,10 +135,10 @@
         key
     }
 
-    /// Whether a job accepted at `now` is beyond what its organisation is due.
+    /// Whether a job accepted at `now` exceeds its organisation's share. Counts the job.
     pub fn exceeds_share(&mut self, key: OrganisationKey, now: Moment) -> bool {
         let account = &mut self.accounts[key.0];
-        // Of an organisation that the configuration does not name nothing is known to be due.
+        // An organisation that the configuration does not name has no known share.
         account.weight.0 > 0 && !account.share_bucket.take(account.weight, now)
     }
 
@@ -154,14 +155,14 @@
         account.running = left.expect("the need of each removed run was counted before");
     }
 
-    /// How many tasks that each need `need` may be started now.
+    /// Returns how many tasks of a given need may be started now.
     pub fn room_for(&self, key: Option<OrganisationKey>, need: &ResourceSet) -> usize {
         let Some(key) = key else { return usize::MAX };
         let count = self.accounts[key.0].room().capacity_for(need);
         usize::try_from(count).unwrap_or(usize::MAX)
     }
 
-    /// Whether more runs for an organisation, or may, than its limit allows by now.
+    /// Whether its runs, including possible ones, exceed its current limit.
     pub fn is_over_limit(&self, key: Option<OrganisationKey>) -> bool {
         let account = key.map(|key| &self.accounts[key.0]);
         account.is_some_and(|account| {
@@ -169,7 +170,7 @@
         })
     }
 
-    /// Leaves room under a limit to a step that waits, if it could ever run there.
+    /// Reserves room under a limit for a waiting step, unless the step could never fit under it.
     fn reserve(&mut self, key: OrganisationKey, need: &ResourceSet) {
         let account = &mut self.accounts[key.0];
         if account.limit.admits(need) {
@@ -211,12 +212,12 @@
 }
 
 impl Scheduler {
-    /// Takes in what the configuration says of organisations.
+    /// Sets the organisations' limits and weights from the configuration.
     pub fn set_organisations(&mut self, policies: &[OrganisationPolicy], now: Moment) {
         self.organisations.set_policies(policies, now);
     }
 
-    /// Gives a job that came in its owner.
+    /// Sets the owner of an added job.
     pub(super) fn set_owner(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.owner.is_none()) else { return };
         let Some(owner) = &job.record.owner else { return };
@@ -225,20 +226,20 @@
         job.over_share = self.organisations.exceeds_share(key, job.accepted);
     }
 
-    /// Puts a run on a worker.
+    /// Adds a run to a worker and to its organisation.
     pub(super) fn add_run(&mut self, key: WorkerKey, task: CellTask, run: WorkerRun) {
         self.organisations.take(&run);
         self.workers[key.0].add_run(task, run);
     }
 
-    /// A run is gone from a worker.
+    /// Removes a run from a worker and from its organisation.
     pub(super) fn remove_run(&mut self, key: WorkerKey, task: &CellTask) -> Option<WorkerRun> {
         let run = self.workers[key.0].remove_run(task)?;
         self.organisations.give_back(&run);
         Some(run)
     }
 
-    /// Counts what earlier leads may have started on workers that did not answer yet.
+    /// Counts what earlier leads may have started on workers that have not reported yet.
     pub(super) fn count_unconfirmed(&mut self, unix_ms: u64) {
         let mut needs: HashMap<OrganisationKey, ResourceSet> = HashMap::new();
         let mut unheard_capacity = ResourceSet::default();
@@ -258,8 +259,8 @@
         self.organisations.set_unconfirmed(&needs, &unheard_capacity);
     }
 
-    /// How many tasks of a step its organisation may start now, of `waiting` that wait. A gang starts whole
-    /// or not at all.
+    /// Returns how many of a step's `waiting` tasks its organisation's limit allows to start now. A
+    /// gang starts as a whole or not at all.
     pub(super) fn allowed_tasks(
         &mut self,
         id: JobId,
@@ -280,19 +281,19 @@
         allowed
     }
 
-    /// Whether a job goes after all that is due to other organisations: the burst of one should cost the others
-    /// nothing that their shares cover.
+    /// Whether a job ranks after all jobs within the organisations' shares, so that a burst of one
+    /// organisation does not delay what the others' shares cover.
     pub(super) fn is_over_share(&self, job: &ActiveJob) -> bool {
         self.timing.policy.sharing == SharingMode::DueFirst && job.over_share
     }
 
-    /// Begins a turn, in which nothing is kept yet.
+    /// Drops all reservations under limits, at the start of a turn.
     pub(super) fn clear_reservations(&mut self) {
         self.organisations.clear_reservations();
     }
 
-    /// Leaves room under the limit of its organisation to the tasks of a step that wait still: what is
-    /// ranked after it would take each bit of room that comes free, and a gang would never find enough.
+    /// Reserves room under the organisation's limit for the remaining tasks of a step. Lower-ranked
+    /// steps would otherwise take all room that becomes free, and a gang would never find enough.
     pub(super) fn reserve_limit_room(
         &mut self,
         candidate: &Candidate,
@@ -308,7 +309,7 @@
         }
     }
 
-    /// What operators are shown of the organisations.
+    /// Returns figures about all organisations.
     pub fn organisation_stats(&self) -> Vec<OrganisationStats> {
         let mut open_jobs = vec![0; self.organisations.accounts.len()];
         for key in self.jobs.values().filter_map(|job| job.owner) {
@@ -326,7 +327,7 @@
     }
 }
 
-/// What may run of a job that an earlier lead ordered, beside what is known to run.
+/// Returns the need of a job's tasks that an earlier lead may have started, without its known runs.
 fn unconfirmed_need(job: &ActiveJob, unix_ms: u64) -> ResourceSet {
     let mut sum = ResourceSet::default();
     for step in 0..job.steps.len() {
