--- a/crates/sedgehill-cell/src/scheduler/placement.rs
+++ b/crates/sedgehill-cell/src/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Which waiting steps get room and advice.
+//! Places the tasks of waiting steps on workers, in the order of the steps' ranks.
 
 use super::isolation::{split_alone, stage_of};
 use super::rank::{JobRank, StepRank, rank_job};
@@ -10,19 +10,20 @@
 use crate::suspicion::SuspectStage;
 use sedgehill_core::units::{Moment, ResourceSet};
 
-/// Where the tasks of a step go.
+/// Task indexes and the workers chosen for them.
 pub(super) type Assignment = Vec<(u16, WorkerKey)>;
 
-/// Tasks of a step that found no room.
+/// The numbers of a step's tasks that found no room.
 #[derive(Debug, Clone, Copy, Default)]
 struct UnplacedTasks {
-    /// Those that want a worker of their own.
+    /// Tasks that must run alone.
     alone: usize,
     others: usize,
 }
 
 impl Scheduler {
-    /// Starts what can be started, and asks for the advice that is missing, best ranked first.
+    /// Starts whatever can be started and requests missing advice, in the order of the steps'
+    /// ranks.
     pub(super) fn place_all(&mut self, now: Moment) {
         self.predict_restarts(now);
         self.suspects_seen = self.suspects_seen && self.jobs.values().any(ActiveJob::has_suspects);
@@ -50,10 +51,12 @@
         let mut ranked = Vec::new();
         let mut blocked = Vec::new();
         for job in self.jobs.values() {
-            // A task of a job that an earlier lead marked as ordered may run unseen. It cannot have
-            // begun one of another job: since this lead fenced the store, no mark of it is kept.
-            // A job that a later lead marked is that lead's alone: this one has not read yet that it was replaced,
-            // and would start tasks beside its successor's on workers that have not heard of that.
+            // While the take-over is not settled, a task may run unknown to this lead if an earlier
+            // lead recorded the start flag of its job. Other jobs are safe: since this lead fenced
+            // the store, no start flag of an earlier lead is kept. A job whose flag a later lead
+            // recorded belongs to that lead. This one has not read yet that it was replaced, and
+            // would start tasks beside those of its successor, on workers that have not heard of
+            // it.
             let blocked_by = match job {
                 job if job.led_elsewhere => Some(StallReason::LaterLead),
                 job if !settled && job.unsettled_starts => Some(StallReason::EarlierLead),
@@ -69,7 +72,8 @@
                 }
                 let waiting = self.waiting_groups(job, step, now);
                 for candidate in waiting.candidates(job.id, step) {
-                    // Of the long-running tasks that stand for themselves it is known where they may run.
+                    // A long-running task outside a gang is a candidate for a restart only if it is
+                    // known where it may run.
                     let location_known = candidate.restarts && !job.step_spec(step).gang;
                     if let Some(reason) = blocked_by
                         && !(location_known && reason == StallReason::EarlierLead)
@@ -96,12 +100,13 @@
         ranked.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
-    /// The rank of a step by its job.
+    /// Returns the rank of a step's job.
     pub(super) fn rank_of(&self, job: &ActiveJob, step: usize, now: Moment) -> JobRank {
         rank_job(job, step, &self.timing.policy, self.unix_ms_at(now), now)
     }
 
-    /// Starts what can be started of a step, and asks for advice that is missing. Returns what the others wait for.
+    /// Starts tasks of a step where possible, and requests missing advice. Returns what the
+    /// remaining tasks wait for; none if none remain.
     fn place_step(
         &mut self,
         candidate: &Candidate,
@@ -167,7 +172,7 @@
         })
     }
 
-    /// Starts those of the tasks that wait for which there is room. Returns how many are left.
+    /// Starts those of the waiting tasks that find room. Returns how many remain.
     fn start_waiting(
         &mut self,
         candidate: &Candidate,
@@ -271,7 +276,8 @@
         let gang_run = highest.unwrap_or_default().next();
         let step = &job.steps[candidate.step];
         let (first, step_id) = (step.first_task, step.id);
-        // Any member's saved state serves for its gang, and all must bring the same.
+        // A gang can resume from the saved state of any member, and all members must start from the
+        // same one.
         let saved = job.step_tasks(candidate.step).iter().map(|task| &task.progress.checkpoint);
         let gang_checkpoint =
             saved.filter(|text| !text.is_empty()).max().cloned().unwrap_or_default();
@@ -309,7 +315,7 @@
         }
     }
 
-    /// Puts a run on a worker, and orders its start at once or when it is recorded.
+    /// Adds a run to a worker, and sends its start at once or queues it until it is recorded.
     fn order_start(&mut self, start: StartPlan, need: ResourceSet, now: Moment) {
         let ahead = start.record != StartRecord::None;
         let (key, task, run) = (start.worker, start.task, start.run);
@@ -329,7 +335,7 @@
             phase: if ahead { RunPhase::Recording } else { RunPhase::Ordered },
             listed_from: None,
             since: now,
-            // A long-running task is never overdue: its estimate is the time that its start takes.
+            // A long-running task is never overdue: its estimate only covers its start-up.
             expected: (!long_running).then_some(TimeSpan((estimate * factor) as u64)),
             overdue: false,
             alone: start.alone,
@@ -349,7 +355,7 @@
         }
     }
 
-    /// Orders the start of a run that has its place.
+    /// Sends the start of a run that has been added to a worker.
     pub(super) fn send_start(
         &mut self,
         key: WorkerKey,
@@ -390,7 +396,7 @@
     }
 }
 
-/// The rank that the steps of one repetition share, kept while the steps of a job are gone through.
+/// Caches the rank shared by the steps of one repetition while the steps of a job are visited.
 #[derive(Default)]
 struct RepetitionRanks {
     last: Option<(u32, JobRank)>,
@@ -405,7 +411,7 @@
     }
 }
 
-/// Takes room for one task from the list.
+/// Takes one place from the list and returns its worker.
 fn take_slot(rooms: &mut Vec<(WorkerKey, usize)>, choice: usize) -> WorkerKey {
     let key = rooms[choice].0;
     rooms[choice].1 -= 1;
