--- a/crates/sedgehill-cell/src/scheduler/policy.rs
+++ b/crates/sedgehill-cell/src/scheduler/policy.rs
@@ -1,32 +1,34 @@
-//! Which mechanisms of policy are at work.
+//! Switches for the scheduler's policies.
 
 use std::str::FromStr;
 
 use quick_error::quick_error;
 
-/// Who goes first when there is not room for all organisations.
+/// The order of organisations when there is not enough room for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SharingMode {
-    /// Jobs are ranked whosever they are; limits alone bound an organisation.
+    /// Jobs are ranked regardless of their organisation, which only its limit bounds.
     LimitsOnly,
-    /// What an organisation sends beyond its weight in jobs a second goes after all that is due.
+    /// Jobs beyond an organisation's share, its weight in jobs a second, rank after all jobs within
+    /// the shares.
     DueFirst,
 }
 
-/// What an organisation's limit leaves to work that is ranked after a step which waits for it.
+/// The room under an organisation's limit that lower-ranked steps may use while a step waits for
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitOrder {
     /// Whatever fits.
     Backfill,
-    /// What no step that waits needs.
+    /// What no waiting step of higher rank needs.
     InOrder,
 }
 
 quick_error! {
-    /// Why a text is no order under a limit.
+    /// An error in the name of a limit order.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum LimitOrderError {
-        /// There is no such order.
+        /// There is no limit order of this name.
         Unknown(found: String) {
             display("expected `backfill` or `in-order`, found `{found}`")
         }
@@ -46,10 +48,10 @@
 }
 
 quick_error! {
-    /// Why a text is no way of sharing.
+    /// An error in the name of a sharing mode.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SharingError {
-        /// There is no such way.
+        /// There is no sharing mode of this name.
         Unknown(found: String) {
             display("expected `limits-only` or `due-first`, found `{found}`")
         }
@@ -68,28 +70,29 @@
     }
 }
 
-/// Which mechanisms of policy are at work. Each can be switched off, to see what it is worth.
+/// Policies that can be switched off, to measure what each contributes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CellPolicy {
-    /// Questions to the advice service also name workers without room, while that costs little more.
+    /// Questions to the advice service also name workers without room, while that costs little
+    /// more.
     pub fill_questions: bool,
-    /// Less urgent work that saves its state makes room for urgent work.
+    /// Less urgent work that saves its state is stopped to make room for urgent work.
     pub displacement: bool,
-    /// Jobs that have much time leave room to late ones that still earn.
+    /// Jobs that can start much later rank after late ones that still have value.
     pub patience: bool,
-    /// Workers are chosen by how fast they were seen to be.
+    /// Workers are chosen by their observed speed.
     pub pace: bool,
-    /// Workers that fail or crawl get no work for a time.
+    /// Workers with repeated failed or overdue runs get no work for a time.
     pub shunning: bool,
-    /// Runs that hardly get on are moved.
+    /// Runs that take far too long on an untrusted worker are moved.
     pub stragglers: bool,
     /// Some boxes are kept free of long questions.
     pub short_only: bool,
-    /// Accounts wait less while calls to workers get lost.
+    /// Holds wait for less time while calls to workers are often lost.
     pub short_accounts: bool,
-    /// Who goes first when there is not room for all organisations.
+    /// The order of organisations when there is not enough room for all.
     pub sharing: SharingMode,
-    /// What a limit leaves to work that is ranked later.
+    /// The room under a limit that lower-ranked steps may use.
     pub limit_order: LimitOrder,
 }
 
