--- a/crates/sedgehill-cell/src/scheduler/questions.rs
+++ b/crates/sedgehill-cell/src/scheduler/questions.rs
@@ -1,8 +1,8 @@
-//! Which workers a question to the advice service names.
+//! Selects the workers that a question to the advice service names.
 //!
-//! Which workers are good for a step never changes, while tickets end. So a question names those whose
-//! tickets could give the step room now, and then, as long as that costs little more time, workers that
-//! were never asked about: later questions can do without them.
+//! Whether a worker may run a step never changes, while tickets expire. A question therefore names
+//! the workers whose tickets could let the step start now. As long as that costs little more time,
+//! it also names workers that were never asked about, so that later questions need not.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -17,52 +17,54 @@
 use crate::ids::StepId;
 use crate::job::StepSpec;
 
-/// Workers named in one question, at the most, as the advice service allows.
+/// The most workers that the advice service accepts in one question.
 pub(super) const MAX_WORKERS_PER_QUESTION: usize = 100;
-/// Room to ask for, as a multiple of what the step needs: others take some of it meanwhile.
+/// Places to ask for, as a multiple of what the step needs, since other steps take some of them
+/// meanwhile.
 const ROOM_FACTOR: f64 = 1.6;
-/// The same for gangs, which need all of it at once: what is missing costs another question.
+/// The same for gangs, which need all places at once: each that is missing costs another question.
 const GANG_ROOM_FACTOR: f64 = 3.0;
-/// A question is filled up with unknown workers while it costs at most this many hundredths of what it
-/// costs without them.
+/// A question is filled up with unknown workers while it costs at most this percentage of its cost
+/// without them.
 const FILL_COST_PERCENT: u64 = 150;
-/// Questions for one gang at once: one names some thirty good workers at the most, each with room for one to
-/// three members, and a wide gang needs more before the first tickets end.
+/// Questions in flight for one gang. One question names at most some thirty workers that may run
+/// it, each with room for one to three members, and a wide gang needs more before the first tickets
+/// expire.
 const MAX_GANG_QUESTIONS: usize = 3;
-/// Questions for a step at once that has long-running tasks which lost their run.
+/// Questions in flight for a step whose long-running tasks lost their run.
 const MAX_RESTART_QUESTIONS: usize = 2;
-/// How long a question that failed is not repeated.
+/// Time from a failed question to the next one for the step.
 const ASK_BACKOFF: TimeSpan = TimeSpan(60);
 
-/// Room on a worker that a question could name. The order is that in which workers are named.
+/// A worker that a question could name. The field order is the order in which workers are named.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QuestionCandidate {
-    /// The worker did badly, and the step would try it again.
+    /// The worker is not trusted, and the gang would try it again.
     untrusted: bool,
     /// It was never asked about.
     unknown: bool,
     most_places: Reverse<usize>,
     rotation: usize,
-    /// Tasks that it has room for.
+    /// The number of tasks that fit on it.
     places: usize,
     key: WorkerKey,
 }
 
-/// The room that tickets could open to a step.
+/// Places for the tasks of a step, by what is known of their workers.
 #[derive(Debug, Default)]
 struct AdvicePlaces {
     candidates: Vec<QuestionCandidate>,
-    /// Places on workers with tickets.
+    /// Places on workers with valid tickets.
     usable: usize,
-    /// Places that questions under way are expected to open, and the most that they may.
+    /// Places that questions in flight are expected to open.
     expected: f64,
-    /// See above.
+    /// The most places that questions in flight can open.
     expected_max: usize,
 }
 
 impl Scheduler {
-    /// Asks which workers may run a step, if there is room that an answer could open. Returns what the step waits
-    /// for.
+    /// Asks which workers may run a step, if there is room that an answer could open. Returns what
+    /// the step waits for.
     pub(super) fn request_advice(
         &mut self,
         candidate: &Candidate,
@@ -76,7 +78,7 @@
         let advice = &job.steps[candidate.step].advice;
         let max_questions = match spec.gang {
             true => MAX_GANG_QUESTIONS,
-            // One for tasks that never ran may be under way.
+            // A question for tasks that never ran may also be in flight.
             false if candidate.restarts => MAX_RESTART_QUESTIONS,
             false => 1,
         };
@@ -86,7 +88,7 @@
         if now < advice.retry_at {
             return StallReason::RecentFailure;
         }
-        // Which workers to name takes far longer to find than whether anybody could ask.
+        // Checked first, because selecting the workers to name takes much longer.
         let urgency = match candidate.restarts || self.starved_step == Some(*candidate) {
             true => QuestionUrgency::Urgent,
             false => QuestionUrgency::Normal,
@@ -129,13 +131,13 @@
         StallReason::AwaitingAdvice
     }
 
-    /// What share of the workers is taken as good for a step of a queue that was not asked about.
+    /// The share of workers that is assumed to be allowed to run a step of the queue.
     pub(super) fn allowed_share(&self, queue: &QueueName) -> f64 {
         self.shares.get(queue).copied().unwrap_or_default().share()
     }
 
-    /// The workers whose tickets could give the step enough room: those known as good first, then
-    /// those with the most room. Otherwise why it would be of no use to ask.
+    /// Selects workers whose tickets could give the step enough room: first those that may run it,
+    /// then those with the most room. Returns the reason if asking would not help.
     fn select_workers(
         &self,
         candidate: &Candidate,
@@ -163,9 +165,10 @@
                     false => self.no_candidates_reason(candidate, job, spec, now),
                 });
             }
-            // The share is that of other steps, and nothing but a question about this one tells whether it holds
-            // here: gangs for which it expected too little stood to the end beside room for them twice over. Each
-            // worker is asked about once, so it costs the step one question for each hundred workers.
+            // The share was learned from other steps, and only a question about this one shows
+            // whether it holds here: gangs for which too little room was expected stalled for good
+            // beside twice the room that they needed. Each worker is asked about once, so this
+            // costs one question for each hundred workers.
             candidates.retain(|entry| entry.unknown);
             if candidates.is_empty() {
                 return Err(StallReason::TooLittleExpectedRoom);
@@ -192,7 +195,7 @@
         Ok(named)
     }
 
-    /// The room that tickets could open to a step.
+    /// Counts the places of a step by what is known of their workers.
     fn advice_places(
         &self,
         candidate: &Candidate,
@@ -207,9 +210,9 @@
         let displaces = job.record.policy.priority < open.least_urgent
             && !spec.gang
             && self.has_value(candidate, job, now);
-        // Steps that ask at the same moment should not all name the same of many like workers.
+        // Steps that ask at the same time should not all name the same of many equal workers.
         let offset = (job.id.0 % self.workers.len() as u64) as usize;
-        // Tickets for workers on which others run are of no use to tasks that want one of their own.
+        // Tasks that must run alone cannot use tickets for workers on which other jobs run.
         let is_alone = split_alone(job, candidate.step, waiting).1.is_empty();
         let mut result = AdvicePlaces::default();
         for key in open.list.iter().copied() {
@@ -247,7 +250,7 @@
         result
     }
 
-    /// Why there is nobody to ask about.
+    /// Returns why no worker is left to ask about.
     pub(super) fn no_candidates_reason(
         &self,
         candidate: &Candidate,
@@ -281,7 +284,7 @@
     }
 
     /// Adds workers that were never asked about, whether they have room now or not, as long as the
-    /// question costs little more than it does anyway.
+    /// question costs little more.
     fn fill_question(
         &self,
         candidate: &Candidate,
@@ -309,7 +312,8 @@
         }
     }
 
-    /// Whether a worker might run the step once it has room. What never answered may be no worker.
+    /// Whether a worker could run the step once it has room. A worker that has never answered may
+    /// not exist.
     fn could_ever_run(
         &self,
         key: WorkerKey,
@@ -328,7 +332,7 @@
             && spec.label.as_ref().is_none_or(|label| entry.labels.contains(label))
     }
 
-    /// Takes in an answer of the advice service, or that there is none.
+    /// Processes an answer of the advice service, or its absence.
     pub fn advice_answered(
         &mut self,
         question: &AdviceQuestion,
@@ -342,7 +346,7 @@
         let took = sent.map(|sent| now.since(sent));
         self.events.push(CellEvent::AdviceReceived { step, helper, allowed, took });
         let Some(answer) = answer else {
-            // Of a question that was given up before, nothing is left to forget.
+            // A question that had been given up is already removed.
             if sent.is_some() {
                 self.drop_question(helper, step, now);
             }
@@ -351,7 +355,7 @@
         let Some(job) = self.jobs.get_mut(&question.step.job) else { return };
         let Some(step) = job.step_index(&question.step) else { return };
         let advice = &mut job.steps[step].advice;
-        // What is said of an id is of the life that was there when it was asked about.
+        // An answer about an id applies to the life that was there when it was asked about.
         let asked = advice.workers_asked(question.helper);
         let key_of = |id: &WorkerId| {
             let newest = self.ids.get(id).copied();
@@ -363,7 +367,7 @@
         };
         advice.remove_question(question.helper);
         let keys: Vec<WorkerKey> = question.workers.iter().filter_map(&key_of).collect();
-        // Workers that were known as good before tell nothing about the others.
+        // Workers known to be allowed before say nothing about the share among the others.
         let new: Vec<WorkerKey> =
             keys.iter().copied().filter(|key| !advice.known.contains_key(key)).collect();
         advice.known.extend(keys.into_iter().map(|key| (key, None)));
@@ -375,7 +379,7 @@
         }
         let allowed =
             new.iter().filter(|key| matches!(advice.known.get(key), Some(Some(_)))).count();
-        // Of answers that were doubted the same was learned before.
+        // After a recheck, the same workers have already been counted.
         if advice.rechecks > 0 {
             return;
         }
@@ -383,7 +387,7 @@
         share.learn(allowed, new.len());
     }
 
-    /// The answer to a question is overdue.
+    /// Notes that the answer to a question is overdue.
     pub(super) fn mark_question_overdue(&mut self, helper: HelperId, step: StepId) {
         self.events.push(CellEvent::AdviceOverdue { step, helper });
         let Some(job) = self.jobs.get_mut(&step.job) else { return };
