--- a/crates/sedgehill-cell/src/scheduler/rank.rs
+++ b/crates/sedgehill-cell/src/scheduler/rank.rs
@@ -1,47 +1,48 @@
-//! The order in which steps get room and advice.
+//! Ranks waiting steps for room and advice.
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
 use super::active_job::ActiveJob;
 use super::policy::CellPolicy;
 
-/// A late job still earns a part of its worth until this many times its objective.
+/// A late job still has a part of its value until this many times its objective.
 const LATE_FACTOR: u64 = 3;
 
-/// A job that can begin so much later and still meet its objective leaves room to those that cannot, late ones that
-/// still earn a part among them.
+/// A job that could start this much later and still meet its objective leaves room to jobs that
+/// could not, including late jobs with remaining value.
 const DEFERRABLE_SLACK: TimeSpan = TimeSpan(6_000);
 
-/// What a job can still earn.
+/// The value that a job still has, and how urgently it must start to keep it. Lower classes rank
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ValueClass {
-    /// It can end within its objective if it begins soon.
+    /// It meets its objective if it starts soon.
     OnTime,
-    /// It can end while it still earns a part.
+    /// It misses its objective, but keeps a part of its value.
     Late,
-    /// It can end within its objective though it begins later.
+    /// It meets its objective even if it starts later.
     Deferrable,
-    /// It earns nothing any more, but has to end.
+    /// It has no value left, but must be completed.
     Worthless,
 }
 
-/// The place of a step among those that wait; the least goes first.
+/// The rank of a waiting step. The lowest goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepRank {
-    /// Long-running tasks that lost their run, by when. Their job is not judged by its age: it has no end of its own, and
-    /// one that lives for longer than its objective would come after everything else for good. They take no more
-    /// room than they had.
+    /// Long-running tasks that lost their run, by the time of the loss. They are not ranked by the
+    /// age of their job: it has no end, and once it is older than its objective it would rank after
+    /// everything else for good. They use no more room than they had.
     Restart(Moment),
-    /// Any other step, as its job.
+    /// Any other step, by the rank of its job.
     Job(JobRank),
 }
 
-/// The place of a job among those that wait; the least goes first.
+/// The rank of a job. The lowest goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
-    /// Jobs that earn nothing any more go last, whosever they are.
+    /// Jobs without value go last, whatever their organisation.
     worthless: bool,
-    /// What is due to organisations goes before what one of them sends beyond it.
+    /// Jobs beyond their organisation's share go after those within the shares.
     over_share: bool,
     value_class: ValueClass,
     priority: u32,
@@ -49,28 +50,28 @@
 }
 
 impl JobRank {
-    /// The same for a job that its organisation sent beyond what is due to it, or not.
+    /// Returns the rank of the same job with another `over_share`.
     pub fn with_over_share(self, over_share: bool) -> JobRank {
         JobRank { over_share, ..self }
     }
 
-    /// Whether the job still earns something.
+    /// Whether the job still has value.
     pub fn has_value(&self) -> bool {
         !self.worthless
     }
 }
 
-/// The latest moment at which what is left of a step's repetition can begin and meet the objective, by its estimates.
-/// `unix_ms` is the time of day at `now`.
+/// Returns the latest time at which the rest of a step's repetition can start and still meet the
+/// objective, by its estimates. `unix_ms` is the time of day at `now`.
 pub fn latest_start(job: &ActiveJob, step: usize, unix_ms: u64, now: Moment) -> u64 {
     let objective = job.record.objective().as_millis();
     let asked = job.objective_start(step, unix_ms, now);
     (asked.0 + objective).saturating_sub(job.remaining_chain(step).as_millis())
 }
 
-/// Ranks a step by its job: what can still earn first, then by priority, then by the latest start that would
-/// meet the objective. Each repetition is judged from the time at which it is due: from the acceptance of the job, the later ones
-/// would be late before their time has come.
+/// Ranks a job for one of its steps: by remaining value, then by priority, then by the latest start
+/// that meets the objective. The objective of each repetition counts from when it is due. Counted
+/// from the job's acceptance, later repetitions would be late before they are due.
 pub fn rank_job(
     job: &ActiveJob,
     step: usize,
@@ -87,7 +88,8 @@
         if policy.patience && !job.is_long_running() && latest_start > now.0 + DEFERRABLE_SLACK.0 {
             ValueClass::Deferrable
         } else if end <= accepted + objective || job.is_long_running() {
-            // A long-running job earns from whenever it begins, for as long as it lives: it is never late.
+            // A long-running job has value from whenever it starts, as long as it runs, so it is never
+            // late.
             ValueClass::OnTime
         } else if end <= accepted + LATE_FACTOR * objective {
             ValueClass::Late
