--- a/crates/sedgehill-cell/src/scheduler/record.rs
+++ b/crates/sedgehill-cell/src/scheduler/record.rs
@@ -1,11 +1,11 @@
-//! What goes into the store, in batches, and what follows once it is there.
+//! Batches progress for the store, and processes batches that have been recorded.
 
 use sedgehill_core::units::Moment;
 
 use super::*;
 
 impl Scheduler {
-    /// The next batch of progress to record, if any is due. One batch is under way at a time.
+    /// Returns the next batch to record, if one is due. One batch is in flight at a time.
     pub fn take_batch(&mut self, now: Moment) -> Option<ProgressBatch> {
         if self.next_batch - 1 > self.recorded {
             return None;
@@ -24,7 +24,8 @@
             .into_iter()
             .filter_map(|id| self.jobs.get(&id).map(|job| (id, job.progress())))
             .collect();
-        // Any record confirms that no later lead has fenced; the roster is at hand when there is no other.
+        // Any record confirms that no later lead has fenced this one. The roster is recorded if
+        // there is nothing else.
         let confirms = std::mem::take(&mut self.confirmation_wanted) && jobs.is_empty();
         let takes_roster = std::mem::take(&mut self.roster_changed) || confirms;
         let roster = takes_roster.then(|| self.next_roster(now));
@@ -36,28 +37,30 @@
         Some(batch)
     }
 
-    /// Whether no later lead can have given orders by `moment`. If that is not known, something is recorded to
-    /// find out: the store refuses it once a later lead has fenced.
+    /// Whether it is certain that no later lead had given orders by `moment`. If it is not known,
+    /// something is recorded to find out: the store refuses the record once a later lead has fenced
+    /// this one.
     ///
-    /// Time alone does not tell that a run has ended. A lead that was replaced and does not know it still holds
-    /// its term, while its successor may have renewed the lease of the run.
+    /// Time alone does not prove that a run has ended. A lead that was replaced without knowing
+    /// still believes in its term, while its successor may have renewed the lease of the run.
     pub(super) fn was_sole_lead_at(&mut self, moment: Moment) -> bool {
         let confirmed = self.lead_confirmed_at >= moment;
-        // A batch that was taken since then will tell.
+        // A batch taken since then will show it.
         if !confirmed && self.batch_taken < moment {
             self.confirmation_wanted = true;
         }
         confirmed
     }
 
-    /// A batch is in the store.
+    /// Processes a batch that has been recorded.
     pub fn batch_recorded(&mut self, batch: &ProgressBatch) {
         self.recorded = batch.number;
         if is_sent(batch) {
             self.lead_confirmed_at = self.batch_taken;
         }
         for entry in batch.roster.iter().flat_map(|roster| &roster.workers) {
-            // Meanwhile the life may have been listed at another address, which no roster holds yet.
+            // The life may have been listed at another address since, which is in no recorded
+            // roster yet.
             if let Some(key) = self.lives.get(&entry.life)
                 && self.workers[key.0].entry.address == entry.address
             {
@@ -77,7 +80,7 @@
     }
 }
 
-/// Whether a batch holds anything: an empty one is not sent to the store.
+/// Whether a batch is sent to the store; an empty one is not.
 fn is_sent(batch: &ProgressBatch) -> bool {
     !batch.jobs.is_empty() || batch.roster.is_some()
 }
