--- a/crates/sedgehill-cell/src/scheduler/reports.rs
+++ b/crates/sedgehill-cell/src/scheduler/reports.rs
@@ -1,4 +1,4 @@
-//! Accounts of workers: leases, what runs, and runs that are gone.
+//! Processes workers' reports: renews leases, takes in running and ended runs, and finds lost ones.
 
 use sedgehill_core::units::{Moment, ResourceSet};
 
@@ -32,7 +32,7 @@
         self.events.push(CellEvent::RunLost { task, run, worker: life.clone(), cause });
         self.release_task(&task, run, now, None);
         if removed.as_ref().is_some_and(|entry| entry.seen) {
-            // It may have ended at any time since then.
+            // It may have ended at any time since the last answer.
             let heard = self.workers[key.0].last_answer_at.unwrap_or(now);
             self.note_run_ended(&task, RestartCause::WorkerLost, heard);
         }
@@ -42,7 +42,7 @@
         self.finish_if_over(task.step.job, now);
     }
 
-    /// What to ask of a worker now.
+    /// Returns the hold to send to a worker now.
     pub fn hold_order(&mut self, key: WorkerKey, store_answers: bool, now: Moment) -> HoldOrder {
         let recorded = self.recorded;
         let worker = &mut self.workers[key.0];
@@ -50,13 +50,13 @@
             true => self.timing.lease,
             false => self.timing.max_lease,
         };
-        // A silent worker may hear what it does not answer: asking it only to look lets its lease
-        // come to an end, after which its tasks can run elsewhere.
+        // A silent worker may still receive holds. Without renewals its lease ends, after which its
+        // tasks can run elsewhere.
         let lease_until = match worker.silent_calls {
             0 => worker.extend_lease(now, lease),
             _ => None,
         };
-        // An account that gets lost hides every end until it is given up.
+        // A lost report delays the run ends in it until the call times out.
         let lossy = self.timing.policy.short_accounts && self.call_losses.is_high();
         let wait = match lease_until {
             Some(_) if lossy => self.timing.hold_wait_lossy,
@@ -70,7 +70,7 @@
         HoldOrder { lease_until, acknowledged: worker.acknowledged_to, wait, token: worker.token }
     }
 
-    /// Takes in what came of a hold that was sent at `sent`.
+    /// Processes the result of a hold that was sent at `sent`.
     pub fn hold_answered(
         &mut self,
         key: WorkerKey,
@@ -108,7 +108,7 @@
                 self.workers[key.0].await_record(end.number, batch);
             }
         }
-        // What ran at the time of an older account, one that was overtaken, tells nothing any more.
+        // A report that was asked for before a newer one says nothing about what runs now.
         if sent < self.workers[key.0].report_asked_at {
             return;
         }
@@ -120,7 +120,7 @@
         self.resolve_as_alive(key, &report, sent);
     }
 
-    /// Takes in a row of a run.
+    /// Processes a run that a worker reports as running.
     fn take_running(&mut self, key: WorkerKey, row: &RunningRow, now: Moment) {
         let id = row.task.step.job;
         if let Some(entry) = self.workers[key.0].runs.get_mut(&row.task) {
@@ -194,8 +194,8 @@
         job.step_index(&task.step).is_some_and(|step| job.step_spec(step).long_running)
     }
 
-    /// A run of a job that is over and forgotten: it is stopped, and until it is gone the worker
-    /// takes no work, since its need is not known.
+    /// Tracks and stops a run of a job that is over and forgotten. Until it has ended the worker
+    /// takes no work, since the run's need is not known.
     fn track_unknown(&mut self, key: WorkerKey, row: &RunningRow, now: Moment) {
         self.track_run(key, row, None, now);
         self.report_unwanted(key, row, now);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Runs that an account, asked for late enough, does not list are gone.
+    /// Drops runs that a report does not list although it was asked for late enough to list them.
     fn drop_unlisted(&mut self, key: WorkerKey, report: &HoldReport, sent: Moment, now: Moment) {
         let worker = &self.workers[key.0];
         let listed = |task: &CellTask| report.running.iter().any(|row| row.task == *task);
@@ -237,7 +237,7 @@
         }
     }
 
-    /// The runs of a worker that has been silent for longer than any lease have ended.
+    /// Drops the runs of workers that have been silent for longer than any lease.
     pub(super) fn expire_leases(&mut self, now: Moment) {
         for number in 0..self.workers.len() {
             let worker = &self.workers[number];
