--- a/crates/sedgehill-cell/src/scheduler/restart.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart.rs
@@ -1,8 +1,9 @@
-//! Tasks of long-running steps that lost their run.
+//! Tracks long-running tasks that lost their run.
 //!
-//! Such a task serves users for as long as its job lives, and has to run again within seconds of losing its run. What is kept of a
-//! step does not tell of it: the step has other tasks running, and its job was accepted long ago. Each such task is kept
-//! here from the loss of its run until a worker says that the next one is there.
+//! Such a task serves users for as long as its job lives, and must run again within seconds of
+//! losing its run. The state of its step does not show that: other tasks of the step run, and the
+//! job was accepted long ago. Each such task is therefore tracked here from the loss of its run
+//! until a worker says that the next one is there.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,26 +15,26 @@
 use super::stall::StallReason;
 use super::*;
 
-/// A task that has had no run for so long is told of.
+/// A task without a run for this long is reported.
 const REPORT_AFTER: TimeSpan = TimeSpan(3_000);
-/// It is told of again so much later.
+/// The interval between further reports of one task.
 const REPORT_INTERVAL: TimeSpan = TimeSpan(3_000);
-/// Room and tickets are looked for so long before the lease of a silent worker ends: a dear question takes about as long, and
-/// tickets are valid for longer.
+/// Room and tickets are sought this long before the lease of a silent worker ends. An expensive
+/// question takes about as long, and tickets are valid for longer.
 const RESTART_LOOKAHEAD: TimeSpan = TimeSpan(1_500);
-/// Room for the tasks of a step is looked for this often: the look goes over all that runs.
+/// The interval between searches for room for one step, since a search looks at all runs.
 const SEARCH_INTERVAL: TimeSpan = TimeSpan(100);
-/// Tasks that are told of in one turn, at the most.
+/// The most tasks that are reported in one turn.
 const MAX_REPORTS_PER_TURN: usize = 4;
 
-/// What took the last run of a long-running task.
+/// How a long-running task lost its run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestartCause {
-    /// It ended.
+    /// The run ended.
     Ended(RunEnd),
-    /// Its worker was lost, or did not list it any more.
+    /// The worker was lost, or no longer reported the run.
     WorkerLost,
-    /// It had begun under an earlier lead, and no worker has it.
+    /// An earlier lead started the run, and no worker has it.
     EarlierLead,
 }
 
@@ -57,13 +58,13 @@
 /// A long-running task without a run.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingRestart {
-    /// Since when.
+    /// When it lost its run.
     pub since: Moment,
-    /// What took its last run.
+    /// How it lost its run.
     pub cause: RestartCause,
-    /// The gate that turned it back last.
+    /// What prevented its last restart; none if nothing has yet.
     reason: Option<StallReason>,
-    /// Steps that were ranked before it then.
+    /// The number of steps that ranked before it then.
     ahead: usize,
     reported_at: Option<Moment>,
 }
@@ -72,24 +73,24 @@
 #[derive(Debug, Default)]
 pub struct RestartTracker {
     due: BTreeMap<CellTask, PendingRestart>,
-    /// Steps with tasks on silent workers whose leases are about to end, in this turn.
+    /// Tasks on silent workers whose leases are about to end, by step. Computed each turn.
     expected: BTreeMap<StepId, ExpectedRestarts>,
-    /// When room was last looked for on all workers, by step.
+    /// When all workers were last searched for room, by step.
     searched: BTreeMap<StepId, Moment>,
 }
 
-/// Tasks of a step that are about to be due.
+/// Tasks of a step that will soon need a restart.
 #[derive(Debug, Clone, Copy)]
 struct ExpectedRestarts {
     tasks: usize,
-    /// Since when the first of them may have had no run: its worker was last heard then.
+    /// The earliest moment at which one of their workers was last heard.
     from: Moment,
-    /// How long the first of their leases lasts at the most.
+    /// The time until the first of their leases has ended.
     left: TimeSpan,
 }
 
 impl RestartTracker {
-    /// A task lost its run. One that was due already stays due since then.
+    /// Adds a task that lost its run. A task that is already tracked keeps its start time.
     fn add(&mut self, task: CellTask, cause: RestartCause, now: Moment) {
         let due = PendingRestart { since: now, cause, reason: None, ahead: 0, reported_at: None };
         self.due.entry(task).or_insert(due);
@@ -99,34 +100,35 @@
         self.due.remove(task);
     }
 
-    /// Whether no task is due, or about to be.
+    /// Whether no task needs a restart, or soon will.
     pub fn is_empty(&self) -> bool {
         self.due.is_empty() && self.expected.is_empty()
     }
 
-    /// How many tasks of a step are about to be due.
+    /// Returns the number of tasks of a step that will soon need a restart.
     pub fn expected(&self, step: StepId) -> usize {
         self.expected.get(&step).map_or(0, |expected| expected.tasks)
     }
 
-    /// What is known of a task that is due.
+    /// Returns the state of a task that needs a restart.
     pub fn get(&self, task: &CellTask) -> Option<&PendingRestart> {
         self.due.get(task)
     }
 
-    /// Since when a task of a step has had no run that is due, or is due once a stop is over.
+    /// Returns the earliest time since which a task of a step has had no run. Includes tasks whose
+    /// lease ends within `stop`.
     pub fn due_since(&self, step: StepId, stop: TimeSpan) -> Option<Moment> {
         let due = self.due.range(tasks_of(step)).map(|(_, due)| due.since);
         let expected = self.expected.get(&step).filter(|expected| expected.left <= stop);
         due.chain(expected.map(|expected| expected.from)).min()
     }
 
-    /// The gate that turned a step back last.
+    /// Returns what prevented the last restart of a task of the step.
     pub fn last_reason(&self, step: StepId) -> Option<StallReason> {
         self.due.range(tasks_of(step)).find_map(|(_, due)| due.reason)
     }
 
-    /// Whether room may be looked for on all workers now; it counts as looked for then.
+    /// Whether all workers may be searched for room now. If so, the search counts as made.
     pub fn begin_search(&mut self, step: StepId, now: Moment) -> bool {
         let searched = self.searched.get(&step);
         let allowed = searched.is_none_or(|searched| now >= searched.after(SEARCH_INTERVAL));
@@ -145,12 +147,13 @@
     CellTask { step, index: 0 }..=CellTask { step, index: u16::MAX }
 }
 
-/// What waits of a step.
+/// The waiting tasks of a step, grouped by whether they need a restart.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingGroups {
-    /// Since when the first of the tasks is due that lost their run, or are about to; none if there is none.
+    /// The earliest loss among tasks that need a restart, or soon will; none if there is no such
+    /// task.
     pub(super) restart_due: Option<Moment>,
-    /// Others wait.
+    /// Other tasks wait too.
     others: bool,
 }
 
@@ -162,17 +165,17 @@
     }
 }
 
-/// Long-running tasks without a run, as shown to operators.
+/// Figures about long-running tasks without a run, for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RestartStats {
-    /// How many.
+    /// The number of tasks.
     pub tasks: usize,
-    /// The longest time that one of them has had none.
+    /// The longest time that one of them has had no run.
     pub longest: TimeSpan,
 }
 
 impl Scheduler {
-    /// A run that was there is over. A long-running task is due to run again.
+    /// Tracks a long-running task for a restart after its run is over.
     pub(super) fn note_run_ended(&mut self, task: &CellTask, cause: RestartCause, now: Moment) {
         let Some(job) = self.jobs.get(&task.step.job).filter(|job| !job.is_over()) else { return };
         let Some(step) = job.step_index(&task.step) else { return };
@@ -182,8 +185,9 @@
         }
     }
 
-    /// Before all that earlier leads did is settled: finds long-running tasks that lost their run, since the only worker that may have
-    /// had it was heard or has ended. One worker that is gone for good would hold up all of them otherwise.
+    /// Finds inherited long-running tasks that lost their run, before the take-over is settled: the
+    /// only worker that may have the run has reported, or has ended. Otherwise a single worker that
+    /// is gone for good would delay all of them.
     pub(super) fn find_settled_restarts(&mut self) {
         if self.take_over.settled || self.workers_listed_at.is_none() {
             return;
@@ -200,8 +204,8 @@
         }
     }
 
-    /// Whether the only worker that may have a run of a task was heard by this lead, so that it refuses orders of earlier
-    /// ones and what it runs is known, or has ended.
+    /// Whether the only worker that may have a run of the task has ended, or has reported to this
+    /// lead. In that case it refuses orders of earlier leads, and its runs are known.
     fn is_location_settled(&self, task: &ActiveTask) -> bool {
         let Some((life, by)) = &task.location else { return false };
         let worker = self.lives.get(life).map(|key| &self.workers[key.0]);
@@ -209,13 +213,13 @@
             && worker.is_some_and(|worker| worker.dead || worker.last_report_at.is_some())
     }
 
-    /// Whether a task may be started, as far as it may run by the orders of an earlier lead.
+    /// Whether the task may be started with regard to the orders of earlier leads.
     fn is_settled_task(&self, job: &ActiveJob, task: &ActiveTask) -> bool {
         self.take_over.settled || !job.unsettled_starts || self.is_location_settled(task)
     }
 
-    /// What earlier leads did is settled: long-running tasks that one of them started, and that no worker has, lost their
-    /// run before or during the change of leads.
+    /// Finds inherited long-running tasks that lost their run before or during the change of leads,
+    /// once the take-over is settled.
     pub(super) fn find_lost_restarts(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.unsettled_starts) else { return };
         let lost =
@@ -227,8 +231,9 @@
         }
     }
 
-    /// A worker says that a run is there. That a long-running task has run is recorded at once: a later lead would take one that
-    /// loses its run in the change of leads for a task that never began.
+    /// Notes that a worker has a run. For a long-running task this is recorded at once: if the run
+    /// was lost during a change of leads, the later lead would otherwise take the task for one that
+    /// never started.
     pub(super) fn note_run_confirmed(&mut self, task: &CellTask) {
         self.restarts.remove(task);
         let Some(job) = self.jobs.get(&task.step.job) else { return };
@@ -238,8 +243,9 @@
         }
     }
 
-    /// Finds the tasks that are about to be due: room and tickets for them are looked for before the lease of their silent
-    /// worker has ended, since the lease alone takes most of the time that users allow.
+    /// Finds tasks that will soon need a restart. Room and tickets for them are sought before the
+    /// lease of their silent worker has ended, since the lease alone takes most of the time that
+    /// users allow.
     pub(super) fn predict_restarts(&mut self, now: Moment) {
         self.restarts.expected.clear();
         self.restarts.searched.retain(|_, searched| now < searched.after(SEARCH_INTERVAL));
@@ -262,7 +268,7 @@
         }
     }
 
-    /// Long-running tasks on a worker that run for themselves and are wanted.
+    /// Returns the long-running tasks on a worker that are still wanted, without gang members.
     fn long_running_on(&self, worker: &WorkerState) -> Vec<CellTask> {
         let tasks = worker.runs.iter().filter(|(_, run)| run.long_running);
         let wanted = |task: &&CellTask| {
@@ -274,7 +280,7 @@
         tasks.map(|(task, _)| task).filter(wanted).copied().collect()
     }
 
-    /// What waits of a step now. The members of a gang stay together.
+    /// Groups the waiting tasks of a step. Gang members stay in one group.
     pub(super) fn waiting_groups(
         &self,
         job: &ActiveJob,
@@ -305,7 +311,7 @@
         parts
     }
 
-    /// The tasks that a candidate stands for.
+    /// Returns the waiting tasks in a candidate's group.
     pub(super) fn waiting_in_group(
         &self,
         candidate: &Candidate,
@@ -326,12 +332,12 @@
         waiting
     }
 
-    /// Whether what a candidate stands for still earns something.
+    /// Whether the tasks of a candidate still have value.
     pub(super) fn has_value(&self, candidate: &Candidate, job: &ActiveJob, now: Moment) -> bool {
         candidate.restarts || self.rank_of(job, candidate.step, now).has_value()
     }
 
-    /// Notes at which gate the tasks of a step were turned back that are due to run again.
+    /// Notes what prevented the restart of a step's tasks.
     pub(super) fn note_restart_stall(
         &mut self,
         candidate: &Candidate,
@@ -348,7 +354,7 @@
         }
     }
 
-    /// Drops tasks of jobs that are over, and tells of those that have had no run for long.
+    /// Drops tasks of jobs that are over, and reports tasks that have had no run for long.
     pub(super) fn report_late_restarts(&mut self, now: Moment) {
         if self.restarts.due.is_empty() {
             return;
@@ -382,7 +388,7 @@
         let has_fresh_worker_list = self.has_fresh_worker_list(now);
         let Some(due) = self.restarts.due.get_mut(&task) else { return };
         due.reported_at = Some(now);
-        // Where no worker is open at all, no step is looked at.
+        // If no worker is open, steps are not examined and there is no reason yet.
         let reason = match has_fresh_worker_list {
             true => due.reason.unwrap_or(StallReason::NoRoom),
             false => StallReason::StaleWorkerList,
@@ -398,7 +404,7 @@
         });
     }
 
-    /// The long-running tasks without a run.
+    /// Returns figures about long-running tasks without a run.
     pub fn restart_stats(&self, now: Moment) -> RestartStats {
         let spans = self.restarts.due.values().map(|due| now.since(due.since));
         RestartStats { tasks: self.restarts.due.len(), longest: spans.max().unwrap_or_default() }
