--- a/crates/sedgehill-cell/src/scheduler/restart_room.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart_room.rs
@@ -1,9 +1,10 @@
-//! Room and tickets for long-running tasks that are due to run again.
+//! Finds room and tickets for long-running tasks that need a restart.
 //!
-//! In a full cell the first rank alone does not help such a task: room that comes free bit by bit goes to whatever fits into
-//! it, and a ticket for a worker is not asked for before it has room, which others with tickets take meanwhile. So each such
-//! task reserves a worker that is known as good for it, where enough comes free the soonest, and its ticket is asked for
-//! while it waits.
+//! In a full cell, ranking first does not help such a task: room that becomes free in small pieces
+//! goes to whatever fits, and a ticket for a worker is not requested before it has room, which
+//! other steps with tickets take meanwhile. Each such task therefore reserves the worker, among
+//! those that may run it, where enough room becomes free soonest, and requests the ticket while it
+//! waits.
 
 use sedgehill_core::units::{Moment, ResourceSet, TimeSpan};
 
@@ -13,49 +14,51 @@
 use super::*;
 use crate::job::StepSpec;
 
-/// A reservation lasts so long, and is renewed with each turn while the task waits.
+/// How long a reservation lasts. It is renewed each turn while the task waits.
 const RESERVATION_SPAN: TimeSpan = TimeSpan(1_000);
-/// Less urgent runs that save their state are stopped where room would come free later than this.
+/// Less urgent runs that save their state are stopped where room would become free later than this.
 const MAX_WAIT_WITHOUT_STOPS: TimeSpan = TimeSpan(1_000);
-/// A worker where less urgent runs would have to be stopped counts as having room so much later.
+/// The wait that is assumed for a worker where less urgent runs must be stopped.
 const STOP_PENALTY: TimeSpan = TimeSpan(1_200);
-/// A task that has had no run for so long has other runs stopped as well: less urgent ones that save nothing, and any that
-/// save their state. Callers are promised its next run however full the cell is.
+/// A task without a run for this long may also have less urgent runs stopped that save no state,
+/// and runs of any urgency that do. Callers are promised a restart however full the cell is.
 const LAST_RESORT_AFTER: TimeSpan = TimeSpan(3_000);
-/// A worker where such runs would have to be stopped counts as having room so much later.
+/// The wait that is assumed for a worker where such runs must be stopped.
 const LAST_RESORT_PENALTY: TimeSpan = TimeSpan(2_000);
-/// What is taken as left of a run that takes longer than expected, or of which that is not known.
+/// The remaining time that is assumed for a run that takes longer than expected, or has no known
+/// estimate.
 const UNKNOWN_TIME_LEFT: TimeSpan = TimeSpan(1_000);
-/// A worker where the last run failed is chosen if it has room so much sooner than others.
+/// Added to the wait for a worker on which a run of the step's tasks failed last.
 const FAILED_THERE_PENALTY: TimeSpan = TimeSpan(500);
-/// Tickets asked for, for each task that waits: a worker may be lost meanwhile.
+/// Tickets requested for each waiting task, since a worker may be lost meanwhile.
 const TICKETS_PER_TASK: usize = 2;
-/// Good workers that a question should find for each task where too few are known.
+/// Workers allowed to run the step that a question should find for each task when too few are
+/// known.
 const ALLOWED_PER_TASK: f64 = 3.0;
-/// The least share of good workers that a question reckons with.
+/// The smallest share of allowed workers that is assumed when choosing how many to name.
 const MIN_ALLOWED_SHARE: f64 = 0.1;
 
-/// A worker that could take a task of a step; those that suit it best come first.
+/// A worker that could take a task of a step. The field order is the order of preference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RestartPlace {
     /// The step has not reserved it yet.
     is_new: bool,
-    /// Until there is room, by the estimates of what runs there or once less urgent runs are stopped.
+    /// The time until there is room, by the estimates of its runs or by stopping less urgent ones.
     wait: TimeSpan,
-    /// Runs have to be stopped for that.
+    /// Runs must be stopped to make room.
     stops: bool,
     key: WorkerKey,
 }
 
-/// Runs that are stopped for a task that is due to run again.
+/// Runs to stop for a task that needs a restart.
 struct RestartStops {
     runs: Vec<(CellTask, RunNumber, ResourceSet)>,
-    /// As how late room on their worker counts.
+    /// The wait that is assumed for their worker.
     wait: TimeSpan,
 }
 
 impl WorkerState {
-    /// How long it takes until a task fits; none if what runs there has no end.
+    /// Returns the time until a task fits; none if it never does, because runs there have no end.
     fn time_until_free(&self, need: &ResourceSet, stop: TimeSpan, now: Moment) -> Option<TimeSpan> {
         let mut free = self.free;
         if free.fits(need) {
@@ -77,7 +80,7 @@
     }
 }
 
-/// How long a run goes on, by its estimate; none if it has no end.
+/// Returns the remaining time of a run by its estimate; none if it has no end.
 fn time_left(run: &WorkerRun, stop: TimeSpan, now: Moment) -> Option<TimeSpan> {
     if matches!(run.phase, RunPhase::Stopping(_) | RunPhase::Stopped) {
         return Some(stop);
@@ -90,7 +93,8 @@
 }
 
 impl Scheduler {
-    /// Has `wanted` tasks that found no room reserve some and asks for their tickets. Returns what they wait for.
+    /// Reserves room and requests tickets for `wanted` tasks that found no room. Returns what they
+    /// wait for.
     pub(super) fn find_restart_room(
         &mut self,
         candidate: &Candidate,
@@ -108,8 +112,8 @@
         self.request_advice(candidate, spec, open, now)
     }
 
-    /// Keeps room for `wanted` tasks that found none: each reserves one worker. Where it would take long to come free,
-    /// less urgent runs are stopped.
+    /// Reserves one worker for each of `wanted` tasks, and stops less urgent runs where room would
+    /// take long to become free.
     fn reserve_restarts(
         &mut self,
         candidate: &Candidate,
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Stops runs on a reserved worker, once the task may be started there.
+    /// Stops runs on a reserved worker once the task has a ticket for it.
     fn stop_for_restart(
         &mut self,
         key: WorkerKey,
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Runs whose end makes room on a worker for a task that is due to run again.
+    /// Returns the runs to stop on a worker so that a task that needs a restart fits.
     fn stops_for_restart(
         &self,
         key: WorkerKey,
@@ -188,7 +192,8 @@
         Some(RestartStops { runs, wait: LAST_RESORT_PENALTY })
     }
 
-    /// The workers that may take a task of a step once they have room, apart from advice; the best first.
+    /// Returns the workers that can take a task of the step now or later, ignoring advice, the best
+    /// first.
     fn restart_places(
         &self,
         candidate: &Candidate,
@@ -231,8 +236,9 @@
         places
     }
 
-    /// The workers that a question for tasks that are due to run again names: those known as good where room is or comes
-    /// free the soonest, and unknown ones where these are too few. Otherwise why it would be of no use to ask.
+    /// Selects the workers that a question about tasks that need a restart names: those that may
+    /// run the step and have room soonest, and unknown ones if these are too few. Returns the
+    /// reason if asking would not help.
     pub(super) fn select_restart_workers(
         &self,
         candidate: &Candidate,
