--- a/crates/sedgehill-cell/src/scheduler/room.rs
+++ b/crates/sedgehill-cell/src/scheduler/room.rs
@@ -1,35 +1,36 @@
-//! Which workers have room for a step.
+//! Finds the workers that have room for a step.
 
 use super::*;
 use crate::job::StepSpec;
 use sedgehill_core::units::{Moment, ResourceSet};
 
-/// Time that a tight job has left beside twice its work.
+/// A job is tight if its objective leaves at most this much time beyond twice its work.
 const TIGHT_SLACK: TimeSpan = TimeSpan(500);
-/// Workers whose paces differ by less than one part in this many are taken as alike.
+/// Paces are rounded to this many steps per unit, so that similar workers compare as equal.
 const PACE_STEPS_PER_UNIT: f64 = 8.0;
-/// A worker that takes longer than this factor is the last choice for every job.
+/// Workers slower than this factor are chosen last for every job.
 const MAX_PREFERRED_PACE: f64 = 1.6;
 
-/// A step that could use room now.
+/// A group of a step's waiting tasks, placed together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) job: JobId,
     pub(super) step: usize,
-    /// It stands for the tasks of the step that lost their run and are due to run again; otherwise for the others.
+    /// It stands for the long-running tasks that lost their run; otherwise for all other waiting
+    /// tasks.
     pub(super) restarts: bool,
 }
 
-/// The workers that may be given work in this turn. Found once a turn, since most workers of a busy
-/// cell are full, and each step that waits looks at all others.
+/// The workers that may be given work in this turn. Computed once a turn, since most workers of a
+/// busy cell are full and each waiting step looks at all others.
 pub(super) struct OpenWorkers {
     pub(super) list: Vec<WorkerKey>,
-    /// By worker.
+    /// Whether each worker is in the list, by its index.
     is_open: Vec<bool>,
-    /// The most that is free in each dimension, on whichever worker.
+    /// The largest free amount of each resource on any worker.
     pub(super) max_free: ResourceSet,
-    /// The priority of the least urgent job that runs; 0, before which nothing is less urgent, if
-    /// nothing may be displaced. A step of that priority need not look for work to displace.
+    /// The priority of the least urgent running job; 0, the most urgent, if displacement is
+    /// switched off. A step of this priority or a less urgent one finds no work to displace.
     pub(super) least_urgent: u32,
 }
 
@@ -58,13 +59,13 @@
         OpenWorkers { list, is_open, max_free, least_urgent }
     }
 
-    /// The priority of the least urgent job that runs, whatever its pool.
+    /// Returns the priority of the least urgent running job of any pool.
     fn least_urgent(&self) -> u32 {
         let running = self.jobs.values().filter(|job| job.state == JobState::Running);
         running.map(|job| job.record.policy.priority).max().unwrap_or(0)
     }
 
-    /// How many tasks of a step an open worker can take now, apart from advice.
+    /// Returns how many tasks of a step an open worker can take now, ignoring advice.
     pub(super) fn room_on(
         &self,
         key: WorkerKey,
@@ -88,12 +89,14 @@
         fits.min(usize::from(max).saturating_sub(worker.runs_of_step(&probe)))
     }
 
-    /// Whether a step would try a worker that did badly: the members of a gang do so together, and last.
+    /// Whether the step would probe a worker that is not trusted. Only gangs are counted, whose
+    /// members probe a worker together and choose such workers last.
     pub(super) fn probes_untrusted(&self, spec: &StepSpec, key: WorkerKey) -> bool {
         spec.gang && self.workers[key.0].trust != WorkerTrust::Trusted
     }
 
-    /// Whether a worker is of a kind that may run the step, and holds fewer of its tasks than it may.
+    /// Whether a worker is of the right pool and kind for the step, and has not reached the step's
+    /// maximum of tasks per worker.
     pub(super) fn admits(
         &self,
         key: WorkerKey,
@@ -112,7 +115,8 @@
             && !worker.excludes_job(job.id, now)
     }
 
-    /// Workers that may run the step now, with the tasks they can take; the fullest first.
+    /// Returns the workers that may run the step now with the number of tasks they can take.
+    /// Workers near the step's data come first, then those of preferred pace, then the fullest.
     pub(super) fn usable_rooms(
         &self,
         candidate: &Candidate,
@@ -156,8 +160,9 @@
     }
 }
 
-/// The place of a worker by its pace, in steps of an eighth. Tight jobs go to the fastest; others to
-/// the slowest that are not much slower than usual, so that fast ones stay free.
+/// Returns the sort key of a worker's pace, in steps of an eighth. Tight jobs prefer the fastest
+/// workers. Others prefer the slowest that are not much slower than usual, so that fast workers
+/// stay free.
 fn pace_step(factor: f64, tight: bool) -> i64 {
     let step = (factor * PACE_STEPS_PER_UNIT).round() as i64;
     match tight {
@@ -167,7 +172,7 @@
     }
 }
 
-/// Whether a job leaves little time beside its work, so that it should run on the fastest workers.
+/// Whether a job has so little time beyond its work that it should run on the fastest workers.
 fn is_tight(job: &ActiveJob) -> bool {
     let chain = job.record.spec.longest_chain().as_millis();
     job.record.objective().as_millis() <= 2 * chain + TIGHT_SLACK.as_millis()
