--- a/crates/sedgehill-cell/src/scheduler/roster.rs
+++ b/crates/sedgehill-cell/src/scheduler/roster.rs
@@ -1,4 +1,5 @@
-//! Which workers there are: what the store lists, and the roster for later leads.
+//! Tracks which workers exist, by the store's list and by the roster that is recorded for later
+//! leads.
 
 use std::net::SocketAddr;
 
@@ -6,15 +7,17 @@
 
 use super::*;
 
-/// A life that has not answered yet and is listed at another address is taken as being there after so long: an
-/// entry that others change again and again takes up no more than this.
+/// A life that has never answered and is listed at another address is moved there only after this
+/// time. This bounds the cost of an entry that is changed again and again.
 const MOVE_PAUSE: TimeSpan = TimeSpan(2_000);
-/// A worker that has not answered for so long is out of touch: twice the longest wait for an account.
+/// A worker that has not answered for this long is unreachable: twice the longest wait for a
+/// report.
 const OUT_OF_TOUCH_AFTER: TimeSpan = TimeSpan(1_500);
 
 impl Scheduler {
-    /// Takes in what the store lists, and the lives whose entries there cannot be read: they get no work from
-    /// now on, and what runs there is watched to its end. Returns the workers that nobody asks for accounts yet.
+    /// Updates the workers from the store's list. Workers in `unreadable`, whose entries cannot be
+    /// read, get no work from now on, and their runs are tracked until they end. Returns the
+    /// workers that are to be polled and are not yet.
     pub fn update_workers(
         &mut self,
         entries: Vec<WorkerEntry>,
@@ -22,7 +25,7 @@
         now: Moment,
     ) -> Vec<WorkerKey> {
         let mut listed = BTreeSet::new();
-        // What an earlier reading said of a next life is of an earlier time.
+        // What an earlier list said of another life may be out of date.
         self.workers.iter_mut().for_each(|worker| worker.other_listed_entry = None);
         for entry in entries {
             let Some(key) = self.find_or_add_worker(entry.clone(), "listed", now) else { continue };
@@ -47,26 +50,27 @@
         self.unpolled()
     }
 
-    /// Takes in what the store says of a life.
+    /// Updates a worker from its entry in the store.
     fn read_entry(&mut self, key: WorkerKey, entry: WorkerEntry) {
         let WorkerEntry { pool, draining, capacity, labels, .. } = entry;
         let worker = &mut self.workers[key.0];
         worker.entry.draining |= draining;
         if !std::mem::replace(&mut worker.capacity_read, true) {
-            // A life that was met by its account was taken to be like the one before it.
+            // A life that was first known from its report was assumed to be like the one before it.
             (worker.entry.pool, worker.entry.labels) = (pool, labels);
         }
         self.resize_worker(key, capacity);
     }
 
-    /// Whether the list of workers was read lately enough to start something by it. Where the store answers for all
-    /// else but not for the list, workers that shrink meanwhile would be filled beyond what they have.
+    /// Whether the list of workers is recent enough to start something by it. If the store answers
+    /// everything but the list, workers that shrink meanwhile would be filled beyond their size.
     pub(super) fn has_fresh_worker_list(&self, now: Moment) -> bool {
         self.workers_listed_at.is_some_and(|read| now < read.after(self.timing.max_list_age))
     }
 
-    /// Takes in what a worker says that it has now. A start beyond it would be carried out by workers that do not
-    /// check. What runs there goes on: a stop would throw its work away, and nothing asks for that.
+    /// Sets the size that a worker has now. Workers that do not check would carry out a start
+    /// beyond it. Runs that exceed it go on: a stop would lose their work, and nothing requires
+    /// one.
     fn resize_worker(&mut self, key: WorkerKey, capacity: ResourceSet) {
         let worker = &mut self.workers[key.0];
         if worker.entry.capacity == capacity {
@@ -94,8 +98,8 @@
         }
     }
 
-    /// Takes in the workers on which an earlier lead may have started something. Returns the workers
-    /// that nobody asks for accounts yet.
+    /// Adds the workers on which an earlier lead may have started something. Returns the workers
+    /// that are to be polled and are not yet.
     pub fn add_roster(&mut self, roster: &WorkerRoster, now: Moment) -> Vec<WorkerKey> {
         let mut keys = Vec::with_capacity(roster.workers.len());
         for entry in &roster.workers {
@@ -114,9 +118,11 @@
         self.unpolled()
     }
 
-    /// Two lives may stand at one address, as the store lists a life for some seconds after its end. Which of
-    /// them has ended is told by the address itself, which refuses what is meant for the other. Returns none for an
-    /// entry of another life than the one that is known under its id: which of the two is there is told by accounts.
+    /// Returns the key of a listed life, which is added if it is not known. Two lives may be listed
+    /// at one address, as the store lists a life for some seconds after its end; the worker at the
+    /// address refuses calls to the other, which shows which one has ended. Returns none for an
+    /// entry of another life than the known one under its id, as reports show which of the two
+    /// exists.
     fn find_or_add_worker(
         &mut self,
         entry: WorkerEntry,
@@ -127,7 +133,7 @@
             if !self.has_moved(key, &entry, now) {
                 return Some(key);
             }
-            // Answers from the other address are answers to the handle that is given up here.
+            // Answers from the old address are answers to the key that is given up here.
             self.workers[key.0].dead = true;
             let token = self.workers[key.0].token;
             return Some(self.add_worker(entry, token, "listed at another address", now));
@@ -147,7 +153,7 @@
         self.add_life(entry, key, "listed after another life", now)
     }
 
-    /// A handle for a life, which takes calls with `token`.
+    /// Adds a life that takes calls with `token`.
     pub(super) fn add_worker(
         &mut self,
         entry: WorkerEntry,
@@ -163,9 +169,9 @@
         key
     }
 
-    /// Whether a life is to be looked for at another address than before. The first one that answered is its
-    /// own, whatever is listed later. So is that in the roster of an earlier lead, until it is known that
-    /// nothing of that lead's runs there: starts were sent nowhere else.
+    /// Whether a life is to be called at another address than before. The first address that
+    /// answered is the right one, whatever is listed later. An address in an earlier lead's roster
+    /// is kept until no run of that lead can exist there, since its starts were sent nowhere else.
     fn has_moved(&self, key: WorkerKey, entry: &WorkerEntry, now: Moment) -> bool {
         let worker = &self.workers[key.0];
         let may_run = worker.inherited && !worker.dead && !self.take_over.settled;
@@ -185,13 +191,14 @@
         keys
     }
 
-    /// Nobody asks a worker for accounts any more.
+    /// Notes that a worker is no longer polled.
     pub fn stop_polling(&mut self, key: WorkerKey) {
         self.workers[key.0].polled = false;
     }
 
-    /// Whether a worker may be given work, or may run something. One that leaves or is out of touch, or that nobody ever
-    /// heard, and runs nothing, would only hold up a later lead, which has to hear from the whole roster.
+    /// Whether a worker may be given work, or may run something. A worker without runs that is
+    /// leaving, is unreachable or has never been heard would only delay a later lead, which has to
+    /// hear from the whole roster.
     fn belongs_to_roster(&self, worker: &WorkerState, now: Moment) -> bool {
         if worker.dead {
             return false;
@@ -204,7 +211,7 @@
         worker.is_listed(now, &self.timing) && !worker.entry.draining && in_touch
     }
 
-    /// The workers that are to stand in the roster. The others get no work from now on.
+    /// Returns the next roster to record. Workers that are not in it get no work from now on.
     pub(super) fn next_roster(&mut self, now: Moment) -> WorkerRoster {
         let mut roster = WorkerRoster::default();
         for number in 0..self.workers.len() {
@@ -233,12 +240,12 @@
         !worker.fenced && !worker.inherited
     }
 
-    /// Whether somebody asks a worker at this address for accounts.
+    /// Whether a worker at this address is being polled for reports.
     pub fn polls_address(&self, address: SocketAddr) -> bool {
         self.workers.iter().any(|worker| worker.polled && worker.entry.address == address)
     }
 
-    /// Whether a worker's daemon task should go on asking it for accounts.
+    /// Whether the daemon should keep polling a worker for reports.
     pub fn should_poll(&self, key: WorkerKey) -> bool {
         let worker = &self.workers[key.0];
         let unheard = worker.inherited && !worker.fenced;
@@ -247,10 +254,10 @@
         !worker.is_over() && wanted
     }
 
-    /// Another life answers at a worker's address. If this life answered there before, it has ended, and
-    /// nothing runs there any more. If it never did, then the address may be wrong and the life may go on
-    /// elsewhere. But nothing of this lead or an earlier one runs there: a start is sent only to a life that
-    /// has answered, and only to the address that stands for it in the newest roster.
+    /// Notes that another life answers at a worker's address. If this life answered there before,
+    /// it has ended and nothing runs there any more. Otherwise the address may be wrong and the
+    /// life may go on elsewhere. Even then no lead has a run there: a start is sent only to a life
+    /// that has answered, and only to the address that the newest roster holds for it.
     pub(super) fn note_other_life(&mut self, key: WorkerKey, call: WorkerCall, now: Moment) {
         let worker = &self.workers[key.0];
         if worker.is_over() {
