--- a/crates/sedgehill-cell/src/scheduler/stall.rs
+++ b/crates/sedgehill-cell/src/scheduler/stall.rs
@@ -1,9 +1,10 @@
-//! Why a step whose turn has come has nothing running.
+//! Finds out why a step that is due has no running task.
 //!
-//! Most steps that wait are passed over by one look: no room, no ticket, nobody to ask. Such a look leaves no line, so a
-//! job that was stalled for a minute left none at all. The scheduler therefore keeps for each step the gate at which it was
-//! last turned back and since when the step is stalled, shows them as figures, and says so once that has lasted for some
-//! seconds beside room for it twice over.
+//! Most waiting steps are passed over quickly: there is no room, no ticket or no box to ask. This
+//! is not logged each time, so a job stalled for a minute left no trace. The scheduler therefore
+//! keeps for each step the reason that last prevented a start and the time since when it is
+//! stalled. It shows both as figures, and logs a step that stays stalled for some seconds although
+//! there is twice the room that it needs.
 
 use std::fmt;
 
@@ -14,47 +15,49 @@
 use super::worker::WorkerTrust;
 use super::*;
 
-/// A step that is stalled for so long beside room is told of: as long as the users allow.
+/// A step stalled for this long beside enough room is reported. Users accept a stall of this
+/// length.
 const STALLED_AFTER: TimeSpan = TimeSpan(3_000);
-/// It is told of again so much later, if it is still stalled.
+/// The interval between further reports of one step.
 const REPORT_INTERVAL: TimeSpan = TimeSpan(10_000);
-/// The step that found no box to ask for the longest time is looked for this often: the look goes over all that wait.
+/// The interval between searches for the step that has waited longest for a box to ask, since a
+/// search looks at all candidates.
 const STARVED_SEARCH_INTERVAL: TimeSpan = TimeSpan(100);
-/// Steps that are told of in one turn, at the most: a cell in which everything is stalled needs no more lines.
+/// The most steps reported in one turn. If everything is stalled, further lines add nothing.
 const MAX_REPORTS_PER_TURN: usize = 4;
-/// Room for so many times what waits is no lack of room.
+/// A step is reported only if there is room for this many times its waiting tasks.
 const MIN_ROOM_FACTOR: usize = 2;
 
-/// The gate at which a step was turned back.
+/// What prevented a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StallReason {
-    /// The list of workers was read too long ago to start anything.
+    /// The list of workers is too old to start anything by it.
     StaleWorkerList,
-    /// An earlier lead may have something of the job running.
+    /// An earlier lead may have started tasks of the job.
     EarlierLead,
-    /// A later lead seems to have marked the job.
+    /// A later lead seems to be responsible for the job.
     LaterLead,
-    /// It is not recorded yet that tasks of the job may run.
+    /// The start flag of the job is not recorded yet.
     NotRecorded,
-    /// A member is held until more is known of a worker that was lost under it.
+    /// A member of the gang must not start until more is known of a lost worker.
     StartDeferred,
-    /// The limit of its organisation.
+    /// The limit of the organisation is reached.
     OrganisationLimit,
     /// No worker that takes work has room for a single task.
     NoRoom,
-    /// There is room for some members of a gang, and not for all.
+    /// There is room for some members of the gang, but not for all.
     PartialGangRoom,
-    /// Workers that may run it are known, and have no room that is not kept for others.
+    /// Workers that may run it are known, but have no unreserved room.
     NoAllowedRoom,
-    /// The room that is expected on workers that were not asked about is less than a gang needs.
+    /// Too little room for the gang is expected on workers that were not asked about.
     TooLittleExpectedRoom,
-    /// All workers are known, and none of them may run it.
+    /// All workers are known, and none, or too few, may run it.
     NoneAllowed,
     /// No box is free to ask the advice service.
     NoFreeHelper,
     /// A question failed a moment ago.
     RecentFailure,
-    /// A question is under way.
+    /// A question is in flight.
     AwaitingAdvice,
 }
 
@@ -86,64 +89,64 @@
     }
 }
 
-/// A step that has nothing running though its turn has come.
+/// A step that is due and has no running task.
 #[derive(Debug, Clone, Copy)]
 pub struct StepStall {
-    /// Since when.
+    /// When it stalled.
     pub since: Moment,
-    /// Where it was turned back last.
+    /// What prevented its last start.
     pub reason: StallReason,
-    /// When it was told of last.
+    /// When it was last reported; none if it was not.
     reported_at: Option<Moment>,
 }
 
-/// What was believed when a step was told of as stalled.
+/// The scheduler's view of a stalled step, for logs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StallDetails {
-    /// Tasks that wait.
+    /// Waiting tasks.
     pub waiting: usize,
-    /// Places for them on workers that take work, whoever may run the step.
+    /// Places for its tasks on workers that take work, regardless of advice.
     pub places: usize,
-    /// Those of the places that are on workers known as good, and on workers never asked about.
+    /// Those of the places that are on workers that may run it.
     pub places_good: usize,
-    /// See above.
+    /// Those of the places that are on workers that were never asked about.
     pub places_unknown: usize,
-    /// Workers known as good, and as not good.
+    /// Workers that may run it.
     pub good: usize,
-    /// See above.
+    /// Workers that may not run it.
     pub not_good: usize,
-    /// Workers with a ticket that can be used.
+    /// Workers with a usable ticket.
     pub tickets: usize,
-    /// Workers that get at most one run since they did badly.
+    /// Workers that get at most one run because of faults.
     pub suspended: usize,
-    /// The share of workers that is taken as good in the queue, in hundredths.
+    /// The percentage of workers that is assumed to be allowed to run steps of the queue.
     pub share_percent: u64,
-    /// Questions under way.
+    /// Questions in flight.
     pub asking: usize,
-    /// Since the last question was sent; none if there was none.
+    /// Time since the last question was sent; none if there was none.
     pub asked_ago: Option<TimeSpan>,
 }
 
-/// Steps that are stalled for one reason.
+/// Figures about the steps that are stalled for one reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StallStats {
     /// The reason.
     pub reason: StallReason,
-    /// How many.
+    /// The number of steps.
     pub steps: usize,
-    /// The longest time that one of them has been.
+    /// The longest time that one of them has been stalled.
     pub longest: TimeSpan,
 }
 
 impl WorkerState {
-    /// Whether it is there and gets one run at a time.
+    /// Whether it lives and is not trusted because of faults.
     fn is_distrusted(&self) -> bool {
         !self.dead && self.trust != WorkerTrust::Trusted
     }
 }
 
 impl ActiveJob {
-    /// Whether a task of a step runs, or may.
+    /// Whether a task of the step runs, or may run.
     fn has_placed(&self, step: usize) -> bool {
         let placed = |task: &ActiveTask| matches!(task.phase, TaskPhase::Placed(..));
         self.step_tasks(step).iter().any(placed)
@@ -151,7 +154,7 @@
 }
 
 impl Scheduler {
-    /// Notes at which gate a step was turned back; none if something of it was started.
+    /// Notes what prevented a start of a step; none if tasks were started.
     pub(super) fn note_stall(
         &mut self,
         candidate: &Candidate,
@@ -167,8 +170,8 @@
         });
     }
 
-    /// Looks for the step that found no box to ask for the longest time, if that is long. Steps that can earn nothing any
-    /// more come last, so as long as others come they would find none for good.
+    /// Finds the step that has waited longest for a box to ask, if that is long. Steps without
+    /// value rank last, so as long as others arrive they would never find a free box.
     pub(super) fn update_starved_step(&mut self, candidates: &[Candidate], now: Moment) {
         if now >= self.starved_search_from {
             self.starved_step = self.longest_starved(candidates, now);
@@ -180,7 +183,7 @@
         let unasked_since = |candidate: &Candidate| {
             let step = &self.jobs.get(&candidate.job)?.steps[candidate.step];
             let stall = step.stall.filter(|stall| stall.reason == StallReason::NoFreeHelper)?;
-            // Steps that are asked about in vain take turns.
+            // Steps whose questions do not help take turns.
             let since =
                 step.advice.last_asked_at.map_or(stall.since, |asked| asked.max(stall.since));
             (now >= since.after(STALLED_AFTER)).then_some((since, *candidate))
@@ -189,7 +192,7 @@
         unasked.min_by_key(|(since, _)| *since).map(|(_, candidate)| candidate)
     }
 
-    /// Tells of steps that are stalled for long beside room for them.
+    /// Reports steps that have been stalled for long beside enough room.
     pub(super) fn report_stalls(&mut self, open: &OpenWorkers, now: Moment) {
         let is_long = |stall: &StepStall| {
             let reported_at = stall
@@ -201,7 +204,7 @@
         for job in self.jobs.values().filter(|job| !job.is_over()) {
             for (step, active_step) in job.steps.iter().enumerate() {
                 let Some(stall) = active_step.stall.filter(is_long) else { continue };
-                // It may have been taken over from an earlier lead since.
+                // A run may have been taken over from an earlier lead since.
                 if !job.has_placed(step) {
                     long.push((stall.since, Candidate { job: job.id, step, restarts: false }));
                 }
@@ -217,7 +220,8 @@
             let Some(job) = self.jobs.get_mut(&candidate.job) else { continue };
             let active_step = &mut job.steps[candidate.step];
             let Some(stall) = &mut active_step.stall else { continue };
-            // Looked at again later, whether it is told of or not: the look goes over all workers.
+            // Also delays the next check of steps that are not reported, since a check looks at all
+            // workers.
             stall.reported_at = Some(now);
             if details.places < MIN_ROOM_FACTOR * details.waiting {
                 continue;
@@ -271,7 +275,7 @@
         Some(details)
     }
 
-    /// The steps that are stalled, by reason.
+    /// Returns figures about stalled steps by reason.
     pub fn stall_stats(&self, now: Moment) -> Vec<StallStats> {
         let mut by_reason: BTreeMap<StallReason, StallStats> = BTreeMap::new();
         let jobs = self.jobs.values().filter(|job| !job.is_over());
