--- a/crates/sedgehill-cell/src/scheduler/stragglers.rs
+++ b/crates/sedgehill-cell/src/scheduler/stragglers.rs
@@ -1,4 +1,4 @@
-//! Runs that take far too long, and what they say about their workers.
+//! Detects runs that take far too long, and counts them against their workers.
 
 use sedgehill_core::units::Moment;
 
@@ -6,12 +6,12 @@
 use super::worker::WorkerRun;
 use super::*;
 
-/// A run is moved when it has taken this many times the time after which it counts as overdue, and
-/// its worker is shunned: the work done so far is lost or goes on from its last saved state.
+/// A run on an untrusted worker is moved once it has taken this many times the time after which it
+/// is overdue. Its work so far is lost, or resumes from its last saved state.
 const MOVE_FACTOR: u64 = 2;
 
 impl Scheduler {
-    /// Learns from a run that ended well.
+    /// Learns the pace of a worker from a run that is done.
     pub(super) fn learn_pace(
         &mut self,
         key: WorkerKey,
@@ -25,7 +25,8 @@
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(step) = job.step_index(&task.step) else { return };
         let spec = job.step_spec(step);
-        // A run that goes on from a saved state, or was adopted, tells nothing.
+        // A run that resumed from a saved state, or was taken over, does not show the full
+        // duration.
         let is_full_run = run.expected.is_some() && run.run.0 == 1 && !spec.long_running;
         let Some(factor) = run_factor(now.since(run.since), spec.estimate).filter(|_| is_full_run)
         else {
@@ -37,7 +38,8 @@
         self.workers[key.0].pace.observe(factor / usual);
     }
 
-    /// Counts overdue runs against their workers, and moves those that hardly get on.
+    /// Counts overdue runs against their workers, and stops those that are far too slow so that
+    /// they run elsewhere.
     pub(super) fn move_stragglers(&mut self, now: Moment) {
         let (percent, slack) = (self.timing.overdue_percent, self.timing.overdue_slack);
         let policy = self.timing.policy;
