--- a/crates/sedgehill-cell/src/scheduler/suspects.rs
+++ b/crates/sedgehill-cell/src/scheduler/suspects.rs
@@ -1,9 +1,13 @@
-//! What the loss of a worker says of the tasks that ran there.
+//! Assesses what the loss of a worker says about the tasks that ran there.
 //!
-//! Four things look alike from afar. A worker that *crashed* is told by another life that answers at its address.
-//! One that *left* said so before, or answered on after the store had dropped its entry. One that is *cut* is silent
-//! until its leases have lapsed; whether it crashed stays open until it answers again or another life does. A run
-//! that *ended*, by its lapsed lease or otherwise, is listed by a worker that lives. Only crashes count.
+//! Four cases look similar from outside, and only a crash counts against a task:
+//!
+//! - A worker that *crashed* is recognised by another life that answers at its address.
+//! - A worker that *left* was draining before, or still answered after its entry had gone from the
+//!   store.
+//! - A worker that is *cut off* stays silent until its leases have ended. Whether it crashed is
+//!   unresolved until it answers again or another life does.
+//! - A run that *ended*, because of its lease or otherwise, is reported by a live worker.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,22 +17,23 @@
 use super::*;
 use crate::suspicion::{OpenRun, WorkerCrash};
 
-/// How long a loss may stay open. A worker that crashed is back after some seconds; one that is not heard of by then
-/// was taken away, and a task should not wait for it any longer.
+/// How long a loss may stay unresolved. A crashed worker is back after some seconds. One that is
+/// not heard of by then was removed, and a task should not wait for it any longer.
 const MAX_UNRESOLVED_SPAN: TimeSpan = TimeSpan(20_000);
 
-/// So many others were lost with a worker, and one in so many of all, where that has a cause of its own. Tasks that crash
-/// their workers take down one each second or so.
+/// The losses of workers at one moment are correlated, and have a cause of their own, if at least
+/// this many others were lost too, and at least one in [`CORRELATED_LOSS_ONE_IN`] of all. Tasks
+/// that crash their workers take down about one each second.
 const MIN_CORRELATED_LOSSES: usize = 5;
-/// See above.
+/// The share of all workers that must be lost together: one in this many.
 const CORRELATED_LOSS_ONE_IN: usize = 4;
 
-/// What told that a worker crashed.
+/// How a crash was detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashDetection {
-    /// A call for it met another life.
+    /// A call for the worker was answered by another life.
     OtherLife,
-    /// Another life was first heard at the address where it was.
+    /// Another life first answered at the worker's address.
     Successor,
 }
 
@@ -42,18 +47,18 @@
     }
 }
 
-/// A run of which it is open whether a crash took it.
+/// A run that may have been lost in a crash.
 #[derive(Debug, Clone)]
 struct UnresolvedEntry {
     task: CellTask,
     run: RunNumber,
     address: SocketAddr,
     since: Moment,
-    /// An earlier lead ordered it: whether its start was answered is not known.
+    /// An earlier lead ordered it, so it is not known whether its start was answered.
     inherited: bool,
 }
 
-/// All such runs, by the life on which they were started.
+/// All runs that may have been lost in a crash, by the life on which they were started.
 #[derive(Debug, Default)]
 pub struct UnresolvedRuns {
     lives: HashMap<WorkerLife, Vec<UnresolvedEntry>>,
@@ -73,7 +78,7 @@
     }
 }
 
-/// A run on a worker that is lost.
+/// A run on a worker that was lost.
 pub(super) struct LostRun {
     pub(super) task: CellTask,
     pub(super) run: RunNumber,
@@ -81,13 +86,13 @@
     sent: bool,
     /// The worker had said that it was there.
     seen: bool,
-    /// Nothing of another job stood beside it.
+    /// No run of another job that could have caused a crash was there.
     alone: bool,
-    /// Other runs that were there.
+    /// The number of other runs that were there.
     other_runs: usize,
 }
 
-/// A crash under a task.
+/// A crash of a worker while a task ran there.
 struct TaskCrash<'a> {
     task: CellTask,
     run: RunNumber,
@@ -98,14 +103,14 @@
     detected_by: CrashDetection,
 }
 
-/// What is known of whether a run was there when its worker crashed.
+/// What is known of whether a run had started when its worker crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunEvidence {
-    /// The worker had said so.
+    /// The worker had said that it had.
     Seen,
-    /// This lead sent the start, and no answer came.
+    /// This lead sent the start and got no answer.
     Unanswered,
-    /// An earlier lead was to send the start.
+    /// An earlier lead recorded the start and may have sent it.
     Unknown,
 }
 
@@ -120,7 +125,7 @@
 }
 
 impl Scheduler {
-    /// What runs on a worker that is lost.
+    /// Returns the runs on a worker that is being lost.
     pub(super) fn runs_at_loss(&self, key: WorkerKey, now: Moment) -> Vec<LostRun> {
         let worker = &self.workers[key.0];
         let sent = |phase: RunPhase| phase != RunPhase::Recording;
@@ -136,7 +141,7 @@
         worker.runs.iter().map(lost).collect()
     }
 
-    /// Takes in what the loss of a run says of its task.
+    /// Updates a task's crash history for a run that was lost.
     pub(super) fn assess_lost_run(
         &mut self,
         key: WorkerKey,
@@ -156,7 +161,8 @@
             LossCause::WorkerEnded { .. } => {
                 let LostRun { task, run, alone, seen, other_runs, .. } = *lost;
                 let (life, detected_by) = (&life, CrashDetection::OtherLife);
-                // What an earlier lead ordered is known here only once the worker has said that it runs.
+                // This lead tracks runs ordered by an earlier lead only after the worker has
+                // reported them.
                 let evidence = RunEvidence::of(seen, false);
                 let crash = TaskCrash { task, run, life, alone, evidence, other_runs, detected_by };
                 self.count_crash(crash, now);
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Notes a run of which it is open whether a crash will take it, or has.
+    /// Adds a run that may be lost in a crash, or may already have been.
     pub(super) fn add_unresolved_run(&mut self, task: &CellTask, open: OpenRun, now: Moment) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| !job.is_over()) else {
             return;
@@ -191,7 +197,7 @@
         }
     }
 
-    /// A run ended otherwise than by a crash, or never began.
+    /// Notes that a run did not end in a crash, or never started.
     pub(super) fn resolve_run(&mut self, task: &CellTask, run: RunNumber) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
@@ -201,15 +207,15 @@
         }
     }
 
-    /// A run went with a worker that left, most likely as planned.
+    /// Notes a run that was lost with a worker that most likely left as planned.
     fn note_possible_crash(&mut self, task: &CellTask, run: RunNumber, now: Moment) {
         self.resolve_run(task, run);
         self.add_possible_crash(task, now);
         self.dirty.insert(task.step.job);
     }
 
-    /// A worker of the last lead was not heard: each task that it may have started, and that runs nowhere, may have
-    /// been lost there by a crash.
+    /// Notes a possible crash for each task of a job that an earlier lead may have started and that
+    /// runs nowhere, if a worker of that lead was not heard.
     pub(super) fn note_possible_crashes(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.unsettled_starts) else { return };
         if !self.take_over.lost_workers {
@@ -235,7 +241,7 @@
         self.fail_if_crashing(task, now);
     }
 
-    /// Takes in what an earlier lead kept of a job's tasks.
+    /// Adds the unresolved runs that earlier leads recorded for a job.
     pub(super) fn note_inherited_suspects(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
         self.suspects_seen |= job.has_suspects();
@@ -259,9 +265,9 @@
         }
     }
 
-    /// Another life answers at an address: the runs that were started on `life` there, and whose loss was open, were taken
-    /// by its crash, unless it left as planned. An entry of another writer may name any address for it; what answers
-    /// where nothing of it was started says nothing.
+    /// Resolves the runs of `life` at an address where another life answers: they were lost in a
+    /// crash, unless the worker left as planned. Only runs that were started at this address count,
+    /// since a foreign entry may list the life at any address.
     pub(super) fn resolve_as_crash(
         &mut self,
         life: &WorkerLife,
@@ -272,7 +278,8 @@
         let Some(entries) = self.unresolved_runs.lives.get(life) else { return };
         let worker = self.lives.get(life).map(|key| &self.workers[key.0]);
         let leaving = worker.is_some_and(WorkerState::is_leaving);
-        // What is not lost yet is counted when it is, which follows: more is known of it then.
+        // A run that is not lost yet is counted when it is, which happens next and with more
+        // evidence.
         let is_lost = |entry: &&UnresolvedEntry| {
             worker.is_none_or(|worker| !worker.has_run(&entry.task, entry.run))
         };
@@ -304,7 +311,8 @@
         suspicion.open.iter().find(|open| open.run == run).cloned()
     }
 
-    /// A worker was heard for the first time: whatever was at its address before has ended.
+    /// Resolves the runs of earlier lives at the address of a worker that has reported for the
+    /// first time.
     pub(super) fn resolve_replaced_lives(&mut self, key: WorkerKey, now: Moment) {
         let WorkerEntry { life, address, .. } = self.workers[key.0].entry.clone();
         let others: Vec<WorkerLife> = self
@@ -319,7 +327,7 @@
         }
     }
 
-    /// A worker lives: what it does not list any more was not taken by a crash.
+    /// Resolves runs that a live worker no longer reports: they did not end in a crash.
     pub(super) fn resolve_as_alive(&mut self, key: WorkerKey, report: &HoldReport, sent: Moment) {
         let worker = &self.workers[key.0];
         let Some(entries) = self.unresolved_runs.lives.get(&worker.entry.life) else { return };
@@ -337,7 +345,7 @@
         }
     }
 
-    /// Gives up to learn what became of runs that were lost long ago.
+    /// Drops unresolved runs that were lost long ago.
     pub(super) fn expire_unresolved_runs(&mut self, now: Moment) {
         let mut expired = Vec::new();
         for (life, entries) in &self.unresolved_runs.lives {
@@ -384,7 +392,7 @@
         let crashes = &active_task.suspicion.crashes;
         let count = crashes.len();
         if count > 1 {
-            // Most likely they are this task's doing.
+            // They were most likely caused by this task.
             crashes.iter().for_each(|crash| self.background_crashes.remove_explained(&crash.life));
         }
         self.dirty.insert(task.step.job);
@@ -402,7 +410,7 @@
         self.fail_if_crashing(&task, now);
     }
 
-    /// A worker crashed on which a start went unanswered.
+    /// Notes a crash of a worker on which a start of the task had not been answered.
     fn note_unanswered(&mut self, crash: &TaskCrash<'_>, now: Moment) {
         let TaskCrash { task, run, life, alone, .. } = *crash;
         self.suspects_seen = true;
@@ -424,11 +432,12 @@
         self.fail_if_crashing(&task, now);
     }
 
-    /// How many other workers, on which nothing of a job was, were lost at the moment at which a life was; none if so few
-    /// that they may have been lost by themselves.
+    /// Returns how many other workers without runs of `job` were lost together with `life`; none if
+    /// these are too few to be correlated.
     ///
-    /// A crash says something of a task only as far as it was unlikely without it. Workers that go down together have one
-    /// cause: a rack, a hall, power. It is none of the tasks on one of them, unless all had something of the same job.
+    /// A crash is evidence against a task only as far as it was unlikely without the task. Workers
+    /// that fail together have a common cause, such as a rack, a data hall or power. A task on one
+    /// of them is not that cause, unless all of them had runs of its job.
     fn count_correlated_losses(&self, life: &WorkerLife, job: JobId) -> Option<usize> {
         let window = self.workers[self.lives.get(life)?.0].loss_window()?;
         let living = self.workers.iter().filter(|worker| worker.listed && !worker.dead).count();
@@ -457,7 +466,7 @@
         }
     }
 
-    /// Counts the start of a task under which workers were lost.
+    /// Counts a start of a task with a crash history.
     pub(super) fn count_suspect_start(&mut self, task: &CellTask, run: RunNumber) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
@@ -465,8 +474,9 @@
         active_task.counted_start = active_task.suspicion.note_start().then_some(run);
     }
 
-    /// No worker carried out a start: what users allow after crashes is not used up by it. Orders that went unanswered and
-    /// never began had a task given up that had lost one worker.
+    /// Notes that no worker carried out a start, so that it does not count against the starts that
+    /// users allow after crashes. Without this, unanswered orders that never started caused a task
+    /// to be given up that had lost one worker.
     pub(super) fn note_never_started(&mut self, task: &CellTask, run: RunNumber) {
         self.resolve_run(task, run);
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
@@ -478,7 +488,8 @@
         }
     }
 
-    /// Gives up tasks of a step that may not be started any more. Returns whether there were any.
+    /// Fails a job if a waiting task of the step must not be started again. Returns whether there
+    /// is such a task.
     pub(super) fn fail_crashing_step(&mut self, id: JobId, step: usize, now: Moment) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|_| self.suspects_seen) else { return false };
         let is_crash_cause =
@@ -502,7 +513,7 @@
         suspicion.is_guilty(alone)
     }
 
-    /// Gives a task up if it is taken as the cause of crashes.
+    /// Fails the job of a task that is considered the cause of crashes.
     fn fail_if_crashing(&mut self, task: &CellTask, now: Moment) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let (Some(step), Some(index)) = (job.step_index(&task.step), job.task_index(task)) else {
