--- a/crates/sedgehill-cell/src/scheduler/take_over.rs
+++ b/crates/sedgehill-cell/src/scheduler/take_over.rs
@@ -1,23 +1,24 @@
-//! What a new lead waits for before it starts what an earlier one may have started.
+//! Decides when a new lead may start tasks that an earlier lead may have started.
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
 use super::active_job::ActiveTask;
 use super::*;
 
-/// A worker's clock may be slow, and so may this box's against it: the drift counts for both.
+/// A worker's clock may be slow against this box's, and this box's clock may be slow itself, so
+/// drift counts twice.
 const DRIFTING_CLOCKS: u64 = 2;
 
 impl Scheduler {
-    /// The store refuses earlier leads from now on. Until now one of them may have been told that it
-    /// was not refused, so its term is counted from here.
+    /// Notes that the store refuses earlier leads from now on. Until now an earlier lead may have
+    /// been told that it was not refused, so its term is counted from here.
     pub fn note_fenced(&mut self, now: Moment) {
         self.take_over.since = now;
         self.take_over.fenced = true;
     }
 
-    /// All jobs that earlier leads recorded were taken in. A job that comes later with the mark that its tasks may
-    /// run was marked by a later lead, unless this one recorded it.
+    /// Notes that all jobs recorded by earlier leads have been added. If a job with the start flag
+    /// appears later, a later lead has set the flag, unless this lead recorded it.
     pub fn note_caught_up(&mut self) {
         self.take_over.caught_up = true;
     }
@@ -27,7 +28,8 @@
         !self.take_over.predecessor || (self.take_over.fenced && now >= self.earlier_orders_end())
     }
 
-    /// When the term of any earlier lead has surely ended. Its clock may be slower than this box's.
+    /// Returns when the term of any earlier lead must have ended, even if its clock is slower than
+    /// this box's.
     fn earlier_orders_end(&self) -> Moment {
         let term = match self.take_over.predecessor {
             true => self.timing.authority_term,
@@ -40,19 +42,19 @@
         TimeSpan(span.0 * self.timing.clock_drift_permille / 1000)
     }
 
-    /// When whatever earlier leads may have ordered has surely ended.
+    /// Returns when everything that earlier leads may have started must have ended.
     pub(super) fn earlier_runs_end(&self) -> Moment {
         let lease = self.timing.max_lease;
         let drift = TimeSpan(DRIFTING_CLOCKS * self.drift_of(lease).0);
         self.earlier_orders_end().after(lease).after(drift).after(self.timing.lease_end_margin)
     }
 
-    /// Lifts what a new lead has to wait for, once it is settled.
+    /// Settles the take-over if possible, which allows tasks of inherited jobs to start.
     pub(super) fn settle_take_over(&mut self, now: Moment) {
         if self.take_over.settled || self.workers_listed_at.is_none() {
             return;
         }
-        // On workers that stood in no roster nothing was started.
+        // Nothing was started on workers that are in no roster.
         let unheard = |worker: &WorkerState| worker.inherited && !worker.dead && !worker.fenced;
         let unheard = self.workers.iter().any(unheard);
         let runs_end = self.earlier_runs_end();
@@ -76,7 +78,8 @@
         }
     }
 
-    /// An earlier lead may have been lost while it started a gang.
+    /// Stops gangs of which only some members run, as the earlier lead may have been lost while it
+    /// started them.
     fn stop_partial_gangs(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut broken = Vec::new();
