--- a/crates/sedgehill-cell/src/scheduler/worker.rs
+++ b/crates/sedgehill-cell/src/scheduler/worker.rs
@@ -1,4 +1,4 @@
-//! One life of a worker as the lead knows it.
+//! The lead's state of one life of a worker.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,44 +12,45 @@
 use super::timing::CellTiming;
 use crate::ids::{CellTask, FencingToken, JobId, RunNumber, StepId};
 
-/// How far an order to run is settled.
+/// How far the start or stop of a run has got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunPhase {
-    /// The start waits until it is recorded; nothing was sent.
+    /// The start is being recorded and has not been sent.
     Recording,
-    /// The start was sent and not yet answered.
+    /// The start was sent and has not been answered.
     Ordered,
-    /// The worker said that it runs.
+    /// The worker has said that it runs.
     Confirmed,
-    /// It is to be stopped; set to the last stop that was sent.
+    /// A stop was sent, last by the given attempt, and has not been answered.
     Stopping(StopAttempt),
-    /// A stop was answered; the end is about to be listed.
+    /// A stop was answered, and the next report lists the end.
     Stopped,
 }
 
-/// A stop that was sent.
+/// An attempt to stop a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopAttempt {
-    /// When.
+    /// When it was sent.
     pub sent: Moment,
-    /// How many were sent before it.
+    /// The number of attempts before it.
     pub earlier: u32,
 }
 
-/// Clocks tell whole milliseconds: two readings may be so much closer than the time between them.
+/// Clock readings are in whole milliseconds, so two of them can differ by this much less than the
+/// time between them.
 const CLOCK_RESOLUTION: TimeSpan = TimeSpan(1);
 
-/// The pause between stops grows to at most this many doublings of the first.
+/// Most doublings of the interval between the stops of one run.
 const MAX_STOP_DOUBLINGS: u32 = 3;
 
 impl StopAttempt {
-    /// The first stop of a run.
+    /// Returns the first attempt.
     pub fn first(sent: Moment) -> StopAttempt {
         StopAttempt { sent, earlier: 0 }
     }
 
-    /// The next one, if it is due. Stops that are not answered become rarer: where answers are late
-    /// because a link is full, repeats would fill it further.
+    /// Returns the next attempt if it is due. Intervals grow while stops stay unanswered: where
+    /// answers are late because a link is full, frequent repeats would fill it further.
     pub fn next(self, interval: TimeSpan, now: Moment) -> Option<StopAttempt> {
         let pause = TimeSpan(interval.0 << self.earlier.min(MAX_STOP_DOUBLINGS));
         let due = now >= self.sent.after(pause);
@@ -57,36 +58,37 @@
     }
 }
 
-/// One run on a worker. It takes room until its end is listed.
+/// A run on a worker. It occupies room until its end is reported.
 #[derive(Debug, Clone)]
 pub struct WorkerRun {
     /// The run.
     pub run: RunNumber,
-    /// The room it takes; none if that is not known.
+    /// The room it occupies; none if it is not known.
     pub need: Option<ResourceSet>,
-    /// Whose limit it counts against.
+    /// The organisation whose limit it counts against; none if no limit applies.
     pub owner: Option<OrganisationKey>,
-    /// How far it is settled.
+    /// How far its start or stop has got.
     pub phase: RunPhase,
-    /// An account asked for later than this, which lists the run neither as running nor as ended,
-    /// proves that there is no such run.
+    /// If a report that was asked for later than this lists the run neither as running nor as
+    /// ended, the run does not exist. None while no such conclusion is possible.
     pub listed_from: Option<Moment>,
-    /// When it was ordered, or first seen.
+    /// When it was ordered or first reported.
     pub since: Moment,
-    /// How long it should take on a sound worker; none if it was first seen when it ran already, or has no end.
+    /// Its expected duration on a healthy worker; none if it was already running when first
+    /// reported, or has no end.
     pub expected: Option<TimeSpan>,
-    /// It has taken so much longer that it counted against the worker.
+    /// It has taken so long that it was counted as a fault of the worker.
     pub overdue: bool,
-    /// Nothing of another job may be put beside it.
+    /// No run of another job may be placed beside it.
     pub alone: bool,
-    /// The worker has said that it is there.
+    /// The worker has said that the run is there.
     pub seen: bool,
-    /// It has no end of its own.
+    /// It runs until it is stopped.
     pub long_running: bool,
 }
 
 impl WorkerRun {
-    /// The worker said that it runs. Returns whether that is news.
+    /// Notes that the worker says that it runs. Returns whether this is the first time.
     pub fn confirm(&mut self, now: Moment) -> bool {
         let is_first = !std::mem::replace(&mut self.seen, true);
         if self.phase == RunPhase::Ordered {
@@ -97,85 +99,88 @@
     }
 }
 
-/// Whether a worker gets work.
+/// How far a worker is trusted with work, similar to a circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerTrust {
-    /// As much as fits.
+    /// It gets as much work as fits.
     Trusted,
-    /// None before the given moment, and then one run to try it.
+    /// It gets no work before the given moment, and then one run as a probe.
     Suspended(Moment),
-    /// One run at a time, until one ends well.
+    /// It gets one run at a time, until one ends well.
     Probing,
 }
 
-/// One life of a worker.
+/// The state of one life of a worker.
 #[derive(Debug)]
 pub struct WorkerState {
-    /// What the store says of it.
+    /// Its entry in the store.
     pub entry: WorkerEntry,
     /// Whether the store lists it.
     pub listed: bool,
-    /// This lead has read its entry. What a roster says of its size is of another time: the worker may have shrunk.
+    /// This lead has read its entry in the store. The size in a roster may be out of date: the
+    /// worker may have shrunk.
     pub capacity_read: bool,
-    /// Since when the store does not list it.
+    /// When it went from the store's list; only of use while it is not listed.
     pub unlisted_since: Moment,
-    /// Its last entry could not be read.
+    /// Its newest entry in the store could not be read.
     pub unreadable: bool,
-    /// When it was first listed at its address.
+    /// When it was added at its address.
     pub added_at: Moment,
-    /// Whether the roster that holds it is recorded.
+    /// Whether it is in the recorded roster.
     pub in_roster: bool,
-    /// An earlier lead had it in its roster, and so may have started something there.
+    /// It was in the roster of an earlier lead, which may have started runs there.
     pub inherited: bool,
-    /// Whether somebody asks it for accounts.
+    /// Whether it is polled for reports.
     pub polled: bool,
-    /// It is known to have ended: nothing runs there.
+    /// It is known to have ended, so nothing runs there.
     pub dead: bool,
-    /// Since when it is known that another life answers under its id. It has ended, but what was sent to it may reach
-    /// the next life until that refuses its token.
+    /// When another life was first known to answer under its id. It has ended, but calls to it may
+    /// still reach the next life, until that one refuses their token.
     pub replaced_at: Option<Moment>,
-    /// The token for calls to it. Each life of an id that a lead meets has a higher one, so that calls to an earlier
-    /// life, which may be carried out seconds later, are refused by a later one that was heard.
+    /// The token for calls to it. Each further life of an id has a higher token. Once a later life
+    /// has reported, it refuses calls to an earlier one, which may arrive seconds late.
     pub token: FencingToken,
-    /// A life before it under its id counts as ended once this one is heard.
+    /// Earlier lives under its id count as ended once this one reports.
     pub replaces_earlier: bool,
-    /// When its last account arrived.
+    /// When its last report arrived.
     pub last_report_at: Option<Moment>,
-    /// Jobs of which something was there when it was lost.
+    /// Jobs that had runs on it when it was lost.
     pub lost_jobs: Vec<JobId>,
-    /// What the store lists under its id, if that is another life. It gets no work then: one of the two is not there.
+    /// The entry in the store under its id, if it is that of another life. The worker gets no work
+    /// while there is one, since one of the two lives does not exist.
     pub other_listed_entry: Option<Box<WorkerEntry>>,
-    /// It answered an order of this lead, so it refuses every earlier lead.
+    /// It has answered this lead, so it refuses every earlier lead.
     pub fenced: bool,
-    /// What runs there, or may.
+    /// The runs that are there, or may be.
     pub runs: HashMap<CellTask, WorkerRun>,
-    /// Room left.
+    /// The room that its runs leave free.
     pub free: ResourceSet,
-    /// One of its runs is to have nothing of another job beside it. Kept, since each look for room asks for it.
+    /// One of its runs must run alone. Cached, since each search for room reads it.
     pub has_alone_run: bool,
-    /// The most that it is known to have had, in each dimension: what was started then may still run.
+    /// The largest size that it is known to have had in each dimension. Runs that were started with
+    /// it may still exist.
     pub largest_capacity: ResourceSet,
-    /// When it last answered.
+    /// When it last answered a call.
     pub last_answer_at: Option<Moment>,
-    /// When the newest account that was taken in had been asked for.
+    /// When the newest processed report was asked for.
     pub report_asked_at: Moment,
     /// Calls in a row without an answer.
     pub silent_calls: u32,
-    /// When the first of them was given up.
+    /// When the first of those calls was given up; none while it answers.
     pub silent_since: Option<Moment>,
-    /// No new work before then.
+    /// It gets no new work before this moment.
     pub avoid_until: Moment,
-    /// Bad signs in a row: failed ends, and runs that take far too long.
+    /// Faults in a row: failed runs and overdue runs.
     pub consecutive_faults: u32,
-    /// Whether it gets work.
+    /// How far it is trusted with work.
     pub trust: WorkerTrust,
-    /// How much longer runs take there than elsewhere.
+    /// The factor by which runs take longer there than elsewhere.
     pub pace: FactorAverage,
-    /// Room that is kept for a step.
+    /// Room that is reserved for a step.
     pub reservation: Option<WorkerReservation>,
-    /// When a start was last sent to it, or answered.
+    /// When a start was last sent to it or answered.
     pub start_activity_at: Moment,
-    /// The number up to which the last account told it to forget ends.
+    /// The number up to which the last hold acknowledged run ends.
     pub acknowledged_to: u64,
     clock: Option<(WorkerTime, Moment)>,
     lease_until: WorkerTime,
@@ -184,7 +189,7 @@
 }
 
 impl WorkerState {
-    /// A worker that has not answered yet.
+    /// Creates the state of a worker that has not answered yet.
     pub fn new(entry: WorkerEntry, token: FencingToken, now: Moment) -> WorkerState {
         WorkerState {
             token,
@@ -226,18 +231,18 @@
         }
     }
 
-    /// The worker's clock at `now`, as far as its answers tell.
+    /// Returns the worker's clock at `now`, extrapolated from its last reading.
     pub fn clock_at(&self, now: Moment) -> Option<WorkerTime> {
         self.clock.map(|(clock, at)| clock.after(now.since(at)))
     }
 
-    /// The end of the longest lease that an earlier lead may have asked for, by the clock of the first
-    /// answer.
+    /// Returns the end of the longest lease that an earlier lead may have asked for, by the clock
+    /// of the first answer.
     pub fn assumed_lease(&self, clock: WorkerTime, timing: &CellTiming) -> WorkerTime {
         self.lease_until.max(clock.after(timing.max_lease))
     }
 
-    /// The least that the worker's clock shows at `now`, however slow it runs.
+    /// Returns the earliest time that the worker's clock can show at `now`, given its drift.
     fn least_clock_at(&self, now: Moment, timing: &CellTiming) -> Option<WorkerTime> {
         let (clock, at) = self.clock?;
         let elapsed = now.since(at).as_millis();
@@ -245,8 +250,8 @@
         Some(clock.after(TimeSpan(elapsed.saturating_sub(drift))))
     }
 
-    /// Takes in an answer to a start or a stop that was received at `now`. It does not tell which life gave it, so the
-    /// clock in it counts only where each life has its own id.
+    /// Processes an answer to a start or a stop that was received at `now`. Such an answer does not
+    /// name the life that gave it, so its clock counts only where each life has its own id.
     pub fn note_order_answer(&mut self, clock: WorkerTime, now: Moment, timing: &CellTiming) {
         match self.entry.life.start {
             Some(_) => self.note_contact(now),
@@ -260,56 +265,58 @@
         self.silent_since = None;
     }
 
-    /// Takes in the clock of an answer of this life that was received at `now`.
+    /// Processes the clock reading of an answer of this life that was received at `now`.
     pub fn note_answer(&mut self, clock: WorkerTime, now: Moment, timing: &CellTiming) {
         self.note_contact(now);
         if !self.fenced {
-            // An earlier lead may have renewed the lease as far as workers allow.
+            // An earlier lead may have renewed the lease up to the longest that workers grant.
             self.lease_until = self.assumed_lease(clock, timing);
         }
         self.fenced = true;
-        // A late answer tells an earlier time than is known already. One of a clock that runs slow does not: kept
-        // to its first reading, leases asked for grew by 20 ms a second beyond what a next lead waits for.
+        // A delayed answer has an older reading than is known already. A slow clock must still be
+        // followed: when its first reading was kept, the leases asked for grew by 20 ms a second,
+        // beyond what the next lead waits for.
         if self.least_clock_at(now, timing).is_none_or(|least| clock >= least) {
             self.clock = Some((clock, now));
         }
     }
 
-    /// Chooses the end of a lease that begins now and remembers it.
+    /// Returns the end of a lease that begins now, and remembers it.
     pub fn extend_lease(&mut self, now: Moment, lease: TimeSpan) -> Option<WorkerTime> {
         let until = self.clock_at(now)?.after(lease);
         self.lease_until = self.lease_until.max(until);
         Some(until)
     }
 
-    /// What tells that every lease that was ever asked for had surely ended at `now`; none if it may last.
+    /// Returns the evidence that every lease ever asked for had ended at `now`; none if one may
+    /// still last.
     pub fn ended_lease_reading(&self, now: Moment, timing: &CellTiming) -> Option<LeaseReading> {
         let reading = self.lease_reading(now, timing);
         reading.filter(|reading| reading.least > reading.until.after(timing.lease_end_margin))
     }
 
-    /// How long its leases last at the most; none before its first answer.
+    /// Returns how long its leases can still last; none before its first answer.
     pub fn lease_left(&self, now: Moment, timing: &CellTiming) -> Option<TimeSpan> {
         let reading = self.lease_reading(now, timing)?;
         let end = reading.until.after(timing.lease_end_margin);
         Some(TimeSpan(end.0.saturating_sub(reading.least.0)))
     }
 
-    /// What is known of the end of its leases; none before its first answer.
+    /// Returns what is known of the end of its leases; none before its first answer.
     fn lease_reading(&self, now: Moment, timing: &CellTiming) -> Option<LeaseReading> {
         let (clock, at) = self.clock?;
         let least = self.least_clock_at(now, timing)?;
         Some(LeaseReading { until: self.lease_until, clock, age: now.since(at), least })
     }
 
-    /// Between which moments it was lost, if it is away and was ever heard: its last account, and the first call that it
-    /// left unanswered.
+    /// Returns the span in which a worker was lost that is silent or replaced: from its last report
+    /// to the first call that it left unanswered. None if it is neither, or never reported.
     pub fn loss_window(&self) -> Option<(Moment, Moment)> {
         let away = self.silent_since.or(self.replaced_at)?;
         Some((self.last_report_at?, away))
     }
 
-    /// Whether something of a job is there, or was when it was lost.
+    /// Whether the job has a run there, or had one when the worker was lost.
     pub fn had_job(&self, job: JobId) -> bool {
         let now = || self.runs.keys().any(|task| task.step.job == job);
         self.lost_jobs.contains(&job) || now()
@@ -320,13 +327,13 @@
         self.dead || self.replaced_at.is_some()
     }
 
-    /// Whether the store lists it, or may do so again in a moment. One whose entry cannot be read is there, but
-    /// not to be used.
+    /// Whether the store lists it, or listed it a moment ago. A worker with an unreadable entry
+    /// exists but must not be used.
     pub fn is_listed(&self, now: Moment, timing: &CellTiming) -> bool {
         !self.unreadable && (self.listed || now < self.unlisted_since.after(timing.relist_grace))
     }
 
-    /// Whether new work may be sent there.
+    /// Whether it may be given new work.
     pub fn takes_work(&self, now: Moment, timing: &CellTiming) -> bool {
         let max_answer_age = self.last_answer_at.is_some_and(|answered| {
             now.since(answered).as_millis() <= timing.max_answer_age.as_millis()
@@ -344,8 +351,8 @@
             && now >= self.avoid_until
     }
 
-    /// Takes in what the worker says that it has. What runs there beyond it goes on. Returns whether it has less
-    /// than before in any dimension.
+    /// Sets the size that the worker has now. Runs that exceed it go on. Returns whether any
+    /// dimension shrank.
     pub fn resize(&mut self, capacity: ResourceSet) -> bool {
         let shrunk = !capacity.fits(&self.entry.capacity);
         self.entry.capacity = capacity;
@@ -354,7 +361,7 @@
         shrunk
     }
 
-    /// Notes what it has had.
+    /// Notes a size that the worker has or had.
     pub fn note_capacity(&mut self, capacity: &ResourceSet) {
         let ResourceSet { cores, memory, accelerators } = *capacity;
         self.largest_capacity.cores = self.largest_capacity.cores.max(cores);
@@ -362,27 +369,27 @@
         self.largest_capacity.accelerators = self.largest_capacity.accelerators.max(accelerators);
     }
 
-    /// Whether more runs there, or may, than it has room for.
+    /// Whether its runs, including possible ones, need more than its size.
     pub fn is_over_size(&self) -> bool {
         !self.entry.capacity.fits(&self.used())
     }
 
-    /// Whether it is about to end as planned, or has: it said so, or it answered while the store had dropped its
-    /// entry.
+    /// Whether it is leaving or has left as planned: it was draining, or it answered after its
+    /// entry had gone from the store.
     pub fn is_leaving(&self) -> bool {
-        // Answers to orders may be those of the next life.
+        // Answers to orders may come from the next life.
         let answered =
             if self.entry.life.start.is_some() { self.last_report_at } else { self.last_answer_at };
         let answered_since = answered.is_some_and(|answered| answered > self.unlisted_since);
         self.entry.draining || (!self.listed && answered_since)
     }
 
-    /// The claim on it, if one is in force.
+    /// Returns its reservation if it has not expired.
     pub fn active_reservation(&self, now: Moment) -> Option<&WorkerReservation> {
         self.reservation.as_ref().filter(|reservation| now < reservation.until)
     }
 
-    /// Room that a step may use: what is claimed for another one is left.
+    /// Returns the free room that a step may use, without what is reserved for another step.
     pub fn free_for(&self, step: &StepId, now: Moment) -> ResourceSet {
         match self.active_reservation(now) {
             Some(reservation) if reservation.step != *step => {
@@ -392,7 +399,7 @@
         }
     }
 
-    /// The most runs that may be added at once, as far as the worker is trusted.
+    /// Returns how many runs may be added now, by its trust.
     pub fn runs_allowed(&self, now: Moment) -> usize {
         match self.trust {
             WorkerTrust::Trusted => usize::MAX,
@@ -402,8 +409,9 @@
         }
     }
 
-    /// The same for the members of a gang, which try a worker together: held to one run, workers that did badly long ago
-    /// and that nothing else tried again made up no gang wider than their number. They are chosen last.
+    /// Returns how many members of a gang may be added now. Gang members probe a worker together:
+    /// limited to one member each, workers suspended long ago that nothing else had probed could
+    /// not hold a gang wider than their number. They are chosen last.
     pub fn members_allowed(&self, now: Moment) -> usize {
         match self.trust {
             WorkerTrust::Trusted => usize::MAX,
@@ -414,7 +422,7 @@
         }
     }
 
-    /// Notes a bad sign. Returns whether the worker is shunned for it.
+    /// Notes a fault. Returns whether the worker is suspended for it.
     pub fn note_fault(&mut self, now: Moment, timing: &CellTiming) -> bool {
         self.consecutive_faults += 1;
         let on_trial = self.trust != WorkerTrust::Trusted;
@@ -433,14 +441,14 @@
         self.trust = WorkerTrust::Trusted;
     }
 
-    /// Takes room for a run.
+    /// Adds a run, which occupies room.
     pub fn add_run(&mut self, task: CellTask, run: WorkerRun) {
         let previous = self.runs.insert(task, run);
         debug_assert!(previous.is_none(), "a worker has at most one run of a task");
         self.update_free();
     }
 
-    /// Gives back the room of a run.
+    /// Removes a run and frees its room.
     pub fn remove_run(&mut self, task: &CellTask) -> Option<WorkerRun> {
         let run = self.runs.remove(task);
         self.update_free();
@@ -457,37 +465,39 @@
         self.free = self.entry.capacity.saturating_minus(&self.used());
     }
 
-    /// Whether a run is there, or may be.
+    /// Whether the run is there, or may be.
     pub fn has_run(&self, task: &CellTask, run: RunNumber) -> bool {
         self.runs.get(task).is_some_and(|entry| entry.run == run)
     }
 
-    /// Runs of one step that are there.
+    /// Returns the number of runs of the task's step that are there, or may be.
     pub fn runs_of_step(&self, task: &CellTask) -> usize {
         self.runs.keys().filter(|other| other.step == task.step).count()
     }
 
-    /// Whether an end was not seen before; it is seen from then on.
+    /// Returns whether an end was not processed before, and marks it as processed.
     pub fn is_new_end(&mut self, number: u64) -> bool {
         let is_new = number > self.last_end;
         self.last_end = self.last_end.max(number);
         is_new
     }
 
-    /// Notes that an end may be forgotten once batch `batch` is recorded.
+    /// Notes that an end may be acknowledged once `batch` is recorded.
     pub fn await_record(&mut self, number: u64, batch: u64) {
         self.unrecorded_ends.push_back((number, batch));
     }
 
-    /// Whether a start may have met the next life under its id: no account that was asked for since has said otherwise.
-    /// That life would forget ends unread if it were told of numbers now.
+    /// Whether a start may have reached the next life under its id, as no report asked for since
+    /// then says otherwise. An acknowledgement sent now would make that life forget ends that
+    /// nobody has read.
     pub fn may_have_restarted(&self) -> bool {
         let unanswered = || self.runs.values().any(|run| run.phase == RunPhase::Ordered);
         let unheard = self.start_activity_at >= self.report_asked_at || unanswered();
         self.entry.life.start.is_some() && unheard
     }
 
-    /// The number up to which ends may be forgotten when all batches up to `recorded` are.
+    /// Returns the number up to which ends may be acknowledged once all batches up to `recorded`
+    /// are in the store.
     pub fn acknowledged(&mut self, recorded: u64) -> u64 {
         while self.unrecorded_ends.front().is_some_and(|(_, batch)| *batch <= recorded) {
             self.unrecorded_ends.pop_front();
