--- a/crates/sedgehill-cell/src/scheduler/write_ahead.rs
+++ b/crates/sedgehill-cell/src/scheduler/write_ahead.rs
@@ -1,20 +1,21 @@
-//! Starts that are recorded before they are sent.
+//! Records some starts in the store before they are sent.
 //!
-//! A crash is counted by the lead that knows what ran on the worker. If that lead is lost with the worker, the next
-//! one finds a task that runs nowhere, and would start it as if nothing had happened. So where a task was started is
-//! recorded before each start that could be one crash too many: of a task under which a worker was lost already, and
-//! after a change of leads in which a worker was lost. It costs such a start the time of one append. So are the starts of
-//! long-running tasks, which have to run again soon though the lead was lost as well.
+//! A crash is counted by the lead that knows what ran on the worker. If the box with the lead is
+//! lost together with the worker, the next lead finds a task that runs nowhere, and would start it
+//! as if nothing had happened. A start that could lead to one crash too many is therefore recorded
+//! first: that of a task under which a worker was already lost, or any after a change of leads in
+//! which a worker was lost. This delays the start by one append. Starts of long-running tasks are
+//! recorded as well, so that a later lead can restart the task quickly.
 
 use sedgehill_core::units::Moment;
 
 use super::*;
 use crate::suspicion::OpenRun;
 
-/// A start that waits until it is recorded.
+/// A start that is sent once it is recorded.
 #[derive(Debug)]
 pub struct UnrecordedStart {
-    /// The batch that records it.
+    /// The number of the batch that records it.
     batch: u64,
     worker: WorkerKey,
     task: CellTask,
@@ -23,17 +24,17 @@
 }
 
 impl Scheduler {
-    /// Whether a start of a task is recorded before it is sent.
+    /// Whether the start of a task must be recorded before it is sent because of earlier crashes.
     pub(super) fn needs_write_ahead(&self, job: &ActiveJob, place: usize) -> bool {
         self.may_have_lost_runs(job) || !job.tasks[place].suspicion.is_clear()
     }
 
-    /// Whether a task of the job may have been lost with a worker while no lead saw it.
+    /// Whether a task of the job may have been lost with a worker during a change of leads.
     fn may_have_lost_runs(&self, job: &ActiveJob) -> bool {
         job.started_by_earlier_lead && self.take_over.lost_workers
     }
 
-    /// Has a start recorded.
+    /// Queues a start until it is recorded.
     pub(super) fn defer_start(&mut self, start: StartPlan, now: Moment) {
         let StartPlan { worker, task, run, checkpoint, alone, record } = start;
         if record == StartRecord::Suspect {
@@ -48,7 +49,7 @@
         self.unrecorded_starts.push(UnrecordedStart { batch, worker, task, run, checkpoint });
     }
 
-    /// Sends the starts that are recorded by now.
+    /// Sends the starts that have been recorded.
     pub(super) fn send_recorded_starts(&mut self, now: Moment) {
         if !self.has_fresh_worker_list(now) {
             return;
@@ -86,14 +87,14 @@
         self.send_start(key, task, run, checkpoint, now);
     }
 
-    /// Whether a task's run is this one. The task may have turned out to be done, and its job to be over.
+    /// Whether this is still the task's run. The task may be done by now, or its job over.
     fn is_current_run(&self, task: &CellTask, key: WorkerKey, run: RunNumber) -> bool {
         let job = self.jobs.get(&task.step.job).filter(|job| !job.is_over());
         let active_task = job.and_then(|job| Some(&job.tasks[job.task_index(task)?]));
         active_task.is_some_and(|active_task| active_task.phase == TaskPhase::Placed(key, run))
     }
 
-    /// Takes back a start that was not sent.
+    /// Withdraws a start that was not sent.
     pub(super) fn withdraw_unsent(
         &mut self,
         key: WorkerKey,
@@ -107,7 +108,7 @@
     }
 }
 
-/// A start that has its place.
+/// A start with its chosen worker.
 pub(super) struct StartPlan {
     pub(super) worker: WorkerKey,
     pub(super) task: CellTask,
@@ -117,13 +118,14 @@
     pub(super) record: StartRecord,
 }
 
-/// What of a start is recorded before it is sent.
+/// What is recorded of a start before it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartRecord {
     /// Nothing.
     None,
-    /// Where it goes, so that a later lead need not hear from any other worker before the next start.
+    /// The worker, so that a later lead can restart the task once it has heard from that worker
+    /// alone.
     Place,
-    /// That, and that a worker may be lost under it.
+    /// The worker, and that the start may crash it.
     Suspect,
 }
