--- a/crates/sedgehill-cell/src/scheduler/advice.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice.rs
@@ -10,7 +10,8 @@
 /// When too few workers may run a step, rejected workers are asked about again after this time, and
 /// after twice the time with each further repetition, up to [`MAX_RECHECK_DOUBLINGS`].
 const RECHECK_DELAY: TimeSpan = TimeSpan(500);
-/// With 5 doublings, a step that really has too few workers costs one question every 16 s.
+/// Most doublings of [`RECHECK_DELAY`]. With 5, a step that really has too few workers costs one
+/// question every 16 s.
 const MAX_RECHECK_DOUBLINGS: u32 = 5;
 
 /// Permission to run a step on one worker.
--- a/crates/sedgehill-cell/src/scheduler/answers.rs
+++ b/crates/sedgehill-cell/src/scheduler/answers.rs
@@ -11,6 +11,7 @@
         self.workers[key.0].note_order_answer(clock, now, &self.timing);
     }
 
+    /// Notes that a worker left a call unanswered.
     pub(super) fn note_silence(&mut self, key: WorkerKey, now: Moment) {
         let worker = &mut self.workers[key.0];
         if worker.is_over() {
@@ -29,6 +30,7 @@
         }
     }
 
+    /// Notes that a worker refused a call, or that the call was certainly not carried out.
     pub(super) fn note_refusal(
         &mut self,
         key: WorkerKey,
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Counts a fault against a worker, which may suspend it.
     pub(super) fn note_fault(&mut self, key: WorkerKey, change: &'static str, now: Moment) {
         let worker = &mut self.workers[key.0];
         if worker.note_fault(now, &self.timing) {
--- a/crates/sedgehill-cell/src/scheduler/displacement.rs
+++ b/crates/sedgehill-cell/src/scheduler/displacement.rs
@@ -71,7 +71,7 @@
         if !free.fits(wanted) {
             return None;
         }
-        // Keep runs that turned out not to be needed.
+        // Runs that turned out not to be needed go on.
         chosen.retain(|(_, _, need)| match free.minus(need) {
             Some(rest) if rest.fits(wanted) => {
                 free = rest;
@@ -85,7 +85,7 @@
 
 impl Scheduler {
     /// Stops less urgent runs for the tasks of a step that found no room although workers with
-    /// tickets could run them. `left` tasks still wait.
+    /// tickets could run them. `remaining` tasks still wait.
     pub(super) fn displace_for(
         &mut self,
         candidate: &Candidate,
--- a/crates/sedgehill-cell/src/scheduler/lives.rs
+++ b/crates/sedgehill-cell/src/scheduler/lives.rs
@@ -29,7 +29,7 @@
     /// A life that began later.
     Next(Option<LifeStart>),
     /// A life that has ended, or one that cannot be identified.
-    Unused,
+    Unusable,
 }
 
 impl Scheduler {
@@ -51,7 +51,7 @@
                 self.replace_life(key, start, now);
                 false
             }
-            ReportOrigin::Unused => {
+            ReportOrigin::Unusable => {
                 if report.start.is_none() {
                     // Nothing can be concluded, whichever life sent it.
                     self.note_silence(key, now);
@@ -75,7 +75,7 @@
             return ReportOrigin::Same;
         }
         if reported.is_none() {
-            return ReportOrigin::Unused;
+            return ReportOrigin::Unusable;
         }
         // A report asked for after the known life had reported does not come from an earlier life,
         // whatever their clocks say. Among reports that overtook each other, the start times
@@ -83,7 +83,7 @@
         let asked_later = worker.last_report_at.is_none_or(|at| sent >= at);
         match asked_later || reported > known {
             true => ReportOrigin::Next(reported),
-            false => ReportOrigin::Unused,
+            false => ReportOrigin::Unusable,
         }
     }
 
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -110,6 +110,7 @@
     jobs: BTreeMap<JobId, ActiveJob>,
     advice_dispatcher: AdviceDispatcher,
     shares: HashMap<QueueName, AllowedShare>,
+    /// How much longer runs take than estimated, by queue.
     estimates: HashMap<QueueName, FactorAverage>,
     call_losses: CallLossRate,
     organisations: OrganisationTable,
@@ -118,11 +119,16 @@
     workers_listed_at: Option<Moment>,
     orders: Vec<CellOrder>,
     events: Vec<CellEvent>,
+    /// Jobs whose progress goes into the next batch.
     dirty: BTreeSet<JobId>,
+    /// Jobs whose progress may wait for a batch, up to [`CellTiming::max_record_delay`].
     delayed: BTreeSet<JobId>,
+    /// When the first job was added to `delayed`; none while it is empty.
     delayed_since: Option<Moment>,
+    /// The next batch must contain a new roster.
     roster_changed: bool,
     next_batch: u64,
+    /// The number of the newest batch that is recorded.
     recorded: u64,
     /// Something must be recorded to find out whether a later lead has fenced this one.
     confirmation_wanted: bool,
@@ -131,7 +137,9 @@
     /// Up to this moment no later lead had given orders: a batch taken then was recorded under this
     /// lead's token.
     lead_confirmed_at: Moment,
+    /// A worker refused this lead because of a later one.
     fenced_out: bool,
+    /// The time of day, in milliseconds since 1970, and when it was set.
     wall_clock: (u64, Moment),
     /// Lost runs whose workers may or may not have crashed.
     unresolved_runs: UnresolvedRuns,
@@ -314,6 +322,7 @@
         self.set_owner(id, now);
     }
 
+    /// Has it recorded that tasks of the job may start.
     fn record_start_flag(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.start_flag = StartFlag::Pending;
@@ -331,8 +340,8 @@
         self.finish_if_over(id, now);
     }
 
-    /// Updates the job's final state, and has it recorded and reported if it is over and nothing of
-    /// it runs.
+    /// Gives a job its final state if it is over. It is then recorded, and reported once none of its
+    /// tasks runs.
     fn finish_if_over(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         // What an earlier lead started of a cancelled job may still run on a worker that has not
@@ -364,6 +373,7 @@
         self.finish_if_over(id, now);
     }
 
+    /// Notes that a task of the job has started.
     fn note_started(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state == JobState::Pending {
@@ -395,6 +405,8 @@
         self.report_late_restarts(now);
     }
 
+    /// Orders a run to be stopped, unless that has been done. A start that was not sent is
+    /// withdrawn.
     fn stop_run(
         &mut self,
         key: WorkerKey,
@@ -419,6 +431,7 @@
         self.orders.push(CellOrder::Stop(StopOrder { worker: key, task, run, token }));
     }
 
+    /// Repeats stops that have not been answered.
     fn retry_stops(&mut self, now: Moment) {
         let interval = self.timing.stop_retry_interval;
         for (number, worker) in self.workers.iter_mut().enumerate() {
--- a/crates/sedgehill-cell/src/scheduler/reports.rs
+++ b/crates/sedgehill-cell/src/scheduler/reports.rs
@@ -7,6 +7,7 @@
 use super::*;
 
 impl Scheduler {
+    /// Drops all runs of a worker that was lost, and updates the crash histories of their tasks.
     pub(super) fn lose_runs(&mut self, key: WorkerKey, cause: LossCause, now: Moment) {
         let life = self.workers[key.0].entry.life.clone();
         let runs = self.runs_at_loss(key, now);
@@ -19,6 +20,7 @@
         }
     }
 
+    /// Drops one run that is considered gone, and frees its task.
     fn lose_run(
         &mut self,
         key: WorkerKey,
@@ -166,6 +168,7 @@
         }
     }
 
+    /// Tracks a run that a worker reported first, which occupies room from now on.
     fn track_run(
         &mut self,
         key: WorkerKey,
@@ -208,9 +211,9 @@
         }
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
-        let kept = &mut job.tasks[index].progress;
-        if kept.run == run && kept.checkpoint != checkpoint {
-            kept.checkpoint = checkpoint.to_owned();
+        let progress = &mut job.tasks[index].progress;
+        if progress.run == run && progress.checkpoint != checkpoint {
+            progress.checkpoint = checkpoint.to_owned();
         }
     }
 
@@ -252,9 +255,9 @@
                 continue;
             }
             let Some(reading) = worker.ended_lease_reading(now, &self.timing) else { continue };
-            let lapsed_by_then =
+            let ended_by_then =
                 worker.ended_lease_reading(self.lead_confirmed_at, &self.timing).is_some();
-            if lapsed_by_then || self.was_sole_lead_at(now) {
+            if ended_by_then || self.was_sole_lead_at(now) {
                 self.lose_runs(WorkerKey(number), LossCause::LeaseEnded(reading), now);
             }
         }
--- a/crates/sedgehill-cell/src/scheduler/restart.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart.rs
@@ -294,21 +294,21 @@
         }
         let id = job.steps[step].id;
         let expected = self.restarts.expected.get(&id).map(|expected| expected.from);
-        let mut parts = WaitingGroups { restart_due: expected, others: false };
+        let mut groups = WaitingGroups { restart_due: expected, others: false };
         for (index, _) in tasks.iter().enumerate().filter(|(_, task)| ready(task)) {
             match self.restarts.get(&CellTask { step: id, index: index as u16 }) {
-                Some(_) if !self.is_settled_task(job, &tasks[index]) => parts.others = true,
+                Some(_) if !self.is_settled_task(job, &tasks[index]) => groups.others = true,
                 Some(due) => {
-                    let since = parts.restart_due.unwrap_or(due.since);
-                    parts.restart_due = Some(since.min(due.since));
+                    let since = groups.restart_due.unwrap_or(due.since);
+                    groups.restart_due = Some(since.min(due.since));
                 }
-                None => parts.others = true,
+                None => groups.others = true,
             }
         }
-        if job.step_spec(step).gang && parts.restart_due.is_some() {
-            parts.others = false;
+        if job.step_spec(step).gang && groups.restart_due.is_some() {
+            groups.others = false;
         }
-        parts
+        groups
     }
 
     /// Returns the waiting tasks in a candidate's group.
@@ -360,8 +360,9 @@
             return;
         }
         let jobs = &self.jobs;
-        let lives = |task: &CellTask| jobs.get(&task.step.job).is_some_and(|job| !job.is_over());
-        self.restarts.due.retain(|task, _| lives(task));
+        let is_active =
+            |task: &CellTask| jobs.get(&task.step.job).is_some_and(|job| !job.is_over());
+        self.restarts.due.retain(|task, _| is_active(task));
         let late = |due: &PendingRestart| match due.reported_at {
             None => now >= due.since.after(REPORT_AFTER),
             Some(reported_at) => now >= reported_at.after(REPORT_INTERVAL),
--- a/crates/sedgehill-cell/src/scheduler/stall.rs
+++ b/crates/sedgehill-cell/src/scheduler/stall.rs
@@ -180,7 +180,7 @@
     }
 
     fn longest_starved(&self, candidates: &[Candidate], now: Moment) -> Option<Candidate> {
-        let unasked_since = |candidate: &Candidate| {
+        let waiting_since = |candidate: &Candidate| {
             let step = &self.jobs.get(&candidate.job)?.steps[candidate.step];
             let stall = step.stall.filter(|stall| stall.reason == StallReason::NoFreeHelper)?;
             // Steps whose questions do not help take turns.
@@ -188,17 +188,17 @@
                 step.advice.last_asked_at.map_or(stall.since, |asked| asked.max(stall.since));
             (now >= since.after(STALLED_AFTER)).then_some((since, *candidate))
         };
-        let unasked = candidates.iter().filter_map(unasked_since);
-        unasked.min_by_key(|(since, _)| *since).map(|(_, candidate)| candidate)
+        let starved = candidates.iter().filter_map(waiting_since);
+        starved.min_by_key(|(since, _)| *since).map(|(_, candidate)| candidate)
     }
 
     /// Reports steps that have been stalled for long beside enough room.
     pub(super) fn report_stalls(&mut self, open: &OpenWorkers, now: Moment) {
         let is_long = |stall: &StepStall| {
-            let reported_at = stall
+            let recently_reported = stall
                 .reported_at
                 .is_some_and(|reported_at| now < reported_at.after(REPORT_INTERVAL));
-            now >= stall.since.after(STALLED_AFTER) && !reported_at
+            now >= stall.since.after(STALLED_AFTER) && !recently_reported
         };
         let mut long: Vec<(Moment, Candidate)> = Vec::new();
         for job in self.jobs.values().filter(|job| !job.is_over()) {
@@ -211,9 +211,9 @@
             }
         }
         long.sort_by_key(|(since, candidate)| (*since, candidate.job, candidate.step));
-        let mut reported_at = 0;
+        let mut report_count = 0;
         for (since, candidate) in long {
-            if reported_at == MAX_REPORTS_PER_TURN {
+            if report_count == MAX_REPORTS_PER_TURN {
                 return;
             }
             let Some(details) = self.stall_details(&candidate, open, now) else { continue };
@@ -226,7 +226,7 @@
             if details.places < MIN_ROOM_FACTOR * details.waiting {
                 continue;
             }
-            reported_at += 1;
+            report_count += 1;
             let (step, reason) = (active_step.id, stall.reason);
             self.events.push(CellEvent::Stalled {
                 step,
--- a/crates/sedgehill-cell/src/scheduler/suspects.rs
+++ b/crates/sedgehill-cell/src/scheduler/suspects.rs
@@ -25,7 +25,7 @@
 /// this many others were lost too, and at least one in [`CORRELATED_LOSS_ONE_IN`] of all. Tasks
 /// that crash their workers take down about one each second.
 const MIN_CORRELATED_LOSSES: usize = 5;
-/// The share of all workers that must be lost together: one in this many.
+/// The share of all workers that must be lost together to be correlated: one in this many.
 const CORRELATED_LOSS_ONE_IN: usize = 4;
 
 /// How a crash was detected.
@@ -245,21 +245,21 @@
     pub(super) fn note_inherited_suspects(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
         self.suspects_seen |= job.has_suspects();
-        let open_of = |(id, task): (CellTask, &ActiveTask)| {
+        let unresolved_of = |(id, task): (CellTask, &ActiveTask)| {
             let open = task.suspicion.open.clone();
             open.into_iter().map(move |open| (id, open))
         };
-        let open: Vec<(CellTask, OpenRun)> = job.all_tasks().flat_map(open_of).collect();
+        let open: Vec<(CellTask, OpenRun)> = job.all_tasks().flat_map(unresolved_of).collect();
         for (task, open) in open {
             let OpenRun { run, life, address, .. } = open;
             let inherited = true;
             self.unresolved_runs
                 .add(life.clone(), UnresolvedEntry { task, run, address, since: now, inherited });
-            let replaced_at = |worker: &WorkerState| {
+            let is_successor = |worker: &WorkerState| {
                 let other = !worker.entry.life.may_be(&life) && worker.entry.address == address;
                 other && worker.fenced && !worker.dead
             };
-            if self.workers.iter().any(replaced_at) {
+            if self.workers.iter().any(is_successor) {
                 self.resolve_as_crash(&life, address, CrashDetection::Successor, now);
             }
         }
@@ -366,15 +366,17 @@
         }
     }
 
+    /// Counts a crash in the history of the task, unless the evidence is weaker: the start was not
+    /// answered, or other workers were lost at the same time.
     fn count_crash(&mut self, crash: TaskCrash<'_>, now: Moment) {
         let TaskCrash { task, run, life, alone, evidence, other_runs, detected_by } = crash;
         if evidence == RunEvidence::Unanswered {
-            return self.note_unanswered(&crash, now);
+            return self.count_unanswered_start(&crash, now);
         }
         if let Some(others) = self.count_correlated_losses(life, task.step.job) {
             let worker = life.clone();
             self.events.push(CellEvent::CorrelatedCrash { task, run, worker, others });
-            return self.note_together(&task, run, now);
+            return self.count_correlated_crash(&task, run, now);
         }
         self.suspects_seen = true;
         self.resolve_run(&task, run);
@@ -411,7 +413,7 @@
     }
 
     /// Notes a crash of a worker on which a start of the task had not been answered.
-    fn note_unanswered(&mut self, crash: &TaskCrash<'_>, now: Moment) {
+    fn count_unanswered_start(&mut self, crash: &TaskCrash<'_>, now: Moment) {
         let TaskCrash { task, run, life, alone, .. } = *crash;
         self.suspects_seen = true;
         self.resolve_run(&task, run);
@@ -450,7 +452,8 @@
         (others >= min_losses).then_some(others)
     }
 
-    fn note_together(&mut self, task: &CellTask, run: RunNumber, now: Moment) {
+    /// Notes a crash that happened together with those of many other workers.
+    fn count_correlated_crash(&mut self, task: &CellTask, run: RunNumber, now: Moment) {
         self.suspects_seen = true;
         self.resolve_run(task, run);
         let at_unix_ms = self.unix_ms_at(now);
