--- a/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
@@ -29,8 +29,8 @@
 /// A question is overdue after this percentage of its cost and that of the questions before it,
 /// plus [`OVERDUE_SLACK`].
 const OVERDUE_PERCENT: u64 = 150;
-/// Added to the time after which a question is overdue, for a box that pauses for a moment and for the
-/// round trip.
+/// Added to the time after which a question is overdue, for a box that pauses for a moment and for
+/// the round trip.
 const OVERDUE_SLACK: TimeSpan = TimeSpan(300);
 /// A question without an answer is given up after this many times its cost, plus [`TIMEOUT_SLACK`].
 const TIMEOUT_FACTOR: u64 = 3;
@@ -39,8 +39,8 @@
 /// Backoff of a box after a failed question. It doubles with each further failure, up to
 /// [`MAX_HELPER_BACKOFF`].
 const MIN_HELPER_BACKOFF: TimeSpan = TimeSpan(250);
-/// Longest backoff of a box. It is short, since the service may recover at any time and there may be
-/// no other box.
+/// Longest backoff of a box. It is short, since the service may recover at any time and there may
+/// be no other box.
 const MAX_HELPER_BACKOFF: TimeSpan = TimeSpan(2_000);
 
 /// How urgently a question has to be asked.
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -340,8 +340,8 @@
         self.finish_if_over(id, now);
     }
 
-    /// Gives a job its final state if it is over. It is then recorded, and reported once none of its
-    /// tasks runs.
+    /// Gives a job its final state if it is over. It is then recorded, and reported once none of
+    /// its tasks runs.
     fn finish_if_over(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         // What an earlier lead started of a cancelled job may still run on a worker that has not
--- a/crates/sedgehill-cell/src/scheduler/rank.rs
+++ b/crates/sedgehill-cell/src/scheduler/rank.rs
@@ -88,8 +88,8 @@
         if policy.patience && !job.is_long_running() && latest_start > now.0 + DEFERRABLE_SLACK.0 {
             ValueClass::Deferrable
         } else if end <= accepted + objective || job.is_long_running() {
-            // A long-running job has value from whenever it starts, as long as it runs, so it is never
-            // late.
+            // A long-running job has value from whenever it starts, as long as it runs, so it is
+            // never late.
             ValueClass::OnTime
         } else if end <= accepted + LATE_FACTOR * objective {
             ValueClass::Late
