--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -34,6 +34,7 @@
 struct ShareBucket {
     /// In millionths of a job.
     level: u64,
+    /// When the level was last updated.
     at: Moment,
 }
 
--- a/crates/sedgehill-cell/src/scheduler/rank.rs
+++ b/crates/sedgehill-cell/src/scheduler/rank.rs
@@ -65,8 +65,8 @@
 /// objective, by its estimates. `unix_ms` is the time of day at `now`.
 pub fn latest_start(job: &ActiveJob, step: usize, unix_ms: u64, now: Moment) -> u64 {
     let objective = job.record.objective().as_millis();
-    let asked = job.objective_start(step, unix_ms, now);
-    (asked.0 + objective).saturating_sub(job.remaining_chain(step).as_millis())
+    let counted_from = job.objective_start(step, unix_ms, now);
+    (counted_from.0 + objective).saturating_sub(job.remaining_chain(step).as_millis())
 }
 
 /// Ranks a job for one of its steps: by remaining value, then by priority, then by the latest start
@@ -82,16 +82,16 @@
     let objective = job.record.objective().as_millis();
     let chain = job.remaining_chain(step).as_millis();
     let end = now.0 + chain;
-    let accepted = job.objective_start(step, unix_ms, now).0;
+    let counted_from = job.objective_start(step, unix_ms, now).0;
     let latest_start = latest_start(job, step, unix_ms, now);
     let value_class =
         if policy.patience && !job.is_long_running() && latest_start > now.0 + DEFERRABLE_SLACK.0 {
             ValueClass::Deferrable
-        } else if end <= accepted + objective || job.is_long_running() {
+        } else if end <= counted_from + objective || job.is_long_running() {
             // A long-running job has value from whenever it starts, as long as it runs, so it is
             // never late.
             ValueClass::OnTime
-        } else if end <= accepted + LATE_FACTOR * objective {
+        } else if end <= counted_from + LATE_FACTOR * objective {
             ValueClass::Late
         } else {
             ValueClass::Worthless
--- a/crates/sedgehill-cell/src/scheduler/take_over.rs
+++ b/crates/sedgehill-cell/src/scheduler/take_over.rs
@@ -82,16 +82,16 @@
     /// started them.
     fn stop_partial_gangs(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let mut broken = Vec::new();
+        let mut partial = Vec::new();
         for (number, step) in job.steps.iter().enumerate() {
             let tasks = job.step_tasks(number);
             let waits = |task: &ActiveTask| matches!(task.phase, TaskPhase::Waiting(_));
             if job.step_spec(number).gang && step.unfinished > 0 && tasks.iter().any(waits) {
-                broken.push(step.id);
+                partial.push(step.id);
             }
         }
         for (task, worker, run) in job.placed() {
-            if broken.contains(&task.step) {
+            if partial.contains(&task.step) {
                 self.stop_run(worker, task, run, "gang not whole", now);
             }
         }
--- a/crates/sedgehill-cell/src/scheduler/worker.rs
+++ b/crates/sedgehill-cell/src/scheduler/worker.rs
@@ -52,8 +52,8 @@
     /// Returns the next attempt if it is due. Intervals grow while stops stay unanswered: where
     /// answers are late because a link is full, frequent repeats would fill it further.
     pub fn next(self, interval: TimeSpan, now: Moment) -> Option<StopAttempt> {
-        let pause = TimeSpan(interval.0 << self.earlier.min(MAX_STOP_DOUBLINGS));
-        let due = now >= self.sent.after(pause);
+        let wait = TimeSpan(interval.0 << self.earlier.min(MAX_STOP_DOUBLINGS));
+        let due = now >= self.sent.after(wait);
         due.then_some(StopAttempt { sent: now, earlier: self.earlier + 1 })
     }
 }
@@ -182,9 +182,13 @@
     pub start_activity_at: Moment,
     /// The number up to which the last hold acknowledged run ends.
     pub acknowledged_to: u64,
+    /// The newest reading of its clock, and when it arrived.
     clock: Option<(WorkerTime, Moment)>,
+    /// The end of the longest lease that any lead may have asked for.
     lease_until: WorkerTime,
+    /// The number of the newest processed run end.
     last_end: u64,
+    /// Run ends that are not recorded yet, with the numbers of their batches.
     unrecorded_ends: VecDeque<(u64, u64)>,
 }
 
