--- a/crates/sedgehill-cell/src/scheduler/stall.rs
+++ b/crates/sedgehill-cell/src/scheduler/stall.rs
@@ -108,13 +108,13 @@
     /// Places for its tasks on workers that take work, regardless of advice.
     pub places: usize,
     /// Those of the places that are on workers that may run it.
-    pub places_good: usize,
+    pub places_allowed: usize,
     /// Those of the places that are on workers that were never asked about.
     pub places_unknown: usize,
     /// Workers that may run it.
-    pub good: usize,
+    pub allowed: usize,
     /// Workers that may not run it.
-    pub not_good: usize,
+    pub rejected: usize,
     /// Workers with a usable ticket.
     pub tickets: usize,
     /// Workers that get at most one run because of faults.
@@ -249,10 +249,10 @@
         let mut details = StallDetails {
             waiting: waiting_tasks(job, candidate.step, now).len(),
             places: 0,
-            places_good: 0,
+            places_allowed: 0,
             places_unknown: 0,
-            good: advice.known.values().filter(|known| known.is_some()).count(),
-            not_good: advice.known.values().filter(|known| known.is_none()).count(),
+            allowed: advice.known.values().filter(|known| known.is_some()).count(),
+            rejected: advice.known.values().filter(|known| known.is_none()).count(),
             tickets: advice.ticketed(now, self.timing.ticket_margin).count(),
             suspended: self.workers.iter().filter(|worker| worker.is_distrusted()).count(),
             share_percent: (self.allowed_share(&job.record.queue) * 100.0) as u64,
@@ -267,7 +267,7 @@
             };
             details.places += places;
             match advice.known.get(key) {
-                Some(Some(_)) => details.places_good += places,
+                Some(Some(_)) => details.places_allowed += places,
                 Some(None) => {}
                 None => details.places_unknown += places,
             }
--- a/crates/sedgehill-cell/src/scheduler/take_over.rs
+++ b/crates/sedgehill-cell/src/scheduler/take_over.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether no earlier lead can give orders any more.
-    pub fn is_sole(&self, now: Moment) -> bool {
+    pub fn is_sole_lead(&self, now: Moment) -> bool {
         !self.take_over.predecessor || (self.take_over.fenced && now >= self.earlier_orders_end())
     }
 
--- a/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
@@ -229,7 +229,7 @@
             return;
         }
         session.renewing = true;
-        let record = LeadRecord { sole: session.scheduler.is_sole(now), ..record };
+        let record = LeadRecord { sole: session.scheduler.is_sole_lead(now), ..record };
         let call = self.lead_append(&record);
         out.push((Purpose::Renew(record), call));
     }
--- a/crates/sedgehill-cell/tests/testsuite/predecessor.rs
+++ b/crates/sedgehill-cell/tests/testsuite/predecessor.rs
@@ -113,9 +113,9 @@
     let mut later = cell.lead(true);
     let fenced = cell.now.after(TimeSpan(500));
     let over = fenced.after(timing.authority_term).after(TimeSpan(48));
-    assert!(!later.is_sole(over), "not before it has fenced");
+    assert!(!later.is_sole_lead(over), "not before it has fenced");
     later.note_fenced(fenced);
-    assert!(!later.is_sole(Moment(over.0 - 1)));
-    assert!(later.is_sole(over));
-    assert!(cell.lead(false).is_sole(cell.now));
+    assert!(!later.is_sole_lead(Moment(over.0 - 1)));
+    assert!(later.is_sole_lead(over));
+    assert!(cell.lead(false).is_sole_lead(cell.now));
 }
--- a/crates/sedgehilld/src/cell/events.rs
+++ b/crates/sedgehilld/src/cell/events.rs
@@ -156,8 +156,8 @@
         CellEvent::Stalled { step, reason, stalled_for, details } => {
             warn!(log, "step stalled"; "token" => %token, "step" => %step, "reason" => %reason,
                 "stalled_ms" => stalled_for.0, "waiting" => details.waiting, "places" => details.places,
-                "places_good" => details.places_good, "places_unknown" => details.places_unknown,
-                "good" => details.good, "not_good" => details.not_good, "tickets" => details.tickets,
+                "places_good" => details.places_allowed, "places_unknown" => details.places_unknown,
+                "good" => details.allowed, "not_good" => details.rejected, "tickets" => details.tickets,
                 "shunned" => details.suspended,
                 "share_percent" => details.share_percent, "asking" => details.asking,
                 "asked_ms_ago" => details.asked_ago.map(|ago| ago.0));
@@ -165,9 +165,9 @@
         CellEvent::RestartLate { task, cause, without_run, reason, ahead, details } => {
             warn!(log, "task without a run"; "token" => %token, "task" => %task, "cause" => %cause,
                 "without_run_ms" => without_run.0, "reason" => %reason, "ahead" => ahead,
-                "places" => details.places, "places_good" => details.places_good,
-                "places_unknown" => details.places_unknown, "good" => details.good,
-                "not_good" => details.not_good, "tickets" => details.tickets, "asking" => details.asking,
+                "places" => details.places, "places_good" => details.places_allowed,
+                "places_unknown" => details.places_unknown, "good" => details.allowed,
+                "not_good" => details.rejected, "tickets" => details.tickets, "asking" => details.asking,
                 "asked_ms_ago" => details.asked_ago.map(|ago| ago.0));
         }
         CellEvent::JobEnded { job, state, after } => {
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -47,7 +47,7 @@
             return LeadEnd::LaterToken;
         };
         // A follower need not wait for leads before this one once their terms are over.
-        let sole = session.scheduler.borrow().is_sole(clock::now());
+        let sole = session.scheduler.borrow().is_sole_lead(clock::now());
         let record = LeadRecord { sole, ..record };
         pause = RENEW_RETRY;
         if record.token == session.token && append_lead(host, Some(session), record, end).await {
