--- a/crates/sedgehill-cell/src/scheduler/background_crashes.rs
+++ b/crates/sedgehill-cell/src/scheduler/background_crashes.rs
@@ -16,7 +16,7 @@
 const CRASH_WINDOW: TimeSpan = TimeSpan(60_000);
 /// Two crashes are required above this chance, in thousandths, that a worker crashes by itself
 /// during one run.
-const CHANCE_PERMILLE: u64 = 2;
+const MAX_CRASH_CHANCE_PERMILLE: u64 = 2;
 /// The least duration assumed for a run, including its start and the time until its end is heard.
 const MIN_RUN_SPAN: TimeSpan = TimeSpan(500);
 
@@ -45,7 +45,8 @@
         let recent =
             self.crashes.iter().filter(|(at, _)| now < at.after(CRASH_WINDOW)).count() as u64;
         let run = run.0.max(MIN_RUN_SPAN.0);
-        let often = recent * run * 1_000 > CHANCE_PERMILLE * CRASH_WINDOW.0 * workers as u64;
+        let often =
+            recent * run * 1_000 > MAX_CRASH_CHANCE_PERMILLE * CRASH_WINDOW.0 * workers as u64;
         if often { 2 } else { 1 }
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/restart_room.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart_room.rs
@@ -19,12 +19,12 @@
 /// Less urgent runs that save their state are stopped where room would become free later than this.
 const MAX_WAIT_WITHOUT_STOPS: TimeSpan = TimeSpan(1_000);
 /// The wait that is assumed for a worker where less urgent runs must be stopped.
-const STOP_PENALTY: TimeSpan = TimeSpan(1_200);
+const ASSUMED_STOP_WAIT: TimeSpan = TimeSpan(1_200);
 /// A task without a run for this long may also have less urgent runs stopped that save no state,
 /// and runs of any urgency that do. Callers are promised a restart however full the cell is.
 const LAST_RESORT_AFTER: TimeSpan = TimeSpan(3_000);
 /// The wait that is assumed for a worker where such runs must be stopped.
-const LAST_RESORT_PENALTY: TimeSpan = TimeSpan(2_000);
+const ASSUMED_LAST_RESORT_WAIT: TimeSpan = TimeSpan(2_000);
 /// The remaining time that is assumed for a run that takes longer than expected, or has no known
 /// estimate.
 const UNKNOWN_TIME_LEFT: TimeSpan = TimeSpan(1_000);
@@ -184,12 +184,12 @@
             self.workers[key.0].runs_to_stop(&spec.need, may_stop)
         };
         if let Some(runs) = stops(false) {
-            return Some(RestartStops { runs, wait: STOP_PENALTY });
+            return Some(RestartStops { runs, wait: ASSUMED_STOP_WAIT });
         }
         let due = self.restarts.due_since(job.steps[candidate.step].id, self.timing.stop);
         let last_resort = due.is_some_and(|since| now >= since.after(LAST_RESORT_AFTER));
         let runs = last_resort.then(|| stops(true))??;
-        Some(RestartStops { runs, wait: LAST_RESORT_PENALTY })
+        Some(RestartStops { runs, wait: ASSUMED_LAST_RESORT_WAIT })
     }
 
     /// Returns the workers that can take a task of the step now or later, ignoring advice, the best
--- a/crates/sedgehill-cell/src/scheduler/roster.rs
+++ b/crates/sedgehill-cell/src/scheduler/roster.rs
@@ -9,10 +9,10 @@
 
 /// A life that has never answered and is listed at another address is moved there only after this
 /// time. This bounds the cost of an entry that is changed again and again.
-const MOVE_PAUSE: TimeSpan = TimeSpan(2_000);
+const MIN_TIME_AT_ADDRESS: TimeSpan = TimeSpan(2_000);
 /// A worker that has not answered for this long is unreachable: twice the longest wait for a
 /// report.
-const OUT_OF_TOUCH_AFTER: TimeSpan = TimeSpan(1_500);
+const UNREACHABLE_AFTER: TimeSpan = TimeSpan(1_500);
 
 impl Scheduler {
     /// Updates the workers from the store's list. Workers in `unreadable`, whose entries cannot be
@@ -178,7 +178,7 @@
         let is_proven = worker.fenced || may_run;
         entry.address != worker.entry.address
             && !is_proven
-            && now >= worker.added_at.after(MOVE_PAUSE)
+            && now >= worker.added_at.after(MIN_TIME_AT_ADDRESS)
     }
 
     fn unpolled(&mut self) -> Vec<WorkerKey> {
@@ -207,7 +207,7 @@
         if unsettled || !worker.runs.is_empty() {
             return true;
         }
-        let in_touch = worker.last_answer_at.is_some_and(|at| now < at.after(OUT_OF_TOUCH_AFTER));
+        let in_touch = worker.last_answer_at.is_some_and(|at| now < at.after(UNREACHABLE_AFTER));
         worker.is_listed(now, &self.timing) && !worker.entry.draining && in_touch
     }
 
--- a/crates/sedgehill-cell/src/scheduler/timing.rs
+++ b/crates/sedgehill-cell/src/scheduler/timing.rs
@@ -32,7 +32,8 @@
     /// How long a lead may give orders after its last renewal, and so how long an earlier lead may
     /// have done.
     pub authority_term: TimeSpan,
-    /// Time between the first two stops of a run; it doubles between later ones.
+    /// Time between the first two stops of a run. It doubles between later ones, up to a factor of
+    /// eight.
     pub stop_retry_interval: TimeSpan,
     /// How long a task waits after a refused start.
     pub start_backoff: TimeSpan,
