--- a/crates/sedgehill-cell/src/scheduler/diagnostics.rs
+++ b/crates/sedgehill-cell/src/scheduler/diagnostics.rs
@@ -12,7 +12,7 @@
 pub struct TakeOverStatus {
     /// Whether an earlier lead may give orders until its term ends.
     pub waits_for_term: bool,
-    /// When everything that earlier leads may have started must have ended.
+    /// When everything that earlier leads may have started has certainly ended.
     pub settled_by: Moment,
     /// The number of jobs that are not over.
     pub jobs: usize,
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! A new lead starts with the jobs that every box knows and with no knowledge of the workers. It
 //! starts no task of an inherited job until every worker has reported to it, or until everything
-//! that an earlier lead may have ordered must have ended ([`Scheduler::take_over`]). The end of a
-//! run is acknowledged to its worker only after it has been recorded in the store. When a start
+//! that an earlier lead may have ordered has certainly ended ([`Scheduler::take_over`]). The end of
+//! a run is acknowledged to its worker only after it has been recorded in the store. When a start
 //! goes unanswered, the task does not run elsewhere until one of these happens: a stop is answered,
 //! a report of the worker shows whether the run is there, or the worker's lease ends.
 
@@ -84,7 +84,7 @@
     fenced: bool,
     /// All records of earlier leads have been read.
     caught_up: bool,
-    /// Every worker has reported, or everything that earlier leads started must have ended.
+    /// Every worker has reported, or everything that earlier leads started has certainly ended.
     settled: bool,
     /// What settled it; none while it is not settled.
     settled_by: Option<SettlementCause>,
--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -1,9 +1,9 @@
 //! Tracks what runs for each organisation, and whether more may be started for it.
 //!
 //! Everything that may be running counts: unanswered starts, runs that are being stopped, and runs
-//! on unreachable workers until their lease must have ended. A new lead does not know what earlier
-//! leads started. Until every worker has reported, the waiting tasks of jobs with the start flag
-//! count as running, as far as the workers that have not reported could hold them.
+//! on unreachable workers until their lease has certainly ended. A new lead does not know what
+//! earlier leads started. Until every worker has reported, the waiting tasks of jobs with the start
+//! flag count as running, as far as the workers that have not reported could hold them.
 
 use std::collections::HashMap;
 
--- a/crates/sedgehill-cell/src/scheduler/record.rs
+++ b/crates/sedgehill-cell/src/scheduler/record.rs
@@ -42,7 +42,7 @@
     /// this one.
     ///
     /// Time alone does not prove that a run has ended. A lead that was replaced without knowing
-    /// still believes in its term, while its successor may have renewed the lease of the run.
+    /// still counts on its term, while its successor may have renewed the lease of the run.
     pub(super) fn was_sole_lead_at(&mut self, moment: Moment) -> bool {
         let confirmed = self.lead_confirmed_at >= moment;
         // A batch taken since then will show it.
--- a/crates/sedgehill-cell/src/scheduler/restart_room.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart_room.rs
@@ -23,7 +23,7 @@
 /// A task without a run for this long may also have less urgent runs stopped that save no state,
 /// and runs of any urgency that do. Callers are promised a restart however full the cell is.
 const LAST_RESORT_AFTER: TimeSpan = TimeSpan(3_000);
-/// The wait that is assumed for a worker where such runs must be stopped.
+/// The wait that is assumed for a worker where runs must be stopped as a last resort.
 const ASSUMED_LAST_RESORT_WAIT: TimeSpan = TimeSpan(2_000);
 /// The remaining time that is assumed for a run that takes longer than expected, or has no known
 /// estimate.
--- a/crates/sedgehill-cell/src/scheduler/take_over.rs
+++ b/crates/sedgehill-cell/src/scheduler/take_over.rs
@@ -28,8 +28,8 @@
         !self.take_over.predecessor || (self.take_over.fenced && now >= self.earlier_orders_end())
     }
 
-    /// Returns when the term of any earlier lead must have ended, even if its clock is slower than
-    /// this box's.
+    /// Returns when the term of any earlier lead has certainly ended, even if its clock is slower
+    /// than this box's.
     fn earlier_orders_end(&self) -> Moment {
         let term = match self.take_over.predecessor {
             true => self.timing.authority_term,
@@ -42,7 +42,7 @@
         TimeSpan(span.0 * self.timing.clock_drift_permille / 1000)
     }
 
-    /// Returns when everything that earlier leads may have started must have ended.
+    /// Returns when everything that earlier leads may have started has certainly ended.
     pub(super) fn earlier_runs_end(&self) -> Moment {
         let lease = self.timing.max_lease;
         let drift = TimeSpan(DRIFTING_CLOCKS * self.drift_of(lease).0);
--- a/crates/sedgehill-cell/src/scheduler/write_ahead.rs
+++ b/crates/sedgehill-cell/src/scheduler/write_ahead.rs
@@ -25,8 +25,8 @@
 
 impl Scheduler {
     /// Whether the start of a task must be recorded before it is sent because of earlier crashes.
-    pub(super) fn needs_write_ahead(&self, job: &ActiveJob, place: usize) -> bool {
-        self.may_have_lost_runs(job) || !job.tasks[place].suspicion.is_clear()
+    pub(super) fn needs_write_ahead(&self, job: &ActiveJob, index: usize) -> bool {
+        self.may_have_lost_runs(job) || !job.tasks[index].suspicion.is_clear()
     }
 
     /// Whether a task of the job may have been lost with a worker during a change of leads.
