--- a/crates/sedgehill-cell/src/scheduler/active_job.rs
+++ b/crates/sedgehill-cell/src/scheduler/active_job.rs
@@ -8,10 +8,10 @@
 use super::message::WorkerKey;
 use super::organisations::OrganisationKey;
 use super::stall::StepStall;
+use crate::crash_history::{CrashHistory, StartRestriction};
 use crate::ids::{CellTask, FencingToken, JobId, OrganisationName, RunNumber, StepId, WorkerLife};
 use crate::job::{JobRecord, RepeatSpec, StepSpec};
-use crate::progress::{JobProgress, JobState, TaskPlace, TaskProgress};
-use crate::suspicion::{SuspectStage, TaskSuspicion};
+use crate::progress::{JobProgress, JobState, TaskLocation, TaskProgress};
 
 /// Run numbers of a task that one lead can use without recording them. A lead counts from its token
 /// times this number, so that two leads never use one number for different runs. Refused starts use
@@ -37,7 +37,7 @@
     /// The worker on which its last run failed.
     pub failed_at: Option<WorkerKey>,
     /// Its history of workers that were lost while it ran there.
-    pub suspicion: TaskSuspicion,
+    pub crash_history: CrashHistory,
     /// The current run, if its start counts against the number of starts allowed after crashes.
     pub counted_start: Option<RunNumber>,
     /// An earlier lead recorded a start of it.
@@ -56,7 +56,9 @@
     /// Whether it may be started now if there is room.
     pub fn is_ready(&self, now: Moment) -> bool {
         let waits = matches!(self.phase, TaskPhase::Waiting(from) if now >= from);
-        waits && !self.progress.done && self.suspicion.stage() != SuspectStage::Held
+        waits
+            && !self.progress.done
+            && self.crash_history.start_restriction() != StartRestriction::Deferred
     }
 }
 
@@ -137,32 +139,32 @@
                 started_by_earlier_lead: progress.run.0 > 0,
                 progress,
                 failed_at: None,
-                suspicion: TaskSuspicion::default(),
+                crash_history: CrashHistory::default(),
                 counted_start: None,
                 location: None,
             })
             .collect();
-        for place in &progress.places {
-            if let Some(task) = tasks.get_mut(place.task as usize) {
-                task.location = Some((place.life.clone(), place.by));
+        for location in &progress.locations {
+            if let Some(task) = tasks.get_mut(location.task as usize) {
+                task.location = Some((location.life.clone(), location.recorded_by));
             }
         }
-        for (index, suspicion) in &progress.suspects {
+        for (index, crash_history) in &progress.crash_histories {
             if let Some(task) = tasks.get_mut(*index as usize) {
-                task.suspicion = suspicion.clone();
+                task.crash_history = crash_history.clone();
             }
         }
-        for (index, together) in &progress.together {
+        for (index, correlated_ms) in &progress.correlated_ms {
             if let Some(task) = tasks.get_mut(*index as usize) {
-                task.suspicion.together = together.clone();
+                task.crash_history.correlated_ms = correlated_ms.clone();
             }
         }
         for (index, unanswered) in &progress.unanswered {
             if let Some(task) = tasks.get_mut(*index as usize) {
-                task.suspicion.unanswered = unanswered.clone();
+                task.crash_history.unanswered = unanswered.clone();
             }
         }
-        if progress.ordered {
+        if progress.may_have_started {
             let first = u32::try_from(token.0 * RUN_NUMBERS_PER_LEAD).unwrap_or(u32::MAX - 1);
             for task in &mut tasks {
                 task.progress.run.0 = task.progress.run.0.max(first);
@@ -186,7 +188,7 @@
                 first += count;
             }
         }
-        let start_flag = match progress.ordered {
+        let start_flag = match progress.may_have_started {
             true => StartFlag::Recorded,
             false => StartFlag::Unset,
         };
@@ -199,8 +201,8 @@
             state: progress.state,
             cancelled: false,
             start_flag,
-            unsettled_starts: progress.ordered,
-            started_by_earlier_lead: progress.ordered,
+            unsettled_starts: progress.may_have_started,
+            started_by_earlier_lead: progress.may_have_started,
             led_elsewhere: false,
             tasks,
             steps,
@@ -303,37 +305,38 @@
         };
         JobProgress {
             state: self.state,
-            ordered: self.start_flag != StartFlag::Unset,
+            may_have_started: self.start_flag != StartFlag::Unset,
             tasks,
             organisation: self.finished_owner(),
-            suspects: self.suspects(),
-            together: self.history_lists(|suspicion| &suspicion.together),
-            places: self.locations(),
-            unanswered: self.history_lists(|suspicion| &suspicion.unanswered),
+            crash_histories: self.crash_histories(),
+            correlated_ms: self.history_lists(|crash_history| &crash_history.correlated_ms),
+            locations: self.locations(),
+            unanswered: self.history_lists(|crash_history| &crash_history.unanswered),
         }
     }
 
     /// Returns where its long-running tasks run, or last ran; nothing once the job has a final
     /// state.
-    fn locations(&self) -> Vec<TaskPlace> {
+    fn locations(&self) -> Vec<TaskLocation> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
         let location = |(number, task): (usize, &ActiveTask)| {
-            let (life, by) = task.location.clone()?;
-            Some(TaskPlace { task: number as u32, life, by })
+            let (life, recorded_by) = task.location.clone()?;
+            Some(TaskLocation { task: number as u32, life, recorded_by })
         };
         tasks.filter_map(location).collect()
     }
 
     /// Whether a task has lost a worker that crashed or may have crashed.
     pub fn has_suspects(&self) -> bool {
-        self.tasks.iter().any(|task| !task.suspicion.is_clear())
+        self.tasks.iter().any(|task| !task.crash_history.is_empty())
     }
 
     /// Whether a task that must run alone, or may have to, is waiting.
     pub fn wants_alone(&self) -> bool {
         self.tasks.iter().any(|task| {
-            let stage = task.suspicion.stage();
-            let isolated = matches!(stage, SuspectStage::Alone | SuspectStage::Held);
+            let restriction = task.crash_history.start_restriction();
+            let isolated =
+                matches!(restriction, StartRestriction::Exclusive | StartRestriction::Deferred);
             isolated && task.waits()
         })
     }
@@ -342,18 +345,18 @@
     /// has a final state.
     fn history_lists<T: Clone>(
         &self,
-        list: impl Fn(&TaskSuspicion) -> &Vec<T>,
+        list: impl Fn(&CrashHistory) -> &Vec<T>,
     ) -> Vec<(u32, Vec<T>)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
-        let histories = tasks.filter(|(_, task)| !list(&task.suspicion).is_empty());
-        histories.map(|(index, task)| (index as u32, list(&task.suspicion).clone())).collect()
+        let histories = tasks.filter(|(_, task)| !list(&task.crash_history).is_empty());
+        histories.map(|(index, task)| (index as u32, list(&task.crash_history).clone())).collect()
     }
 
     /// Returns the crash histories of its tasks; nothing once the job has a final state.
-    fn suspects(&self) -> Vec<(u32, TaskSuspicion)> {
+    fn crash_histories(&self) -> Vec<(u32, CrashHistory)> {
         let tasks = self.tasks.iter().enumerate().filter(|_| !self.state.is_final());
-        let suspects = tasks.filter(|(_, task)| !task.suspicion.is_clear());
-        suspects.map(|(index, task)| (index as u32, task.suspicion.clone())).collect()
+        let histories = tasks.filter(|(_, task)| !task.crash_history.is_empty());
+        histories.map(|(index, task)| (index as u32, task.crash_history.clone())).collect()
     }
 
     /// Returns the organisation once the job has a final state, as the accepted record, which names
--- a/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
+++ b/crates/sedgehill-cell/src/scheduler/advice_dispatch.rs
@@ -15,7 +15,7 @@
 
 use super::message::HelperId;
 use crate::ids::StepId;
-use crate::patience::RepeatBudget;
+use crate::timeout::ResendBudget;
 
 /// Questions that cost at least this much are long, and go only to some boxes.
 const LONG_QUESTION_COST: TimeSpan = TimeSpan(200);
@@ -108,7 +108,7 @@
     helpers: BTreeMap<HelperId, AdviceHelper>,
     keep_short_only: bool,
     /// Limits how many overdue questions are asked again.
-    repeats: RepeatBudget,
+    repeats: ResendBudget,
 }
 
 impl AdviceDispatcher {
@@ -118,7 +118,7 @@
         AdviceDispatcher {
             helpers: BTreeMap::new(),
             keep_short_only,
-            repeats: RepeatBudget::default(),
+            repeats: ResendBudget::default(),
         }
     }
 
@@ -209,7 +209,7 @@
         let total_ms = state.queued_ms() + cost.0;
         let overdue_at = now.after(TimeSpan(total_ms * OVERDUE_PERCENT / 100 + OVERDUE_SLACK.0));
         state.in_flight.push(PendingQuestion { step, cost, sent: now, overdue_at, overdue: false });
-        self.repeats.note_first();
+        self.repeats.note_first_call();
     }
 
     /// Notes that a question was answered or failed. Returns when it was asked; none if it had been
@@ -240,7 +240,7 @@
         let mut overdue = Vec::new();
         for (helper, state) in &mut self.helpers {
             for question in state.in_flight.iter_mut().filter(|question| !question.overdue) {
-                if now >= question.overdue_at && self.repeats.take() {
+                if now >= question.overdue_at && self.repeats.try_take() {
                     question.overdue = true;
                     overdue.push((*helper, question.step));
                 }
--- a/crates/sedgehill-cell/src/scheduler/isolation.rs
+++ b/crates/sedgehill-cell/src/scheduler/isolation.rs
@@ -12,8 +12,8 @@
 use super::placement::Assignment;
 use super::room::{Candidate, OpenWorkers};
 use super::*;
+use crate::crash_history::{CrashHistory, StartRestriction};
 use crate::job::StepSpec;
-use crate::suspicion::{SuspectStage, TaskSuspicion};
 
 /// A run that has lasted this long is not considered the cause of a crash. Users' tasks that crash
 /// workers do so within a second of their start, and the longest usual tasks take some six seconds.
@@ -56,13 +56,15 @@
 }
 
 /// Returns how a task may be started, by its crash history.
-pub(super) fn stage_of(job: &ActiveJob, step: usize, index: u16) -> SuspectStage {
-    job.step_tasks(step)[usize::from(index)].suspicion.stage()
+pub(super) fn start_restriction_of(job: &ActiveJob, step: usize, index: u16) -> StartRestriction {
+    job.step_tasks(step)[usize::from(index)].crash_history.start_restriction()
 }
 
 /// Splits tasks into those that must run alone and the others.
 pub(super) fn split_alone(job: &ActiveJob, step: usize, tasks: &[u16]) -> (Vec<u16>, Vec<u16>) {
-    tasks.iter().partition(|index| stage_of(job, step, **index) == SuspectStage::Alone)
+    tasks
+        .iter()
+        .partition(|index| start_restriction_of(job, step, **index) == StartRestriction::Exclusive)
 }
 
 impl Scheduler {
@@ -172,10 +174,10 @@
         &self,
         key: WorkerKey,
         id: JobId,
-        suspicion: &TaskSuspicion,
+        crash_history: &CrashHistory,
         now: Moment,
     ) -> bool {
-        if suspicion.is_clear() {
+        if crash_history.is_empty() {
             return true;
         }
         let others = self.workers[key.0]
@@ -184,8 +186,8 @@
             .filter(|(task, run)| task.step.job != id && now < run.since.after(CRASH_SUSPECT_SPAN));
         let mut suspects = others.filter_map(|(task, _)| {
             let job = self.jobs.get(&task.step.job)?;
-            Some(&job.tasks[job.task_index(task)?].suspicion)
+            Some(&job.tasks[job.task_index(task)?].crash_history)
         });
-        !suspects.any(|other| suspicion.shares_loss(other))
+        !suspects.any(|other| crash_history.shares_lost_worker(other))
     }
 }
--- a/crates/sedgehill-cell/src/scheduler/message.rs
+++ b/crates/sedgehill-cell/src/scheduler/message.rs
@@ -14,7 +14,7 @@
 };
 use crate::job::JobRecord;
 use crate::progress::JobProgress;
-use crate::stored::decode_grown;
+use crate::stored::decode_with_defaults;
 
 /// The scheduler's index of one life of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -304,7 +304,7 @@
     pub fn decode(value: &[u8]) -> Result<WorkerRoster, postcard::Error> {
         /// Two empty lists, appended when reading: rosters of earlier versions lack one or both.
         const EMPTY_LISTS: [u8; 2] = [0, 0];
-        decode_grown::<StoredRoster>(value, &EMPTY_LISTS).map(WorkerRoster::from)
+        decode_with_defaults::<StoredRoster>(value, &EMPTY_LISTS).map(WorkerRoster::from)
     }
 }
 
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -286,7 +286,7 @@
         }
         let accepted = Moment(now.0.saturating_sub(age.as_millis()));
         let mut job = ActiveJob::new(id, record, accepted, progress, self.token);
-        if self.take_over.caught_up && progress.ordered {
+        if self.take_over.caught_up && progress.may_have_started {
             // No earlier lead can have set the start flag any more. It was set by this lead, which
             // is about to learn so through [`Scheduler::add_own_job`], or by a later lead.
             job.led_elsewhere = true;
--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -70,7 +70,7 @@
 
 impl OrganisationAccount {
     fn room(&self) -> ResourceSet {
-        self.limit.room_beside(&self.running.plus(&self.unconfirmed).plus(&self.reserved))
+        self.limit.remaining(&self.running.plus(&self.unconfirmed).plus(&self.reserved))
     }
 }
 
@@ -167,14 +167,14 @@
     pub fn is_over_limit(&self, key: Option<OrganisationKey>) -> bool {
         let account = key.map(|key| &self.accounts[key.0]);
         account.is_some_and(|account| {
-            !account.limit.admits(&account.running.plus(&account.unconfirmed))
+            !account.limit.allows(&account.running.plus(&account.unconfirmed))
         })
     }
 
     /// Reserves room under a limit for a waiting step, unless the step could never fit under it.
     fn reserve(&mut self, key: OrganisationKey, need: &ResourceSet) {
         let account = &mut self.accounts[key.0];
-        if account.limit.admits(need) {
+        if account.limit.allows(need) {
             account.reserved = account.reserved.plus(need);
         }
     }
--- a/crates/sedgehill-cell/src/scheduler/placement.rs
+++ b/crates/sedgehill-cell/src/scheduler/placement.rs
@@ -1,13 +1,13 @@
 //! Places the tasks of waiting steps on workers, in the order of the steps' ranks.
 
-use super::isolation::{split_alone, stage_of};
+use super::isolation::{split_alone, start_restriction_of};
 use super::rank::{JobRank, StepRank, rank_job};
 use super::room::{Candidate, OpenWorkers};
 use super::worker::{WorkerRun, WorkerTrust};
 use super::write_ahead::{StartPlan, StartRecord};
 use super::*;
+use crate::crash_history::StartRestriction;
 use crate::job::StepSpec;
-use crate::suspicion::SuspectStage;
 use sedgehill_core::units::{Moment, ResourceSet};
 
 /// Task indexes and the workers chosen for them.
@@ -120,7 +120,9 @@
         let record = job.record.clone();
         let spec = record.step_spec(candidate.step);
         let displaces = record.policy.priority < open.least_urgent;
-        let must_run_alone = |task: &ActiveTask| task.suspicion.stage() == SuspectStage::Alone;
+        let must_run_alone = |task: &ActiveTask| {
+            task.crash_history.start_restriction() == StartRestriction::Exclusive
+        };
         let needs_alone_worker =
             self.suspects_seen && job.step_tasks(candidate.step).iter().any(must_run_alone);
         if !open.max_free.fits(&spec.need)
@@ -218,7 +220,8 @@
                 break;
             }
             let task = &job.step_tasks(candidate.step)[usize::from(*index)];
-            let joins = |key: WorkerKey| self.may_share_worker(key, job.id, &task.suspicion, now);
+            let joins =
+                |key: WorkerKey| self.may_share_worker(key, job.id, &task.crash_history, now);
             let choice = rooms
                 .iter()
                 .position(|(key, _)| Some(*key) != task.failed_at && joins(*key))
@@ -252,7 +255,8 @@
         rooms.retain(|(key, _)| assignment.iter().all(|(_, taken)| taken != key));
         for index in others {
             let task = &job.step_tasks(candidate.step)[usize::from(index)];
-            let joins = |key: WorkerKey| self.may_share_worker(key, job.id, &task.suspicion, now);
+            let joins =
+                |key: WorkerKey| self.may_share_worker(key, job.id, &task.crash_history, now);
             let Some(choice) = rooms.iter().position(|(key, _)| joins(*key)) else {
                 return Vec::new();
             };
@@ -309,7 +313,8 @@
                 true => gang_checkpoint.clone(),
                 false => active_task.progress.checkpoint.clone(),
             };
-            let alone = stage_of(job, candidate.step, index) == SuspectStage::Alone;
+            let alone =
+                start_restriction_of(job, candidate.step, index) == StartRestriction::Exclusive;
             let start = StartPlan { worker: key, task, run, checkpoint, alone, record };
             self.order_start(start, spec.need, now);
         }
--- a/crates/sedgehill-cell/src/scheduler/record.rs
+++ b/crates/sedgehill-cell/src/scheduler/record.rs
@@ -69,7 +69,7 @@
         }
         for (id, progress) in &batch.jobs {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            if job.start_flag == StartFlag::Pending && progress.ordered {
+            if job.start_flag == StartFlag::Pending && progress.may_have_started {
                 job.start_flag = StartFlag::Recorded;
             }
             let over = progress.state.is_final() && job.placed().is_empty();
--- a/crates/sedgehill-cell/src/scheduler/restart.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart.rs
@@ -207,9 +207,9 @@
     /// Whether the only worker that may have a run of the task has ended, or has reported to this
     /// lead. In that case it refuses orders of earlier leads, and its runs are known.
     fn is_location_settled(&self, task: &ActiveTask) -> bool {
-        let Some((life, by)) = &task.location else { return false };
+        let Some((life, recorded_by)) = &task.location else { return false };
         let worker = self.lives.get(life).map(|key| &self.workers[key.0]);
-        Some(*by) == self.previous_token
+        Some(*recorded_by) == self.previous_token
             && worker.is_some_and(|worker| worker.dead || worker.last_report_at.is_some())
     }
 
--- a/crates/sedgehill-cell/src/scheduler/suspects.rs
+++ b/crates/sedgehill-cell/src/scheduler/suspects.rs
@@ -15,7 +15,7 @@
 use sedgehill_core::units::{Moment, TimeSpan};
 
 use super::*;
-use crate::suspicion::{OpenRun, WorkerCrash};
+use crate::crash_history::{UnresolvedRun, WorkerCrash};
 
 /// How long a loss may stay unresolved. A crashed worker is back after some seconds. One that is
 /// not heard of by then was removed, and a task should not wait for it any longer.
@@ -169,8 +169,8 @@
             }
             LossCause::LeaseEnded(_) => {
                 let LostRun { run, alone, seen, .. } = *lost;
-                let open = OpenRun { run, life: life.clone(), address, alone, seen };
-                self.add_unresolved_run(&lost.task, open, now);
+                let unresolved = UnresolvedRun { run, life: life.clone(), address, alone, seen };
+                self.add_unresolved_run(&lost.task, unresolved, now);
                 self.events.push(CellEvent::LossUnresolved {
                     task: lost.task,
                     run: lost.run,
@@ -182,13 +182,18 @@
     }
 
     /// Adds a run that may be lost in a crash, or may already have been.
-    pub(super) fn add_unresolved_run(&mut self, task: &CellTask, open: OpenRun, now: Moment) {
+    pub(super) fn add_unresolved_run(
+        &mut self,
+        task: &CellTask,
+        unresolved: UnresolvedRun,
+        now: Moment,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.step.job).filter(|job| !job.is_over()) else {
             return;
         };
         let Some(index) = job.task_index(task) else { return };
-        let (run, life, address) = (open.run, open.life.clone(), open.address);
-        if job.tasks[index].suspicion.open(open) {
+        let (run, life, address) = (unresolved.run, unresolved.life.clone(), unresolved.address);
+        if job.tasks[index].crash_history.add_unresolved(unresolved) {
             let inherited = false;
             self.unresolved_runs
                 .add(life, UnresolvedEntry { task: *task, run, address, since: now, inherited });
@@ -201,8 +206,8 @@
     pub(super) fn resolve_run(&mut self, task: &CellTask, run: RunNumber) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
-        if let Some(open) = job.tasks[index].suspicion.close(run) {
-            self.unresolved_runs.remove(&open.life, task, run);
+        if let Some(unresolved) = job.tasks[index].crash_history.resolve(run) {
+            self.unresolved_runs.remove(&unresolved.life, task, run);
             self.dirty.insert(task.step.job);
         }
     }
@@ -237,7 +242,7 @@
             return;
         };
         let Some(index) = job.task_index(task) else { return };
-        job.tasks[index].suspicion.doubt();
+        job.tasks[index].crash_history.note_unconfirmed();
         self.fail_if_crashing(task, now);
     }
 
@@ -246,17 +251,18 @@
         let Some(job) = self.jobs.get(&id) else { return };
         self.suspects_seen |= job.has_suspects();
         let unresolved_of = |(id, task): (CellTask, &ActiveTask)| {
-            let open = task.suspicion.open.clone();
-            open.into_iter().map(move |open| (id, open))
+            let unresolved = task.crash_history.unresolved.clone();
+            unresolved.into_iter().map(move |unresolved| (id, unresolved))
         };
-        let open: Vec<(CellTask, OpenRun)> = job.all_tasks().flat_map(unresolved_of).collect();
-        for (task, open) in open {
-            let OpenRun { run, life, address, .. } = open;
+        let unresolved: Vec<(CellTask, UnresolvedRun)> =
+            job.all_tasks().flat_map(unresolved_of).collect();
+        for (task, unresolved) in unresolved {
+            let UnresolvedRun { run, life, address, .. } = unresolved;
             let inherited = true;
             self.unresolved_runs
                 .add(life.clone(), UnresolvedEntry { task, run, address, since: now, inherited });
             let is_successor = |worker: &WorkerState| {
-                let other = !worker.entry.life.may_be(&life) && worker.entry.address == address;
+                let other = !worker.entry.life.may_equal(&life) && worker.entry.address == address;
                 other && worker.fenced && !worker.dead
             };
             if self.workers.iter().any(is_successor) {
@@ -287,14 +293,14 @@
         let entries: Vec<UnresolvedEntry> =
             entries.iter().filter(was_here).filter(is_lost).cloned().collect();
         for UnresolvedEntry { task, run, inherited, .. } in entries {
-            let Some(open) = self.find_unresolved(&task, run) else {
+            let Some(unresolved) = self.find_unresolved(&task, run) else {
                 self.unresolved_runs.remove(life, &task, run);
                 continue;
             };
             match leaving {
                 true => self.note_possible_crash(&task, run, now),
                 false => {
-                    let OpenRun { alone, seen, .. } = open;
+                    let UnresolvedRun { alone, seen, .. } = unresolved;
                     let evidence = RunEvidence::of(seen, inherited);
                     let other_runs = 0;
                     let crash =
@@ -305,10 +311,10 @@
         }
     }
 
-    fn find_unresolved(&self, task: &CellTask, run: RunNumber) -> Option<OpenRun> {
+    fn find_unresolved(&self, task: &CellTask, run: RunNumber) -> Option<UnresolvedRun> {
         let job = self.jobs.get(&task.step.job)?;
-        let suspicion = &job.tasks[job.task_index(task)?].suspicion;
-        suspicion.open.iter().find(|open| open.run == run).cloned()
+        let crash_history = &job.tasks[job.task_index(task)?].crash_history;
+        crash_history.unresolved.iter().find(|unresolved| unresolved.run == run).cloned()
     }
 
     /// Resolves the runs of earlier lives at the address of a worker that has reported for the
@@ -319,7 +325,7 @@
             .unresolved_runs
             .lives
             .keys()
-            .filter(|other| !other.may_be(&life))
+            .filter(|other| !other.may_equal(&life))
             .cloned()
             .collect();
         for other in others {
@@ -388,10 +394,10 @@
         let active_task = &mut job.tasks[index];
         let seen = evidence == RunEvidence::Seen;
         let counted = WorkerCrash { life: life.clone(), alone, seen, at_unix_ms };
-        if active_task.progress.done || !active_task.suspicion.count(counted) {
+        if active_task.progress.done || !active_task.crash_history.note_crash(counted) {
             return;
         }
-        let crashes = &active_task.suspicion.crashes;
+        let crashes = &active_task.crash_history.crashes;
         let count = crashes.len();
         if count > 1 {
             // They were most likely caused by this task.
@@ -425,10 +431,10 @@
         let active_task = &mut job.tasks[index];
         let worker = life.clone();
         let lost = WorkerCrash { life: worker.clone(), alone, seen: false, at_unix_ms };
-        if active_task.progress.done || !active_task.suspicion.note_unanswered(lost) {
+        if active_task.progress.done || !active_task.crash_history.note_unanswered(lost) {
             return;
         }
-        let count = active_task.suspicion.unanswered.len();
+        let count = active_task.crash_history.unanswered.len();
         self.dirty.insert(task.step.job);
         self.events.push(CellEvent::UnansweredStartLost { task, run, worker, count });
         self.fail_if_crashing(&task, now);
@@ -463,7 +469,7 @@
         let Some(index) = job.task_index(task) else { return };
         let active_task = &mut job.tasks[index];
         if !active_task.progress.done {
-            active_task.suspicion.note_together(at_unix_ms);
+            active_task.crash_history.note_correlated(at_unix_ms);
             self.dirty.insert(task.step.job);
             self.fail_if_crashing(task, now);
         }
@@ -474,7 +480,7 @@
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
         let active_task = &mut job.tasks[index];
-        active_task.counted_start = active_task.suspicion.note_start().then_some(run);
+        active_task.counted_start = active_task.crash_history.count_start().then_some(run);
     }
 
     /// Notes that no worker carried out a start, so that it does not count against the starts that
@@ -486,7 +492,7 @@
         let Some(index) = job.task_index(task) else { return };
         let active_task = &mut job.tasks[index];
         if active_task.counted_start.take_if(|counted| *counted == run).is_some() {
-            active_task.suspicion.take_back_start();
+            active_task.crash_history.uncount_start();
             self.dirty.insert(task.step.job);
         }
     }
@@ -506,14 +512,14 @@
     }
 
     fn is_crash_cause(&self, job: &ActiveJob, step: usize, task: &ActiveTask, now: Moment) -> bool {
-        let suspicion = &task.suspicion;
-        if suspicion.is_clear() {
+        let crash_history = &task.crash_history;
+        if crash_history.is_empty() {
             return false;
         }
         let living = self.workers.iter().filter(|worker| !worker.dead && worker.listed).count();
         let run = job.step_spec(step).estimate;
         let alone = self.background_crashes.required_alone_crashes(living.max(1), run, now);
-        suspicion.is_guilty(alone)
+        crash_history.is_crash_cause(alone)
     }
 
     /// Fails the job of a task that is considered the cause of crashes.
@@ -525,7 +531,7 @@
         if !self.is_crash_cause(job, step, &job.tasks[index], now) {
             return;
         }
-        let crashes = job.tasks[index].suspicion.crashes.iter();
+        let crashes = job.tasks[index].crash_history.crashes.iter();
         let workers: Vec<WorkerLife> = crashes.map(|crash| crash.life.clone()).collect();
         self.events.push(CellEvent::TaskGivenUp { task: *task, workers });
         self.fail_job(task.step.job, "job failed", now);
--- a/crates/sedgehill-cell/src/scheduler/write_ahead.rs
+++ b/crates/sedgehill-cell/src/scheduler/write_ahead.rs
@@ -10,7 +10,7 @@
 use sedgehill_core::units::Moment;
 
 use super::*;
-use crate::suspicion::OpenRun;
+use crate::crash_history::UnresolvedRun;
 
 /// A start that is sent once it is recorded.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 impl Scheduler {
     /// Whether the start of a task must be recorded before it is sent because of earlier crashes.
     pub(super) fn needs_write_ahead(&self, job: &ActiveJob, index: usize) -> bool {
-        self.may_have_lost_runs(job) || !job.tasks[index].suspicion.is_clear()
+        self.may_have_lost_runs(job) || !job.tasks[index].crash_history.is_empty()
     }
 
     /// Whether a task of the job may have been lost with a worker during a change of leads.
@@ -40,8 +40,8 @@
         if record == StartRecord::Suspect {
             let entry = &self.workers[worker.0].entry;
             let (life, address) = (entry.life.clone(), entry.address);
-            let open = OpenRun { run, life, address, alone, seen: false };
-            self.add_unresolved_run(&task, open, now);
+            let unresolved = UnresolvedRun { run, life, address, alone, seen: false };
+            self.add_unresolved_run(&task, unresolved, now);
             self.count_suspect_start(&task, run);
         }
         self.dirty.insert(task.step.job);
--- a/crates/sedgehill-core/src/manifest.rs
+++ b/crates/sedgehill-core/src/manifest.rs
@@ -1,7 +1,7 @@
-//! From the JSON that operators write to checked [`crate::spec`] types.
+//! Parses the JSON files that operators write into checked [`crate::spec`] types.
 //!
-//! A file is checked as a whole: every error is collected, each with the path of its key and what
-//! is allowed there, so that an operator mends a file in one round.
+//! The whole file is checked and all errors are collected, each with the path of its key and the
+//! allowed values, so that an operator can correct a file in one round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::str::FromStr;
@@ -16,25 +16,26 @@
 };
 use crate::units::{ResourceSet, TimeSpan};
 
-/// The highest priority.
+/// Highest priority that parameters may set.
 pub const MAX_PRIORITY: u64 = 9;
-/// The most slots that a template may give an endpoint.
+/// Maximum number of slots, and of connections, that a template may give an endpoint.
 const MAX_SLOTS: u64 = 10_000;
-/// The most attempts that a template may allow a task.
+/// Maximum number of attempts that a template may allow a task.
 const MAX_ATTEMPTS: u64 = 100;
-/// The longest queue that parameters may allow at one box.
-const MAX_QUEUE: u64 = 100_000;
-/// The queue that is allowed where parameters name none.
-const DEFAULT_QUEUE: u64 = 1_000;
-/// A file as written: any JSON object, nothing checked.
+/// Maximum number of waiting requests at one box that parameters may allow.
+const MAX_QUEUE_LIMIT: u64 = 100_000;
+/// Number of waiting requests at one box that is allowed if the parameters set none.
+const DEFAULT_QUEUE_LIMIT: u64 = 1_000;
+
+/// A manifest file before any check, as a JSON object.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(transparent)]
 pub struct RawManifest(Map<String, Value>);
 
-/// A checked file: the templates and parameters that an operator publishes together.
+/// A checked manifest file: templates and parameters that an operator publishes together.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WorkManifest {
-    /// The entries in the order in which they are published: templates first.
+    /// The entries in the order of publication: templates first.
     pub specs: Vec<ConfigSpec>,
 }
 
@@ -73,17 +74,17 @@
 }
 
 impl WorkManifest {
-    /// Checks that every template that parameters refer to is in the file or satisfies `exists`.
+    /// Checks that every template named by parameters is in this file or satisfies `exists`.
     pub fn check_references(
         &self,
         exists: impl Fn(&ConfigKey) -> bool,
     ) -> Result<(), ManifestErrors> {
-        let own: BTreeSet<ConfigKey> = self.specs.iter().map(ConfigSpec::key).collect();
+        let defined: BTreeSet<ConfigKey> = self.specs.iter().map(ConfigSpec::key).collect();
         let mut errors = Vec::new();
         for spec in &self.specs {
             let ConfigSpec::Parameters(parameters) = spec else { continue };
             let key = ConfigKey::Template(parameters.template.clone());
-            if !own.contains(&key) && !exists(&key) {
+            if !defined.contains(&key) && !exists(&key) {
                 let message = format!("there is no template `{}`", parameters.template);
                 errors.push(ManifestError { path: spec.key().to_string(), message });
             }
@@ -92,6 +93,7 @@
     }
 }
 
+/// Reads each object of the list `entries`, which stands under `key`, with `read`.
 fn read_entries(
     reader: &mut FieldReader<'_>,
     key: &'static str,
@@ -101,10 +103,10 @@
 ) {
     for (index, entry) in entries.iter().enumerate() {
         let name = format!("{key}[{index}]");
-        let Some(fields) = reader.entry(&name, entry) else { continue };
-        let mut below = reader.below(&name, fields);
-        specs.extend(read(&mut below));
-        below.finish();
+        let Some(fields) = reader.object_value(&name, entry) else { continue };
+        let mut nested = reader.nested(&name, fields);
+        specs.extend(read(&mut nested));
+        nested.finish();
     }
 }
 
@@ -119,19 +121,20 @@
     }
 }
 
+/// Values of a template's `type` field.
 const WORK_TYPES: [&str; 3] = ["service", "batch", "gang"];
 
 fn read_template(reader: &mut FieldReader<'_>) -> Option<ConfigSpec> {
     let name = reader.text("name");
-    let kind: Option<String> = reader.text("type");
-    let work = match kind.as_deref() {
+    let work_type: Option<String> = reader.text("type");
+    let work = match work_type.as_deref() {
         Some("service") => read_service(reader).map(WorkShape::Service),
         Some("batch") => read_task(reader).map(WorkShape::Batch),
         Some("gang") => read_task(reader).map(WorkShape::Gang),
         Some(other) => {
             let hint = suggest(other, WORK_TYPES).map(|name| format!(", did you mean `{name}`?"));
             let expected = WORK_TYPES.join(", ");
-            reader.fail(
+            reader.add_error(
                 "type",
                 format!("expected one of: {expected}; found `{other}`{}", hint.unwrap_or_default()),
             );
@@ -147,22 +150,22 @@
     let connections = reader.number("connections", 1, MAX_SLOTS);
     let raw_kinds = reader.object("kinds")?;
     let mut kinds = BTreeMap::new();
-    let mut whole = true;
+    let mut all_valid = true;
     for (name, value) in raw_kinds {
         let path = format!("kinds.{name}");
         match read_kind(reader, &path, name, value) {
             Some((name, kind)) => {
                 kinds.insert(name, kind);
             }
-            None => whole = false,
+            None => all_valid = false,
         }
     }
     if raw_kinds.is_empty() {
-        reader.fail("kinds", "expected at least one kind");
-        whole = false;
+        reader.add_error("kinds", "expected at least one kind");
+        all_valid = false;
     }
     let shape = ServiceShape { slots: slots? as u32, connections: connections? as u32, kinds };
-    whole.then_some(shape)
+    all_valid.then_some(shape)
 }
 
 fn read_kind(
@@ -174,16 +177,16 @@
     let parsed_name = match name.parse() {
         Ok(parsed) => Some(parsed),
         Err(error) => {
-            reader.fail(path, crate::ids::IdError::to_string(&error));
+            reader.add_error(path, crate::ids::IdError::to_string(&error));
             None
         }
     };
-    let fields = reader.entry(path, value)?;
-    let mut below = reader.below(path, fields);
-    let patience = below.text("patience");
-    let timeout = below.text("timeout");
-    let once_only = below.flag_or("once_only", false);
-    below.finish();
+    let fields = reader.object_value(path, value)?;
+    let mut nested = reader.nested(path, fields);
+    let patience = nested.text("patience");
+    let timeout = nested.text("timeout");
+    let once_only = nested.flag_or("once_only", false);
+    nested.finish();
     let kind = KindShape { patience: patience?, timeout: timeout?, once_only: once_only? };
     Some((parsed_name?, kind))
 }
@@ -198,15 +201,15 @@
     key: &str,
     fields: &Map<String, Value>,
 ) -> Option<ResourceSet> {
-    let mut below = reader.below(key, fields);
-    let cores = below.text("cores");
-    let memory = below.text("memory");
-    let accelerators = below.number_or("accelerators", 0, u64::from(u32::MAX), 0);
-    below.finish();
+    let mut nested = reader.nested(key, fields);
+    let cores = nested.text("cores");
+    let memory = nested.text("memory");
+    let accelerators = nested.number_or("accelerators", 0, u64::from(u32::MAX), 0);
+    nested.finish();
     let resources =
         ResourceSet { cores: cores?, memory: memory?, accelerators: accelerators? as u32 };
     if resources.is_empty() {
-        reader.fail(key, "expected at least one resource above zero");
+        reader.add_error(key, "expected at least one resource above zero");
         return None;
     }
     Some(resources)
@@ -225,9 +228,9 @@
     let priority = reader.number_or("priority", 0, MAX_PRIORITY, 5);
     let halls = read_halls(reader);
     let tolerable_delay = reader.text_or("tolerable_delay", TimeSpan(0));
-    let had_rate = reader.has("rate");
+    let had_rate = reader.contains("rate");
     let rate = reader.optional_text("rate");
-    let queue = reader.number_or("queue", 1, MAX_QUEUE, DEFAULT_QUEUE);
+    let queue = reader.number_or("queue", 1, MAX_QUEUE_LIMIT, DEFAULT_QUEUE_LIMIT);
     let quota_fields = reader.optional_object("quota");
     let quota = match quota_fields {
         Some(fields) => Some(read_resource_fields(reader, "quota", fields)?),
@@ -251,14 +254,14 @@
 fn read_halls(reader: &mut FieldReader<'_>) -> Option<BTreeSet<crate::ids::HallName>> {
     let entries = reader.list("halls");
     let mut halls = BTreeSet::new();
-    let mut whole = true;
+    let mut all_valid = true;
     for (index, entry) in entries.iter().enumerate() {
         match reader.parse(&format!("halls[{index}]"), entry) {
             Some(hall) => {
                 halls.insert(hall);
             }
-            None => whole = false,
+            None => all_valid = false,
         }
     }
-    whole.then_some(halls)
+    all_valid.then_some(halls)
 }
