--- a/crates/sedgehill-cell/src/scheduler/answers.rs
+++ b/crates/sedgehill-cell/src/scheduler/answers.rs
@@ -1,4 +1,5 @@
-//! What workers answer to starts and stops, and what refusals and silence say about them.
+//! Processes workers' answers to starts and stops, and what refusals and silence say about a
+//! worker.
 
 use sedgehill_core::units::Moment;
 
@@ -6,27 +7,30 @@
 
 impl Scheduler {
     fn note_order_answer(&mut self, key: WorkerKey, clock: WorkerTime, now: Moment) {
-        self.losses.note(true);
+        self.call_losses.note(true);
         self.workers[key.0].note_order_answer(clock, now, &self.timing);
     }
 
+    /// Notes that a worker left a call unanswered.
     pub(super) fn note_silence(&mut self, key: WorkerKey, now: Moment) {
         let worker = &mut self.workers[key.0];
         if worker.is_over() {
             return;
         }
         if worker.silent_calls == 0 {
-            // Further calls to a worker that is out of touch tell nothing about the others.
-            self.losses.note(false);
+            // Only the first unanswered call counts: further calls to an unreachable worker say
+            // nothing about the others.
+            self.call_losses.note(false);
         }
         worker.silent_calls += 1;
         worker.silent_since.get_or_insert(now);
         worker.avoid_until = worker.avoid_until.max(now.after(self.timing.worker_backoff));
         if worker.silent_calls == 1 {
-            self.note_worker(key, "silent");
+            self.report_worker_change(key, "silent");
         }
     }
 
+    /// Notes that a worker refused a call, or that the call was certainly not carried out.
     pub(super) fn note_refusal(
         &mut self,
         key: WorkerKey,
@@ -34,13 +38,13 @@
         refusal: WorkerRefusal,
         now: Moment,
     ) {
-        // A later life refuses the token of an earlier one as well.
+        // A later life also refuses the token of an earlier one.
         if self.workers[key.0].is_over() {
             return;
         }
         match refusal {
             WorkerRefusal::Fenced => {
-                self.note_fenced_out(key, call);
+                self.report_fenced_out(key, call);
                 self.fenced_out = true;
             }
             WorkerRefusal::OtherLife => self.note_other_life(key, call, now),
@@ -56,14 +60,15 @@
         }
     }
 
-    pub(super) fn note_bad_sign(&mut self, key: WorkerKey, change: &'static str, now: Moment) {
+    /// Counts a fault against a worker, which may suspend it.
+    pub(super) fn note_fault(&mut self, key: WorkerKey, change: &'static str, now: Moment) {
         let worker = &mut self.workers[key.0];
-        if worker.note_bad_sign(now, &self.timing) {
-            self.note_worker(key, change);
+        if worker.note_fault(now, &self.timing) {
+            self.report_worker_change(key, change);
         }
     }
 
-    /// Takes in what came of a start.
+    /// Processes the result of a start order.
     pub fn start_answered(
         &mut self,
         order: &StartOrder,
@@ -71,7 +76,7 @@
         now: Moment,
     ) {
         let (key, task, run) = (order.worker, order.task, order.run);
-        self.workers[key.0].start_moved = now;
+        self.workers[key.0].start_activity_at = now;
         if let WorkerAnswer::Done(clock) = answer {
             self.note_order_answer(key, clock, now);
             self.confirm_start(key, &task, run, now);
@@ -102,11 +107,11 @@
             return;
         };
         entry.confirm(now);
-        self.note_running(task);
-        self.note_begun(task.step.job, now);
+        self.note_run_confirmed(task);
+        self.note_started(task.step.job, now);
     }
 
-    /// A start was surely not done: the task is free again.
+    /// Returns a task whose start was certainly not carried out to the waiting tasks.
     fn withdraw_start(
         &mut self,
         key: WorkerKey,
@@ -119,7 +124,7 @@
             self.remove_run(key, task);
         }
         self.release_task(task, run, now.after(self.timing.start_backoff), None);
-        self.note_never_begun(task, run);
+        self.note_never_started(task, run);
         if refusal == WorkerRefusal::Ticket
             && let Some(job) = self.jobs.get_mut(&task.step.job)
             && let Some(step) = job.step_index(&task.step)
@@ -129,7 +134,8 @@
         self.finish_if_over(task.step.job, now);
     }
 
-    /// A gang that cannot become whole is stopped, so that it holds no room in vain.
+    /// Stops the other members of a gang that cannot be complete, so that they do not occupy room
+    /// in vain.
     pub(super) fn abort_gang(&mut self, task: &CellTask, run: RunNumber, now: Moment) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(step) = job.step_index(&task.step) else { return };
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Takes in what came of a stop.
+    /// Processes the result of a stop order.
     pub fn stop_answered(
         &mut self,
         order: &StopOrder,
@@ -162,8 +168,8 @@
                     runs.get_mut(&order.task).filter(|entry| entry.run == order.run)
                 {
                     entry.phase = RunPhase::Stopped;
-                    // From here on the worker refuses the run if it has not begun, and lists it
-                    // until its end if it has.
+                    // From now on the worker refuses the run if it has not started, and otherwise
+                    // lists it until it ends.
                     entry.listed_from = Some(now);
                 }
             }
--- a/crates/sedgehill-cell/src/scheduler/displacement.rs
+++ b/crates/sedgehill-cell/src/scheduler/displacement.rs
@@ -1,8 +1,8 @@
 //! Makes room for urgent work by stopping less urgent work that saves its state.
 //!
-//! A step that only few workers may run finds all of them full most of the time, while less urgent work
-//! there could run later, or elsewhere, and still end in time. What is stopped goes on from its saved
-//! state. The room that comes free is claimed for the step, since others would take it.
+//! A step that only few workers may run usually finds all of them full, while less urgent work
+//! there could run later or elsewhere and still meet its objective. Stopped work resumes from its
+//! saved state. The freed room is reserved for the step, since other steps would take it.
 
 use std::cmp::Reverse;
 
@@ -15,36 +15,37 @@
 use crate::ids::StepId;
 use crate::job::StepSpec;
 
-/// A job is displaced only if it could begin again so much later and still meet its objective: it needs a
-/// new ticket and room, and takes up its saved state.
-const DISPLACED_SLACK: TimeSpan = TimeSpan(3_000);
-/// How long room is kept free beyond the time that a stop may take: an end is heard some 20 ms after it,
-/// and up to 100 ms later where calls are lost.
-const CLAIM_MARGIN: TimeSpan = TimeSpan(300);
+/// A job is displaced only if it could restart this much later and still meet its objective: it
+/// needs a new ticket and room, and has to restore its saved state.
+const MIN_DISPLACED_SLACK: TimeSpan = TimeSpan(3_000);
+/// How much longer than a stop may take the room stays reserved: the end of a run is heard some 20
+/// ms after it, and up to 100 ms later where calls are lost.
+const RESERVATION_MARGIN: TimeSpan = TimeSpan(300);
 
-/// Room on a worker that is kept for a step.
+/// Room on a worker that is reserved for a step.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkerClaim {
+pub struct WorkerReservation {
     /// The step.
     pub step: StepId,
-    /// How much.
+    /// The room.
     pub need: ResourceSet,
-    /// Until when.
+    /// When the reservation expires.
     pub until: Moment,
-    /// It is for a task that runs with nothing of another job beside it.
+    /// It is for a task that must run alone.
     pub alone: bool,
 }
 
-/// Runs whose end makes room for a task.
+/// Runs to stop on a worker to make room for a task.
 struct Displacement {
     worker: WorkerKey,
     runs: Vec<(CellTask, RunNumber)>,
-    /// What they use, as a measure of what is disturbed.
+    /// The resources they use, weighted, as a measure of the disturbance.
     weight: u64,
 }
 
 impl WorkerState {
-    /// Those of the runs that may be stopped whose end makes room for a task, with what they use; few and large ones.
+    /// Chooses runs to stop, among those that may be stopped, so that a task fits. Prefers few and
+    /// large ones. Returns none if the task would not fit.
     pub(super) fn runs_to_stop(
         &self,
         wanted: &ResourceSet,
@@ -56,7 +57,7 @@
             .filter(|(task, run)| may_stop(task, run))
             .filter_map(|(task, run)| Some((*task, run.run, run.need?)))
             .collect();
-        // The largest first: few stops disturb less than many.
+        // The largest first, since fewer stops disturb less.
         runs.sort_by_key(|(task, _, need)| (Reverse((need.accelerators, need.cores)), *task));
         let mut free = self.free;
         let mut chosen = Vec::new();
@@ -70,7 +71,7 @@
         if !free.fits(wanted) {
             return None;
         }
-        // What turned out not to be needed goes on.
+        // Runs that turned out not to be needed go on.
         chosen.retain(|(_, _, need)| match free.minus(need) {
             Some(rest) if rest.fits(wanted) => {
                 free = rest;
@@ -83,36 +84,37 @@
 }
 
 impl Scheduler {
-    /// Stops less urgent runs for the tasks of a step that found no room though workers with tickets
-    /// could run them. `left` tasks still wait.
+    /// Stops less urgent runs for the tasks of a step that found no room although workers with
+    /// tickets could run them. `remaining` tasks still wait.
     pub(super) fn displace_for(
         &mut self,
         candidate: &Candidate,
         spec: &StepSpec,
-        left: usize,
+        remaining: usize,
         now: Moment,
     ) {
         let Some(job) = self.jobs.get(&candidate.job) else { return };
-        if spec.gang || spec.long_running || !self.earns(candidate, job, now) {
+        if spec.gang || spec.long_running || !self.has_value(candidate, job, now) {
             return;
         }
         let step = job.steps[candidate.step].id;
-        let claims =
-            |worker: &&WorkerState| worker.claim_of(now).is_some_and(|own| own.step == step);
-        let claimed = self.workers.iter().filter(claims).count();
-        for _ in claimed..left {
+        let has_reserved = |worker: &&WorkerState| {
+            worker.active_reservation(now).is_some_and(|reservation| reservation.step == step)
+        };
+        let reserved = self.workers.iter().filter(has_reserved).count();
+        for _ in reserved..remaining {
             let Some(displacement) = self.find_displacement(candidate, spec, now) else { return };
             let key = displacement.worker;
-            let until = now.after(self.timing.stop).after(CLAIM_MARGIN);
-            self.workers[key.0].claim =
-                Some(WorkerClaim { step, need: spec.need, until, alone: false });
+            let until = now.after(self.timing.stop).after(RESERVATION_MARGIN);
+            self.workers[key.0].reservation =
+                Some(WorkerReservation { step, need: spec.need, until, alone: false });
             for (task, run) in displacement.runs {
                 self.stop_run(key, task, run, "displaced", now);
             }
         }
     }
 
-    /// The worker on which the least has to be stopped for one task of a step.
+    /// Returns the runs to stop for one task of a step that disturb the least.
     fn find_displacement(
         &self,
         candidate: &Candidate,
@@ -131,11 +133,11 @@
             .min_by_key(|found| (found.weight, found.worker))
     }
 
-    /// Whether a task of the step would find room on a worker if less urgent work was stopped there.
+    /// Whether a task of the step would fit on a worker if less urgent runs were stopped there.
     pub(super) fn could_displace_on(
         &self,
         key: WorkerKey,
-        job: &JobWork,
+        job: &ActiveJob,
         step: usize,
         spec: &StepSpec,
         now: Moment,
@@ -146,15 +148,15 @@
     fn displacement_on(
         &self,
         key: WorkerKey,
-        job: &JobWork,
+        job: &ActiveJob,
         step: usize,
         spec: &StepSpec,
         now: Moment,
     ) -> Option<Displacement> {
         let worker = &self.workers[key.0];
-        let sound = worker.trust == WorkerTrust::Sound && worker.takes_work(now, &self.timing);
+        let sound = worker.trust == WorkerTrust::Trusted && worker.takes_work(now, &self.timing);
         let fits = sound
-            && worker.claim_of(now).is_none()
+            && worker.active_reservation(now).is_none()
             && worker.entry.capacity.fits(&spec.need)
             && self.admits(key, job, step, spec, now);
         if !fits {
@@ -171,7 +173,7 @@
         &self,
         task: &CellTask,
         run: &WorkerRun,
-        urgent: &JobWork,
+        urgent: &ActiveJob,
         now: Moment,
     ) -> bool {
         let Some(job) = self.jobs.get(&task.step.job) else { return false };
@@ -182,11 +184,11 @@
             && spec.checkpointing
             && !spec.gang
             && !spec.long_running
-            && latest_start(job, step, self.unix_ms_at(now), now) > now.after(DISPLACED_SLACK).0
+            && latest_start(job, step, self.unix_ms_at(now), now) > now.after(MIN_DISPLACED_SLACK).0
     }
 }
 
-/// An accelerator counts as much as eight cores, by which the users price them.
+/// An accelerator counts as much as eight cores, which is the ratio of their prices.
 const ACCELERATOR_CORES: u64 = 8;
 
 fn weight_of(need: &ResourceSet) -> u64 {
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -1,152 +1,166 @@
-//! The lead of a cell: it owns the account of all workers, runs and waiting tasks.
+//! The scheduler of a cell, run by the box that holds the lead: it keeps the state of all workers,
+//! runs and waiting tasks.
 //!
-//! A new lead begins with what every box knows of the jobs, and with no belief about workers: it
-//! starts nothing before it has an account from every worker, or until whatever an earlier lead may
-//! have ordered has surely ended ([`Scheduler::take_over`]). An end is acknowledged to its worker
-//! only when it is recorded. A task whose start went unanswered is settled before it runs elsewhere:
-//! by an answered stop, by an account that lists the run, or by the end of the worker's lease.
+//! A new lead starts with the jobs that every box knows and with no knowledge of the workers. It
+//! starts no task of an inherited job until every worker has reported to it, or until everything
+//! that an earlier lead may have ordered has certainly ended ([`Scheduler::take_over`]). The end of
+//! a run is acknowledged to its worker only after it has been recorded in the store. When a start
+//! goes unanswered, the task does not run elsewhere until one of these happens: a stop is answered,
+//! a report of the worker shows whether the run is there, or the worker's lease ends.
 
-mod accounts;
+mod active_job;
 mod advice;
+mod advice_dispatch;
 mod answers;
-mod background;
-mod desk;
+mod background_crashes;
+mod call_loss;
+mod diagnostics;
 mod displacement;
 mod ends;
 mod event;
-mod held;
 mod isolation;
 mod lives;
-mod loss;
 mod message;
-mod naming;
 mod organisations;
 mod pace;
 mod placement;
 mod policy;
+mod questions;
 mod rank;
 mod record;
+mod reports;
 mod restart;
 mod restart_room;
 mod room;
 mod roster;
-mod sight;
 mod stall;
 mod stragglers;
 mod suspects;
 mod take_over;
 mod timing;
-mod work;
 mod worker;
+mod write_ahead;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
-pub use self::advice::GoodShare;
-use self::background::CrashBackground;
-pub use self::desk::AdviceDesk;
+use self::active_job::{ActiveJob, ActiveTask, StartFlag, TaskPhase};
+pub use self::advice::AllowedShare;
+pub use self::advice_dispatch::AdviceDispatcher;
+use self::background_crashes::BackgroundCrashes;
+use self::call_loss::CallLossRate;
+pub use self::diagnostics::TakeOverStatus;
 pub use self::event::*;
-use self::held::HeldStart;
-use self::loss::LossRate;
 pub use self::message::*;
-pub use self::organisations::{OrganisationBook, OrganisationFigures, OrganisationKey};
+pub use self::organisations::{OrganisationKey, OrganisationStats, OrganisationTable};
 use self::pace::FactorAverage;
-pub use self::policy::{CellPolicy, LimitOrder, LimitOrderError, SharingError, SharingWay};
-use self::restart::RestartBook;
-pub use self::restart::{RestartCause, RestartDue, RestartFigures};
+pub use self::policy::{CellPolicy, LimitOrder, LimitOrderError, SharingError, SharingMode};
+use self::restart::RestartTracker;
+pub use self::restart::{PendingRestart, RestartCause, RestartStats};
 use self::room::Candidate;
-pub use self::sight::TakeOverSight;
-pub use self::stall::{StallBelief, StallFigures, StallReason};
-pub use self::suspects::CrashSign;
-use self::suspects::OpenRuns;
+pub use self::stall::{StallDetails, StallReason, StallStats};
+pub use self::suspects::CrashDetection;
+use self::suspects::UnresolvedRuns;
 pub use self::timing::CellTiming;
-use self::work::{JobWork, OrderedMark, TaskPhase};
-use self::worker::{RunPhase, StopTry, WorkerState, WorkerTrust};
+use self::worker::{RunPhase, StopAttempt, WorkerState, WorkerTrust};
+use self::write_ahead::UnrecordedStart;
 use crate::ids::{
     CellTask, FencingToken, JobId, QueueName, RunNumber, StepId, WorkerId, WorkerLife,
 };
 use crate::job::JobRecord;
 use crate::progress::{JobProgress, JobState};
 
-/// How far a new lead has settled what earlier leads did.
+/// How far a new lead knows what earlier leads started.
 #[derive(Debug, Clone, Copy)]
 struct TakeOver {
-    /// When the lead was claimed.
+    /// When the lead was claimed, or when the store began to refuse earlier leads, if that is
+    /// later.
     since: Moment,
-    /// Whether an earlier lead may still give orders for a time.
+    /// An earlier lead may still give orders until its term ends.
     predecessor: bool,
-    /// The store refuses earlier leads.
+    /// The store refuses writes of earlier leads.
     fenced: bool,
-    /// All that earlier leads recorded was taken in.
+    /// All records of earlier leads have been read.
     caught_up: bool,
-    /// Every worker has answered, or what it runs has surely ended.
+    /// Every worker has reported, or everything that earlier leads started has certainly ended.
     settled: bool,
-    /// What settled it.
-    settled_by: Option<EarlierSettled>,
-    /// A worker on which an earlier lead may have started something was not heard.
+    /// What settled it; none while it is not settled.
+    settled_by: Option<SettlementCause>,
+    /// A worker on which an earlier lead may have started a run ended or did not report to this
+    /// lead.
     lost_workers: bool,
 }
 
-/// The lead's state.
+/// The state of the lead, which decides which task runs on which worker.
 #[derive(Debug)]
 pub struct Scheduler {
     timing: CellTiming,
     token: FencingToken,
-    /// The lead before this one; none if that is not known.
-    follows: Option<FencingToken>,
+    /// The token of the lead before this one; none if it is not known.
+    previous_token: Option<FencingToken>,
     workers: Vec<WorkerState>,
-    /// All lives that were ever known.
+    /// Every life of a worker that this lead has known.
     lives: HashMap<WorkerLife, WorkerKey>,
-    /// The life that answers under each id, or is looked for.
+    /// The newest life known under each worker id.
     ids: HashMap<WorkerId, WorkerKey>,
-    /// Lives that were met lately, and that nobody asks for accounts yet.
-    next_lives: Vec<WorkerKey>,
-    jobs: BTreeMap<JobId, JobWork>,
-    desk: AdviceDesk,
-    shares: HashMap<QueueName, GoodShare>,
+    /// Lives that replaced others under their id and that are not polled yet.
+    unpolled_lives: Vec<WorkerKey>,
+    jobs: BTreeMap<JobId, ActiveJob>,
+    advice_dispatcher: AdviceDispatcher,
+    shares: HashMap<QueueName, AllowedShare>,
+    /// How much longer runs take than estimated, by queue.
     estimates: HashMap<QueueName, FactorAverage>,
-    losses: LossRate,
-    organisations: OrganisationBook,
+    call_losses: CallLossRate,
+    organisations: OrganisationTable,
     take_over: TakeOver,
-    /// When the list of workers was read last; none if it never was.
-    surveyed: Option<Moment>,
+    /// When the list of workers was last read from the store; none if it never was.
+    workers_listed_at: Option<Moment>,
     orders: Vec<CellOrder>,
     events: Vec<CellEvent>,
+    /// Jobs whose progress goes into the next batch.
     dirty: BTreeSet<JobId>,
-    lazy: BTreeSet<JobId>,
-    lazy_since: Option<Moment>,
+    /// Jobs whose progress may wait for a batch, up to [`CellTiming::max_record_delay`].
+    delayed: BTreeSet<JobId>,
+    /// When the first job was added to `delayed`; none while it is empty.
+    delayed_since: Option<Moment>,
+    /// The next batch must contain a new roster.
     roster_changed: bool,
     next_batch: u64,
+    /// The number of the newest batch that is recorded.
     recorded: u64,
-    /// Something is to be recorded to learn whether a later lead has fenced.
+    /// Something must be recorded to find out whether a later lead has fenced this one.
     confirmation_wanted: bool,
-    /// When the newest batch that is sent was taken.
+    /// When the newest batch that was not empty was taken.
     batch_taken: Moment,
-    /// No later lead had given orders by then: what was taken then is recorded under this lead's token.
-    confirmed: Moment,
+    /// Up to this moment no later lead had given orders: a batch taken then was recorded under this
+    /// lead's token.
+    lead_confirmed_at: Moment,
+    /// A worker refused this lead because of a later one.
     fenced_out: bool,
+    /// The time of day, in milliseconds since 1970, and when it was set.
     wall_clock: (u64, Moment),
-    /// Runs of which it is open whether a crash took them.
-    open_runs: OpenRuns,
-    /// Workers that crashed by themselves, as far as is known.
-    background: CrashBackground,
-    /// There may be tasks under which workers were lost.
+    /// Lost runs whose workers may or may not have crashed.
+    unresolved_runs: UnresolvedRuns,
+    /// Recent worker crashes that are not attributed to a task.
+    background_crashes: BackgroundCrashes,
+    /// Some task may have a history of lost workers.
     suspects_seen: bool,
-    /// Starts that wait until they are recorded.
-    held: Vec<HeldStart>,
-    /// Long-running tasks that lost their run.
-    restarts: RestartBook,
-    /// The step that found no box to ask for the longest time, if that is long.
-    unasked: Option<Candidate>,
-    /// When that is looked for next.
-    unasked_from: Moment,
+    /// Starts that are sent once they are recorded.
+    unrecorded_starts: Vec<UnrecordedStart>,
+    /// Long-running tasks that have lost their run.
+    restarts: RestartTracker,
+    /// The step that has waited longest for a box to ask the advice service, once that takes longer
+    /// than the stall limit.
+    starved_step: Option<Candidate>,
+    /// When to search for that step next.
+    starved_search_from: Moment,
 }
 
 impl Scheduler {
-    /// The state of a box that has just claimed the lead. `predecessor` says whether an earlier lead
-    /// may go on giving orders until its term ends.
+    /// Creates the state of a box that has just claimed the lead. `predecessor` tells whether an
+    /// earlier lead may go on giving orders until its term ends.
     pub fn take_over(
         timing: CellTiming,
         token: FencingToken,
@@ -155,17 +169,17 @@
     ) -> Scheduler {
         Scheduler {
             token,
-            follows: None,
+            previous_token: None,
             workers: Vec::new(),
             lives: HashMap::new(),
             ids: HashMap::new(),
-            next_lives: Vec::new(),
+            unpolled_lives: Vec::new(),
             jobs: BTreeMap::new(),
-            desk: AdviceDesk::new(timing.policy.short_only),
+            advice_dispatcher: AdviceDispatcher::new(timing.policy.short_only),
             shares: HashMap::new(),
             estimates: HashMap::new(),
-            losses: LossRate::default(),
-            organisations: OrganisationBook::default(),
+            call_losses: CallLossRate::default(),
+            organisations: OrganisationTable::default(),
             take_over: TakeOver {
                 since: now,
                 predecessor,
@@ -175,37 +189,38 @@
                 settled_by: None,
                 lost_workers: false,
             },
-            surveyed: None,
+            workers_listed_at: None,
             orders: Vec::new(),
             events: Vec::new(),
             dirty: BTreeSet::new(),
-            lazy: BTreeSet::new(),
-            lazy_since: None,
+            delayed: BTreeSet::new(),
+            delayed_since: None,
             roster_changed: false,
             next_batch: 1,
             recorded: 0,
             confirmation_wanted: false,
             batch_taken: now,
-            confirmed: now,
+            lead_confirmed_at: now,
             fenced_out: false,
             wall_clock: (0, now),
-            open_runs: OpenRuns::default(),
-            background: CrashBackground::default(),
+            unresolved_runs: UnresolvedRuns::default(),
+            background_crashes: BackgroundCrashes::default(),
             suspects_seen: false,
-            held: Vec::new(),
-            restarts: RestartBook::default(),
-            unasked: None,
-            unasked_from: now,
+            unrecorded_starts: Vec::new(),
+            restarts: RestartTracker::default(),
+            starved_step: None,
+            starved_search_from: now,
             timing,
         }
     }
 
-    /// Tells which lead was the last one before this.
-    pub fn note_follows(&mut self, token: FencingToken) {
-        self.follows = Some(token);
+    /// Sets the token of the lead before this one.
+    pub fn set_previous_token(&mut self, token: FencingToken) {
+        self.previous_token = Some(token);
     }
 
-    /// Tells the time of day, in milliseconds since 1970. Jobs with times need it; it may jump.
+    /// Sets the time of day, in milliseconds since 1970, which scheduled jobs are started by. It
+    /// may jump.
     pub fn set_wall_clock(&mut self, unix_ms: u64, now: Moment) {
         self.wall_clock = (unix_ms, now);
     }
@@ -215,106 +230,107 @@
         unix_ms + now.since(at).as_millis()
     }
 
-    /// Whether a worker said that a later lead exists.
+    /// Whether a worker has refused this lead because a later one exists.
     pub fn is_fenced_out(&self) -> bool {
         self.fenced_out
     }
 
-    /// Whether what earlier leads did is settled.
+    /// Whether the effects of earlier leads are known, so that their jobs may be scheduled.
     pub fn is_settled(&self) -> bool {
         self.take_over.settled
     }
 
-    /// Takes the orders that were decided on.
+    /// Takes the orders that are to be carried out.
     pub fn take_orders(&mut self) -> Vec<CellOrder> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Takes the decisions since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// A worker by its handle.
+    /// The stored entry of a worker.
     pub fn entry(&self, worker: WorkerKey) -> &WorkerEntry {
         &self.workers[worker.0].entry
     }
 
-    /// Jobs that are not over.
+    /// The number of jobs that are not over.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A box can ask the advice service.
+    /// Notes that a box can ask the advice service.
     pub fn add_helper(&mut self, helper: HelperId) {
-        self.desk.add_helper(helper);
+        self.advice_dispatcher.add_helper(helper);
     }
 
-    /// A box cannot ask any more.
+    /// Notes that a box can no longer ask the advice service.
     pub fn remove_helper(&mut self, helper: HelperId, now: Moment) {
-        for step in self.desk.remove_helper(helper) {
-            self.forget_question(helper, step, now);
+        for step in self.advice_dispatcher.remove_helper(helper) {
+            self.drop_question(helper, step, now);
         }
     }
 
-    /// Takes in a job. `age` is how long ago it was accepted.
+    /// Adds a job with its recorded progress. `age` is the time since it was accepted.
     pub fn add_job(
         &mut self,
         id: JobId,
         record: Rc<JobRecord>,
-        kept: &JobProgress,
+        progress: &JobProgress,
         age: TimeSpan,
         now: Moment,
     ) {
-        if kept.state.is_final() || self.jobs.contains_key(&id) {
+        if progress.state.is_final() || self.jobs.contains_key(&id) {
             return;
         }
         let accepted = Moment(now.0.saturating_sub(age.as_millis()));
-        let mut job = JobWork::new(id, record, accepted, kept, self.token);
-        if self.take_over.caught_up && kept.may_have_started {
-            // No earlier lead can have marked it any more. It was marked by this lead, which is about to be told
-            // so, or by a later one.
-            job.later_mark = true;
-            job.foreign_orders = false;
-            job.begun_earlier = false;
-            self.note_marked_late(id, now);
+        let mut job = ActiveJob::new(id, record, accepted, progress, self.token);
+        if self.take_over.caught_up && progress.may_have_started {
+            // No earlier lead can have set the start flag any more. It was set by this lead, which
+            // is about to learn so through [`Scheduler::add_own_job`], or by a later lead.
+            job.led_elsewhere = true;
+            job.unsettled_starts = false;
+            job.started_by_earlier_lead = false;
+            self.report_led_elsewhere(id, now);
         }
-        let needs_mark = job.ordered == OrderedMark::Missing;
+        let needs_flag = job.start_flag == StartFlag::Unset;
         self.jobs.insert(id, job);
-        self.note_owner(id, now);
+        self.set_owner(id, now);
         self.note_inherited_suspects(id, now);
-        if needs_mark {
-            self.mark_ordered(id);
+        if needs_flag {
+            self.record_start_flag(id);
         }
         self.finish_if_over(id, now);
     }
 
-    /// Whether a job is being worked on.
+    /// Whether the job is among those that are scheduled.
     pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.contains_key(&id)
     }
 
-    /// Takes in a job that this lead accepted, and that is recorded as such. One that is new may start at once,
-    /// since no other lead can have started anything of it. A copy of one that an earlier lead began does not
-    /// make it new: its tasks would start beside those that run already.
-    pub fn add_led_job(&mut self, id: JobId, record: Rc<JobRecord>, now: Moment) {
-        let job = self
-            .jobs
-            .entry(id)
-            .or_insert_with(|| JobWork::new(id, record, now, &JobProgress::default(), self.token));
-        job.ordered = OrderedMark::Recorded;
-        job.later_mark = false;
-        self.note_owner(id, now);
+    /// Adds a job that this lead accepted and that is recorded as such. A new job may start at
+    /// once, since no other lead can have started any of its tasks. If the job is already known,
+    /// its state is kept: a copy of a job that an earlier lead began must not make it new, or its
+    /// tasks would start beside those that already run.
+    pub fn add_own_job(&mut self, id: JobId, record: Rc<JobRecord>, now: Moment) {
+        let job = self.jobs.entry(id).or_insert_with(|| {
+            ActiveJob::new(id, record, now, &JobProgress::default(), self.token)
+        });
+        job.start_flag = StartFlag::Recorded;
+        job.led_elsewhere = false;
+        self.set_owner(id, now);
     }
 
-    fn mark_ordered(&mut self, id: JobId) {
+    /// Has it recorded that tasks of the job may start.
+    fn record_start_flag(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.ordered = OrderedMark::Asked;
+            job.start_flag = StartFlag::Pending;
             self.dirty.insert(id);
         }
     }
 
-    /// The caller cancelled a job.
+    /// Cancels a job on its caller's behalf and stops its runs.
     pub fn cancel_job(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.cancelled = true;
@@ -324,14 +340,16 @@
         self.finish_if_over(id, now);
     }
 
-    /// A job with a final state whose runs have all ended needs no further work.
+    /// Gives a job its final state if it is over. It is then recorded, and reported once none of
+    /// its tasks runs.
     fn finish_if_over(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        // What an earlier lead started of a cancelled job may run on unheard, and counts against a limit until then.
-        let is_quiet = job.placed().is_empty() && !job.foreign_orders;
+        // What an earlier lead started of a cancelled job may still run on a worker that has not
+        // reported, and counts against the organisation's limit until it has ended.
+        let is_idle = job.placed().is_empty() && !job.unsettled_starts;
         if !job.state.is_final() && job.is_done() {
             job.state = JobState::Completed;
-        } else if !job.state.is_final() && job.cancelled && is_quiet {
+        } else if !job.state.is_final() && job.cancelled && is_idle {
             job.state = JobState::Cancelled;
         }
         if !job.state.is_final() {
@@ -345,7 +363,7 @@
         }
     }
 
-    /// A job has failed for good: what runs of it is stopped.
+    /// Fails a job and stops its runs.
     fn fail_job(&mut self, id: JobId, reason: &'static str, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.state.is_final()) else { return };
         job.state = JobState::Failed;
@@ -355,37 +373,40 @@
         self.finish_if_over(id, now);
     }
 
-    fn note_begun(&mut self, id: JobId, now: Moment) {
+    /// Notes that a task of the job has started.
+    fn note_started(&mut self, id: JobId, now: Moment) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state == JobState::Pending {
             job.state = JobState::Running;
-            self.lazy.insert(id);
-            self.lazy_since.get_or_insert(now);
+            self.delayed.insert(id);
+            self.delayed_since.get_or_insert(now);
         }
     }
 
-    /// Does what time asks for, and starts what can be started.
+    /// Processes timeouts and then starts whatever can be started.
     pub fn schedule(&mut self, now: Moment) {
-        for (helper, step) in self.desk.find_overdue(now) {
-            self.note_overdue(helper, step);
+        for (helper, step) in self.advice_dispatcher.find_overdue(now) {
+            self.mark_question_overdue(helper, step);
         }
-        for (helper, step) in self.desk.expire(now) {
-            self.forget_question(helper, step, now);
+        for (helper, step) in self.advice_dispatcher.expire(now) {
+            self.drop_question(helper, step, now);
         }
         self.expire_leases(now);
-        self.repeat_stops(now);
-        self.find_stragglers(now);
+        self.retry_stops(now);
+        self.move_stragglers(now);
         self.find_settled_restarts();
         self.settle_take_over(now);
-        self.expire_open_runs(now);
-        self.release_held(now);
-        self.count_unseen(self.unix_ms_at(now));
-        if self.knows_sizes(now) {
+        self.expire_unresolved_runs(now);
+        self.send_recorded_starts(now);
+        self.count_unconfirmed(self.unix_ms_at(now));
+        if self.has_fresh_worker_list(now) {
             self.place_all(now);
         }
-        self.report_restarts(now);
+        self.report_late_restarts(now);
     }
 
+    /// Orders a run to be stopped, unless that has been done. A start that was not sent is
+    /// withdrawn.
     fn stop_run(
         &mut self,
         key: WorkerKey,
@@ -402,20 +423,21 @@
             return;
         }
         if entry.phase == RunPhase::Recording {
-            return self.withdraw_held(key, &task, run, now);
+            return self.withdraw_unsent(key, &task, run, now);
         }
-        entry.phase = RunPhase::Stopping(StopTry::first(now));
+        entry.phase = RunPhase::Stopping(StopAttempt::first(now));
         let (life, token) = (worker.entry.life.clone(), worker.token);
         self.events.push(CellEvent::Stopping { task, run, worker: life, reason });
         self.orders.push(CellOrder::Stop(StopOrder { worker: key, task, run, token }));
     }
 
-    fn repeat_stops(&mut self, now: Moment) {
-        let again = self.timing.stop_again;
+    /// Repeats stops that have not been answered.
+    fn retry_stops(&mut self, now: Moment) {
+        let interval = self.timing.stop_retry_interval;
         for (number, worker) in self.workers.iter_mut().enumerate() {
             for (task, run) in &mut worker.runs {
                 let RunPhase::Stopping(stop) = run.phase else { continue };
-                let Some(stop) = stop.next(again, now) else { continue };
+                let Some(stop) = stop.next(interval, now) else { continue };
                 run.phase = RunPhase::Stopping(stop);
                 let (worker, token) = (WorkerKey(number), worker.token);
                 let order = StopOrder { worker, task: *task, run: run.run, token };
@@ -424,7 +446,7 @@
         }
     }
 
-    /// Frees a task whose run is over without having ended done.
+    /// Returns a task whose run is over, but not done, to the waiting tasks.
     fn release_task(
         &mut self,
         task: &CellTask,
@@ -434,12 +456,12 @@
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         let Some(index) = job.task_index(task) else { return };
-        let work = &mut job.tasks[index];
+        let active_task = &mut job.tasks[index];
         if let Some(checkpoint) = checkpoint.filter(|text| !text.is_empty()) {
-            work.kept.checkpoint = checkpoint.to_owned();
+            active_task.progress.checkpoint = checkpoint.to_owned();
         }
-        if matches!(work.phase, TaskPhase::Placed(_, placed) if placed == run) {
-            work.phase = TaskPhase::Waiting(from);
+        if matches!(active_task.phase, TaskPhase::Placed(_, placed) if placed == run) {
+            active_task.phase = TaskPhase::Waiting(from);
         }
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
@@ -229,7 +229,8 @@
             return;
         }
         session.renewing = true;
-        let record = LeadRecord { predecessors_expired: session.scheduler.is_sole(now), ..record };
+        let record =
+            LeadRecord { predecessors_expired: session.scheduler.is_sole_lead(now), ..record };
         let call = self.lead_append(&record);
         out.push((Purpose::Renew(record), call));
     }
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -270,7 +270,7 @@
     let mut scheduler =
         Scheduler::take_over(host.settings.cell.clone(), token, has_predecessor, started);
     if let Some(earlier) = claim_context.predecessor_token() {
-        scheduler.note_follows(earlier);
+        scheduler.set_previous_token(earlier);
     }
     let session = Rc::new(LeadSession {
         token,
--- a/crates/sedgehilld/src/cell/lead_metrics.rs
+++ b/crates/sedgehilld/src/cell/lead_metrics.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use sedgehill_cell::scheduler::{OrganisationFigures, RestartFigures, StallFigures, StallReason};
+use sedgehill_cell::scheduler::{OrganisationStats, RestartStats, StallReason, StallStats};
 use sedgehill_core::units::{CoreCount, ResourceSet};
 
 use super::lead::LeadSession;
@@ -23,15 +23,15 @@
     let mut exported = BTreeSet::new();
     loop {
         tokio::time::sleep(UPDATE_INTERVAL).await;
-        set_organisation_metrics(&session.scheduler.borrow().organisation_figures());
-        set_stall_metrics(&session.scheduler.borrow().stall_figures(clock::now()), &mut exported);
-        set_restart_metrics(session.scheduler.borrow().restart_figures(clock::now()));
+        set_organisation_metrics(&session.scheduler.borrow().organisation_stats());
+        set_stall_metrics(&session.scheduler.borrow().stall_stats(clock::now()), &mut exported);
+        set_restart_metrics(session.scheduler.borrow().restart_stats(clock::now()));
     }
 }
 
 /// Sets the metrics of stalled steps. A reason that was exported before and no longer applies is
 /// set to zero.
-fn set_stall_metrics(stats: &[StallFigures], exported: &mut BTreeSet<StallReason>) {
+fn set_stall_metrics(stats: &[StallStats], exported: &mut BTreeSet<StallReason>) {
     for stall in stats {
         exported.insert(stall.reason);
         telemetry::set_stalled(
@@ -48,23 +48,23 @@
 }
 
 /// Sets the metrics of long-running tasks that have no run.
-fn set_restart_metrics(stats: RestartFigures) {
+fn set_restart_metrics(stats: RestartStats) {
     telemetry::set_restarts(stats.tasks, stats.longest.0 as f64 / MILLIS_PER_SECOND);
 }
 
 /// Clears the metrics of a lead that has ended, since nothing runs by its orders any more.
 pub fn reset(session: &LeadSession) {
-    let mut stats = session.scheduler.borrow().organisation_figures();
+    let mut stats = session.scheduler.borrow().organisation_stats();
     for organisation in &mut stats {
         (organisation.running, organisation.open_jobs) = (ResourceSet::default(), 0);
     }
     set_organisation_metrics(&stats);
-    let stalls = session.scheduler.borrow().stall_figures(clock::now());
+    let stalls = session.scheduler.borrow().stall_stats(clock::now());
     set_stall_metrics(&[], &mut stalls.iter().map(|stall| stall.reason).collect());
-    set_restart_metrics(RestartFigures::default());
+    set_restart_metrics(RestartStats::default());
 }
 
-fn set_organisation_metrics(stats: &[OrganisationFigures]) {
+fn set_organisation_metrics(stats: &[OrganisationStats]) {
     for organisation in stats.iter().take(telemetry::MAX_LABELLED_ORGANISATIONS) {
         let cores = |count: CoreCount| count.0 as f64 / THOUSANDTHS_PER_UNIT;
         let set =
--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -295,7 +295,7 @@
     ) {
         if let Some(roster) = progress.and_then(|batch| batch.roster.as_ref()) {
             info!(host.log, "roster recorded"; "token" => %self.token,
-                "workers" => roster.workers.len(), "mark" => %roster.mark(), "end" => recorded.end);
+                "workers" => roster.workers.len(), "mark" => %roster.digest(), "end" => recorded.end);
         }
     }
 
@@ -390,7 +390,7 @@
         let mut scheduler = session.scheduler.borrow_mut();
         // A second copy of a job that has ended meanwhile must not start it again.
         if !known || scheduler.has_job(submission.job) {
-            scheduler.add_led_job(submission.job, Rc::new(record.clone()), clock::now());
+            scheduler.add_own_job(submission.job, Rc::new(record.clone()), clock::now());
         }
     }
     let from = recorded.end - records.len() as u64;
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -48,7 +48,7 @@
             return LeadEndReason::LaterToken;
         };
         // Once the terms of all earlier leads are over, a successor need not wait for them.
-        let predecessors_expired = session.scheduler.borrow().is_sole(clock::now());
+        let predecessors_expired = session.scheduler.borrow().is_sole_lead(clock::now());
         let record = LeadRecord { predecessors_expired, ..record };
         pause = RENEW_RETRY_PAUSE;
         if record.token == session.token
--- a/crates/sedgehilld/src/cell/worker_watch.rs
+++ b/crates/sedgehilld/src/cell/worker_watch.rs
@@ -91,7 +91,7 @@
     let target = worker_target(&session, key);
     let mut failures = 0;
     loop {
-        if session.ended.get() || !session.scheduler.borrow().is_watched(key) {
+        if session.ended.get() || !session.scheduler.borrow().should_poll(key) {
             break;
         }
         if !session.may_order(&host) {
@@ -106,11 +106,11 @@
         }
         let answered = request_report(&host, &session, &target, key, order).await;
         failures = if answered { 0 } else { failures + 1 };
-        let never_answered = session.scheduler.borrow().is_stranger(key);
+        let never_answered = session.scheduler.borrow().never_answered(key);
         tokio::time::sleep(hold_pause(failures, never_answered)).await;
     }
-    session.scheduler.borrow_mut().unwatch(key);
-    if !session.scheduler.borrow().watches_address(target.address) {
+    session.scheduler.borrow_mut().stop_polling(key);
+    if !session.scheduler.borrow().polls_address(target.address) {
         host.clients.http.close_idle(target.address);
     }
 }
@@ -196,7 +196,7 @@
     sent: Moment,
 ) {
     session.scheduler.borrow_mut().hold_answered(key, answer, sent, clock::now());
-    let new_lives = session.scheduler.borrow_mut().take_next_lives();
+    let new_lives = session.scheduler.borrow_mut().take_new_lives();
     spawn_watches(host, session, new_lives);
     session.wake.notify_one();
 }
