--- a/crates/sedgehilld/src/controllers/members.rs
+++ b/crates/sedgehilld/src/controllers/members.rs
@@ -1,4 +1,4 @@
-//! Keeps track of the other boxes and of what the platform lists.
+//! Tracks the other boxes by their heartbeats, and reads the platform's list of boxes, endpoints and workers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,50 +11,51 @@
 use sedgehill_platform::list::ListClient;
 use tokio::sync::mpsc;
 
-use super::{ControlContext, ControlState, proof, publish};
+use super::{ControlContext, ControlState, publish, refresh};
 use crate::clock;
-use crate::shared::PAUSE_LIMIT;
+use crate::shared::PAUSE_THRESHOLD;
 
-/// Reads the platform's list for as long as the box runs.
+/// Reads the platform's list until the process ends.
 pub async fn read_list(context: ControlContext) {
     let client = ListClient::new(context.caller.clone(), context.shared.settings.platform.list);
-    let every = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
+    let interval = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     loop {
-        let began = clock::now();
+        let started_at = clock::now();
         let result = client.fetch().await;
-        let paused = clock::now().since(began) > PAUSE_LIMIT;
+        // A list that was fetched across a pause of the process may be stale.
+        let was_paused = clock::now().since(started_at) > PAUSE_THRESHOLD;
         if let Ok(list) = result
-            && !paused
+            && !was_paused
         {
             let changed = {
                 let mut state = context.state.borrow_mut();
-                let changed = state.list != list || !state.list_read;
+                let changed = state.list != list || !state.list_loaded;
                 state.list = list;
-                state.list_read = true;
+                state.list_loaded = true;
                 changed
             };
             if changed {
                 publish::publish(&context);
-                context.place_wanted.notify_one();
+                context.placement_notify.notify_one();
             }
         }
-        context.state.borrow_mut().list_looked = began;
-        tokio::time::sleep(every).await;
+        context.state.borrow_mut().list_read_started_at = started_at;
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Sends heartbeats for as long as the box runs.
+/// Sends heartbeats to all other boxes until the process ends.
 pub async fn send_heartbeats(context: ControlContext) {
-    let every = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
+    let interval = Duration::from_millis(context.shared.settings.heartbeat_every.as_millis());
     let mut sequence = 0;
     loop {
         sequence += 1;
-        announce(&context, sequence);
-        tokio::time::sleep(every).await;
+        broadcast_heartbeat(&context, sequence);
+        tokio::time::sleep(interval).await;
     }
 }
 
-fn announce(context: &ControlContext, sequence: u64) {
+fn broadcast_heartbeat(context: &ControlContext, sequence: u64) {
     let (message, peers) = {
         let state = context.state.borrow();
         (PeerMessage::Heartbeat(own_heartbeat(&state, sequence)), peer_addresses(&state))
@@ -62,7 +63,7 @@
     for (peer, address) in peers {
         let (link, message) = (context.link.clone(), message.clone());
         tokio::task::spawn_local(async move {
-            // A heartbeat that is lost is followed by the next.
+            // A lost heartbeat needs no retry, since another follows.
             let _ = link.send(&peer, address, &message).await;
         });
     }
@@ -74,64 +75,68 @@
         HallCapacity { hall: hall.clone(), total, free }
     });
     BoxHeartbeat {
-        from: state.me().clone(),
+        from: state.own_id().clone(),
         incarnation: state.incarnation,
         sequence,
         leaving: state.is_leaving(),
         applied: state.cluster().map(|cluster| cluster.next).unwrap_or_default(),
-        leaving_endpoints: listed_leaving(state).collect(),
+        leaving_endpoints: listed_leaving_endpoints(state).collect(),
         capacities: capacities.collect(),
     }
 }
 
-fn listed_leaving(state: &ControlState) -> impl Iterator<Item = EndpointId> {
+fn listed_leaving_endpoints(state: &ControlState) -> impl Iterator<Item = EndpointId> {
     let leaving = state.list.endpoints.iter().filter(|endpoint| endpoint.leaving);
     leaving.map(|endpoint| endpoint.id.clone())
 }
 
+/// Returns the other listed boxes and their addresses.
 pub fn peer_addresses(state: &ControlState) -> Vec<(BoxId, SocketAddr)> {
     state
         .list
         .boxes
         .iter()
-        .filter(|listing| listing.id != *state.me())
+        .filter(|listing| listing.id != *state.own_id())
         .map(|listing| (listing.id.clone(), listing.peer_address))
         .collect()
 }
 
-/// Endpoints that are leaving, as this box or any peer has heard.
+/// Returns the endpoints that the platform's list shows as leaving, to this box or to a peer.
 pub fn leaving_endpoints(state: &ControlState, now: Moment) -> BTreeSet<EndpointId> {
-    let heard =
-        state.members.heartbeats(now).flat_map(|beat| beat.leaving_endpoints.iter().cloned());
-    listed_leaving(state).chain(heard).collect()
+    let reported = state
+        .members
+        .heartbeats(now)
+        .flat_map(|heartbeat| heartbeat.leaving_endpoints.iter().cloned());
+    listed_leaving_endpoints(state).chain(reported).collect()
 }
 
-/// The boxes that take work, this one included, in order of name. A box that is listed counts until
-/// it could have been heard of.
-pub fn working_boxes(state: &ControlState, now: Moment) -> Vec<BoxId> {
-    let settling = now.since(state.began) < state.shared.settings.member.gone_after;
+/// Returns the boxes that accept work, including this one, in order of name. For some time after its start this box
+/// also counts all listed boxes, since their heartbeats may not have arrived yet.
+pub fn active_boxes(state: &ControlState, now: Moment) -> Vec<BoxId> {
+    let is_starting = now.since(state.started_at) < state.shared.settings.member.gone_after;
     let mut boxes: BTreeSet<BoxId> = state.members.live(now).into_iter().collect();
-    let listed = state.list.boxes.iter().filter(|listing| settling && !listing.leaving);
+    let listed = state.list.boxes.iter().filter(|listing| is_starting && !listing.leaving);
     boxes.extend(listed.map(|listing| listing.id.clone()));
     for listing in state.list.boxes.iter().filter(|listing| listing.leaving) {
         boxes.remove(&listing.id);
     }
-    boxes.insert(state.me().clone());
+    boxes.insert(state.own_id().clone());
     boxes.into_iter().collect()
 }
 
-/// Whether this box is listed with peers and hears of none of them.
+/// Returns whether other boxes are listed and all of them are suspect or gone.
 pub fn is_cut_off_from_peers(state: &ControlState, now: Moment) -> bool {
-    let mut peers = state.list.boxes.iter().filter(|listing| listing.id != *state.me()).peekable();
+    let mut peers =
+        state.list.boxes.iter().filter(|listing| listing.id != *state.own_id()).peekable();
     peers.peek().is_some()
         && peers.all(|listing| state.members.state(&listing.id, now) >= MemberState::Suspect)
 }
 
-/// Takes in what peers say for as long as the box runs.
-pub async fn take_messages(context: ControlContext, mut peers: mpsc::Receiver<PeerRequest>) {
-    while let Some(request) = peers.recv().await {
+/// Handles the messages of other boxes until the process ends.
+pub async fn handle_messages(context: ControlContext, mut requests: mpsc::Receiver<PeerRequest>) {
+    while let Some(request) = requests.recv().await {
         match request.message {
-            PeerMessage::Heartbeat(heartbeat) => take_heartbeat(&context, heartbeat),
+            PeerMessage::Heartbeat(heartbeat) => handle_heartbeat(&context, heartbeat),
             PeerMessage::SnapshotRequest => {
                 let cluster = context.state.borrow().cluster().cloned();
                 let bytes = cluster
@@ -141,10 +146,10 @@
                 }
             }
             PeerMessage::ClaimRequest { organisation, key } => {
-                let sight = proof::own_sight(&context.state.borrow(), &organisation, key);
+                let status = refresh::own_claim_status(&context.state.borrow(), &organisation, key);
                 if let Some(reply) = request.reply {
-                    // The box that asked may have gone.
-                    let _ = reply.send(PeerMessage::ClaimReply(sight));
+                    // An error means that the connection to the other box is closed.
+                    let _ = reply.send(PeerMessage::ClaimReply(status));
                 }
             }
             PeerMessage::SnapshotReply(_) | PeerMessage::ClaimReply(_) => {}
@@ -152,13 +157,13 @@
     }
 }
 
-fn take_heartbeat(context: &ControlContext, heartbeat: BoxHeartbeat) {
+fn handle_heartbeat(context: &ControlContext, heartbeat: BoxHeartbeat) {
     let now = clock::now();
     let changed = {
         let mut state = context.state.borrow_mut();
-        let before = (working_boxes(&state, now), leaving_endpoints(&state, now));
+        let previous = (active_boxes(&state, now), leaving_endpoints(&state, now));
         state.members.record_heartbeat(heartbeat, now);
-        before != (working_boxes(&state, now), leaving_endpoints(&state, now))
+        previous != (active_boxes(&state, now), leaving_endpoints(&state, now))
     };
     if changed {
         publish::publish(context);
--- a/crates/sedgehilld/src/filters/claim.rs
+++ b/crates/sedgehilld/src/filters/claim.rs
@@ -1,4 +1,4 @@
-//! Once-only requests: the right to run one is claimed in the log before it goes anywhere.
+//! Claims the idempotency keys of once-only requests in the log, before a request is sent to an endpoint.
 
 use sedgehill_core::ids::{IdempotencyKey, OrgName, RecordId};
 use sedgehill_core::state::VoidReason;
@@ -9,7 +9,7 @@
 use super::outcome::{NotRunReason, RequestOutcome, UnknownReason};
 use crate::controllers::{ClaimReply, ControlHandle};
 
-/// Claims the key of a request, if it has one. Returns the record of the claim.
+/// Claims the idempotency key of a request, if it has one. Returns the id of the claim's record.
 pub async fn claim(
     handle: &ControlHandle,
     context: &RequestContext,
@@ -26,9 +26,10 @@
     }
 }
 
-/// What a refused caller is told whose request has a key. A box that refuses by itself knows of its own attempt alone;
-/// under the same key the request may have run at another.
-pub async fn check_refusal(
+/// Returns the outcome to report for a refused request that may have an idempotency key. The refusal only says that
+/// this box did not run the request; another box may have run it under the same key. Unless the key is known to be
+/// free, `NotRun` becomes `Unknown`.
+pub async fn check_key_of_refused(
     handle: &ControlHandle,
     key: Option<(OrgName, IdempotencyKey)>,
     arrived: Moment,
@@ -44,8 +45,8 @@
     }
 }
 
-/// Gives the claim back if the request surely did not run, so that the caller may try again.
-pub fn settle(
+/// Releases the claim if the request surely did not run, so that the caller may retry with the same key.
+pub fn release_if_not_run(
     handle: &ControlHandle,
     context: &RequestContext,
     claim: RecordId,
