--- a/crates/sedgehill-cell/src/scheduler/stall.rs
+++ b/crates/sedgehill-cell/src/scheduler/stall.rs
@@ -1,9 +1,10 @@
-//! Why a step whose turn has come has nothing running.
+//! Finds out why a step that is due has no running task.
 //!
-//! Most steps that wait are passed over by one look: no room, no ticket, nobody to ask. Such a look leaves no line, so a
-//! job that was stalled for a minute left none at all. The scheduler therefore keeps for each step the gate at which it was
-//! last turned back and since when the step is stalled, shows them as figures, and says so once that has lasted for some
-//! seconds beside room for it twice over.
+//! Most waiting steps are passed over quickly: there is no room, no ticket or no box to ask. This
+//! is not logged each time, so a job stalled for a minute left no trace. The scheduler therefore
+//! keeps for each step the reason that last prevented a start and the time since when it is
+//! stalled. It shows both as figures, and logs a step that stays stalled for some seconds although
+//! there is twice the room that it needs.
 
 use std::fmt;
 
@@ -14,68 +15,70 @@
 use super::worker::WorkerTrust;
 use super::*;
 
-/// A step that is stalled for so long beside room is told of: as long as the users allow.
+/// A step stalled for this long beside enough room is reported. Users accept a stall of this
+/// length.
 const STALLED_AFTER: TimeSpan = TimeSpan(3_000);
-/// It is told of again so much later, if it is still stalled.
-const TOLD_AGAIN: TimeSpan = TimeSpan(10_000);
-/// The step that found no box to ask for the longest time is looked for this often: the look goes over all that wait.
-const UNASKED_EVERY: TimeSpan = TimeSpan(100);
-/// Steps that are told of in one turn, at the most: a cell in which everything is stalled needs no more lines.
-const TOLD_AT_ONCE: usize = 4;
-/// Room for so many times what waits is no lack of room.
-const ROOM_TIMES: usize = 2;
+/// The interval between further reports of one step.
+const REPORT_INTERVAL: TimeSpan = TimeSpan(10_000);
+/// The interval between searches for the step that has waited longest for a box to ask, since a
+/// search looks at all candidates.
+const STARVED_SEARCH_INTERVAL: TimeSpan = TimeSpan(100);
+/// The most steps reported in one turn. If everything is stalled, further lines add nothing.
+const MAX_REPORTS_PER_TURN: usize = 4;
+/// A step is reported only if there is room for this many times its waiting tasks.
+const MIN_ROOM_FACTOR: usize = 2;
 
-/// The gate at which a step was turned back.
+/// What prevented a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StallReason {
-    /// The list of workers was read too long ago to start anything.
-    OldList,
-    /// An earlier lead may have something of the job running.
+    /// The list of workers is too old to start anything by it.
+    StaleWorkerList,
+    /// An earlier lead may have started tasks of the job.
     EarlierLead,
-    /// A later lead seems to have marked the job.
+    /// A later lead seems to be responsible for the job.
     LaterLead,
-    /// It is not recorded yet that tasks of the job may run.
+    /// The start flag of the job is not recorded yet.
     NotRecorded,
-    /// A member is held until more is known of a worker that was lost under it.
-    Suspect,
-    /// The limit of its organisation.
-    Limit,
+    /// A member of the gang must not start until more is known of a lost worker.
+    StartDeferred,
+    /// The limit of the organisation is reached.
+    OrganisationLimit,
     /// No worker that takes work has room for a single task.
     NoRoom,
-    /// There is room for some members of a gang, and not for all.
-    GangRoom,
-    /// Workers that may run it are known, and have no room that is not kept for others.
-    KnownRoom,
-    /// The room that is expected on workers that were not asked about is less than a gang needs.
-    ExpectedRoom,
-    /// All workers are known, and none of them may run it.
-    NobodyGood,
+    /// There is room for some members of the gang, but not for all.
+    PartialGangRoom,
+    /// Workers that may run it are known, but have no unreserved room.
+    NoAllowedRoom,
+    /// Too little room for the gang is expected on workers that were not asked about.
+    TooLittleExpectedRoom,
+    /// All workers are known, and none, or too few, may run it.
+    NoneAllowed,
     /// No box is free to ask the advice service.
-    NoHelper,
+    NoFreeHelper,
     /// A question failed a moment ago.
-    AskedLately,
-    /// A question is under way.
-    Asking,
+    RecentFailure,
+    /// A question is in flight.
+    AwaitingAdvice,
 }
 
 impl StallReason {
     /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            StallReason::OldList => "old_list",
+            StallReason::StaleWorkerList => "old_list",
             StallReason::EarlierLead => "earlier_lead",
             StallReason::LaterLead => "later_lead",
             StallReason::NotRecorded => "not_recorded",
-            StallReason::Suspect => "suspect",
-            StallReason::Limit => "limit",
+            StallReason::StartDeferred => "suspect",
+            StallReason::OrganisationLimit => "limit",
             StallReason::NoRoom => "no_room",
-            StallReason::GangRoom => "gang_room",
-            StallReason::KnownRoom => "known_room",
-            StallReason::ExpectedRoom => "expected_room",
-            StallReason::NobodyGood => "nobody_good",
-            StallReason::NoHelper => "no_helper",
-            StallReason::AskedLately => "asked_lately",
-            StallReason::Asking => "asking",
+            StallReason::PartialGangRoom => "gang_room",
+            StallReason::NoAllowedRoom => "known_room",
+            StallReason::TooLittleExpectedRoom => "expected_room",
+            StallReason::NoneAllowed => "nobody_good",
+            StallReason::NoFreeHelper => "no_helper",
+            StallReason::RecentFailure => "asked_lately",
+            StallReason::AwaitingAdvice => "asking",
         }
     }
 }
@@ -86,72 +89,72 @@
     }
 }
 
-/// A step that has nothing running though its turn has come.
+/// A step that is due and has no running task.
 #[derive(Debug, Clone, Copy)]
 pub struct StepStall {
-    /// Since when.
+    /// When it stalled.
     pub since: Moment,
-    /// Where it was turned back last.
+    /// What prevented its last start.
     pub reason: StallReason,
-    /// When it was told of last.
-    told: Option<Moment>,
+    /// When it was last reported; none if it was not.
+    reported_at: Option<Moment>,
 }
 
-/// What was believed when a step was told of as stalled.
+/// The scheduler's view of a stalled step, for logs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct StallBelief {
-    /// Tasks that wait.
+pub struct StallDetails {
+    /// Waiting tasks.
     pub waiting: usize,
-    /// Places for them on workers that take work, whoever may run the step.
+    /// Places for its tasks on workers that take work, regardless of advice.
     pub places: usize,
-    /// Those of the places that are on workers known as good, and on workers never asked about.
-    pub places_good: usize,
-    /// See above.
+    /// Those of the places that are on workers that may run it.
+    pub places_allowed: usize,
+    /// Those of the places that are on workers that were never asked about.
     pub places_unknown: usize,
-    /// Workers known as good, and as not good.
-    pub good: usize,
-    /// See above.
-    pub not_good: usize,
-    /// Workers with a ticket that can be used.
+    /// Workers that may run it.
+    pub allowed: usize,
+    /// Workers that may not run it.
+    pub rejected: usize,
+    /// Workers with a usable ticket.
     pub tickets: usize,
-    /// Workers that get at most one run since they did badly.
-    pub shunned: usize,
-    /// The share of workers that is taken as good in the queue, in hundredths.
+    /// Workers that get at most one run because of faults.
+    pub suspended: usize,
+    /// The percentage of workers that is assumed to be allowed to run steps of the queue.
     pub share_percent: u64,
-    /// Questions under way.
+    /// Questions in flight.
     pub asking: usize,
-    /// Since the last question was sent; none if there was none.
+    /// Time since the last question was sent; none if there was none.
     pub asked_ago: Option<TimeSpan>,
 }
 
-/// Steps that are stalled for one reason.
+/// Figures about the steps that are stalled for one reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StallFigures {
+pub struct StallStats {
     /// The reason.
     pub reason: StallReason,
-    /// How many.
+    /// The number of steps.
     pub steps: usize,
-    /// The longest time that one of them has been.
+    /// The longest time that one of them has been stalled.
     pub longest: TimeSpan,
 }
 
 impl WorkerState {
-    /// Whether it is there and gets one run at a time.
+    /// Whether it lives and is not trusted because of faults.
     fn is_distrusted(&self) -> bool {
-        !self.dead && self.trust != WorkerTrust::Sound
+        !self.dead && self.trust != WorkerTrust::Trusted
     }
 }
 
-impl JobWork {
-    /// Whether a task of a step runs, or may.
+impl ActiveJob {
+    /// Whether a task of the step runs, or may run.
     fn has_placed(&self, step: usize) -> bool {
-        let placed = |task: &work::TaskWork| matches!(task.phase, TaskPhase::Placed(..));
+        let placed = |task: &ActiveTask| matches!(task.phase, TaskPhase::Placed(..));
         self.step_tasks(step).iter().any(placed)
     }
 }
 
 impl Scheduler {
-    /// Notes at which gate a step was turned back; none if something of it was started.
+    /// Notes what prevented a start of a step; none if tasks were started.
     pub(super) fn note_stall(
         &mut self,
         candidate: &Candidate,
@@ -163,89 +166,98 @@
         let stall = &mut job.steps[candidate.step].stall;
         *stall = stalls.map(|reason| match *stall {
             Some(stall) => StepStall { reason, ..stall },
-            None => StepStall { since: now, reason, told: None },
+            None => StepStall { since: now, reason, reported_at: None },
         });
     }
 
-    /// Looks for the step that found no box to ask for the longest time, if that is long. Steps that can earn nothing any
-    /// more come last, so as long as others come they would find none for good.
-    pub(super) fn find_unasked(&mut self, candidates: &[Candidate], now: Moment) {
-        if now >= self.unasked_from {
-            self.unasked = self.longest_unasked(candidates, now);
-            self.unasked_from = now.after(UNASKED_EVERY);
+    /// Finds the step that has waited longest for a box to ask, if that is long. Steps without
+    /// value rank last, so as long as others arrive they would never find a free box.
+    pub(super) fn update_starved_step(&mut self, candidates: &[Candidate], now: Moment) {
+        if now >= self.starved_search_from {
+            self.starved_step = self.longest_starved(candidates, now);
+            self.starved_search_from = now.after(STARVED_SEARCH_INTERVAL);
         }
     }
 
-    fn longest_unasked(&self, candidates: &[Candidate], now: Moment) -> Option<Candidate> {
-        let unasked_since = |candidate: &Candidate| {
+    fn longest_starved(&self, candidates: &[Candidate], now: Moment) -> Option<Candidate> {
+        let waiting_since = |candidate: &Candidate| {
             let step = &self.jobs.get(&candidate.job)?.steps[candidate.step];
-            let stall = step.stall.filter(|stall| stall.reason == StallReason::NoHelper)?;
-            // Steps that are asked about in vain take turns.
-            let since = step.advice.asked.map_or(stall.since, |asked| asked.max(stall.since));
+            let stall = step.stall.filter(|stall| stall.reason == StallReason::NoFreeHelper)?;
+            // Steps whose questions do not help take turns.
+            let since =
+                step.advice.last_asked_at.map_or(stall.since, |asked| asked.max(stall.since));
             (now >= since.after(STALLED_AFTER)).then_some((since, *candidate))
         };
-        let unasked = candidates.iter().filter_map(unasked_since);
-        unasked.min_by_key(|(since, _)| *since).map(|(_, candidate)| candidate)
+        let starved = candidates.iter().filter_map(waiting_since);
+        starved.min_by_key(|(since, _)| *since).map(|(_, candidate)| candidate)
     }
 
-    /// Tells of steps that are stalled for long beside room for them.
+    /// Reports steps that have been stalled for long beside enough room.
     pub(super) fn report_stalls(&mut self, open: &OpenWorkers, now: Moment) {
         let is_long = |stall: &StepStall| {
-            let told = stall.told.is_some_and(|told| now < told.after(TOLD_AGAIN));
-            now >= stall.since.after(STALLED_AFTER) && !told
+            let recently_reported = stall
+                .reported_at
+                .is_some_and(|reported_at| now < reported_at.after(REPORT_INTERVAL));
+            now >= stall.since.after(STALLED_AFTER) && !recently_reported
         };
         let mut long: Vec<(Moment, Candidate)> = Vec::new();
         for job in self.jobs.values().filter(|job| !job.is_over()) {
-            for (step, work) in job.steps.iter().enumerate() {
-                let Some(stall) = work.stall.filter(is_long) else { continue };
-                // It may have been taken over from an earlier lead since.
+            for (step, active_step) in job.steps.iter().enumerate() {
+                let Some(stall) = active_step.stall.filter(is_long) else { continue };
+                // A run may have been taken over from an earlier lead since.
                 if !job.has_placed(step) {
                     long.push((stall.since, Candidate { job: job.id, step, restarts: false }));
                 }
             }
         }
         long.sort_by_key(|(since, candidate)| (*since, candidate.job, candidate.step));
-        let mut told = 0;
+        let mut report_count = 0;
         for (since, candidate) in long {
-            if told == TOLD_AT_ONCE {
+            if report_count == MAX_REPORTS_PER_TURN {
                 return;
             }
-            let Some(belief) = self.stall_belief(&candidate, open, now) else { continue };
+            let Some(details) = self.stall_details(&candidate, open, now) else { continue };
             let Some(job) = self.jobs.get_mut(&candidate.job) else { continue };
-            let work = &mut job.steps[candidate.step];
-            let Some(stall) = &mut work.stall else { continue };
-            // Looked at again later, whether it is told of or not: the look goes over all workers.
-            stall.told = Some(now);
-            if belief.places < ROOM_TIMES * belief.waiting {
+            let active_step = &mut job.steps[candidate.step];
+            let Some(stall) = &mut active_step.stall else { continue };
+            // Also delays the next check of steps that are not reported, since a check looks at all
+            // workers.
+            stall.reported_at = Some(now);
+            if details.places < MIN_ROOM_FACTOR * details.waiting {
                 continue;
             }
-            told += 1;
-            let (step, reason) = (work.id, stall.reason);
-            self.events.push(CellEvent::Stalled { step, reason, stood: now.since(since), belief });
+            report_count += 1;
+            let (step, reason) = (active_step.id, stall.reason);
+            self.events.push(CellEvent::Stalled {
+                step,
+                reason,
+                stalled_for: now.since(since),
+                details,
+            });
         }
     }
 
-    pub(super) fn stall_belief(
+    pub(super) fn stall_details(
         &self,
         candidate: &Candidate,
         open: &OpenWorkers,
         now: Moment,
-    ) -> Option<StallBelief> {
+    ) -> Option<StallDetails> {
         let job = self.jobs.get(&candidate.job)?;
         let spec = job.step_spec(candidate.step);
         let advice = &job.steps[candidate.step].advice;
-        let mut belief = StallBelief {
+        let mut details = StallDetails {
             waiting: waiting_tasks(job, candidate.step, now).len(),
             places: 0,
-            places_good: 0,
+            places_allowed: 0,
             places_unknown: 0,
-            good: advice.known.values().filter(|known| known.is_some()).count(),
-            not_good: advice.known.values().filter(|known| known.is_none()).count(),
+            allowed: advice.known.values().filter(|known| known.is_some()).count(),
+            rejected: advice.known.values().filter(|known| known.is_none()).count(),
             tickets: advice.ticketed(now, self.timing.ticket_margin).count(),
-            shunned: self.workers.iter().filter(|one| one.is_distrusted()).count(),
-            share_percent: (self.share_of(&job.record.queue) * 100.0) as u64,
-            asking: advice.asking.len(),
-            asked_ago: advice.asked.map(|asked| now.since(asked)),
+            suspended: self.workers.iter().filter(|worker| worker.is_distrusted()).count(),
+            share_percent: (self.allowed_share(&job.record.queue) * 100.0) as u64,
+            asking: advice.in_flight.len(),
+            asked_ago: advice.last_asked_at.map(|asked| now.since(asked)),
         };
         for key in &open.list {
             let worker = &self.workers[key.0];
@@ -253,29 +265,33 @@
                 true => worker.free.capacity_for(&spec.need) as usize,
                 false => 0,
             };
-            belief.places += places;
+            details.places += places;
             match advice.known.get(key) {
-                Some(Some(_)) => belief.places_good += places,
+                Some(Some(_)) => details.places_allowed += places,
                 Some(None) => {}
-                None => belief.places_unknown += places,
+                None => details.places_unknown += places,
             }
         }
-        Some(belief)
+        Some(details)
     }
 
-    /// The steps that are stalled, by reason.
-    pub fn stall_figures(&self, now: Moment) -> Vec<StallFigures> {
-        let mut figures: BTreeMap<StallReason, StallFigures> = BTreeMap::new();
+    /// Returns figures about stalled steps by reason.
+    pub fn stall_stats(&self, now: Moment) -> Vec<StallStats> {
+        let mut by_reason: BTreeMap<StallReason, StallStats> = BTreeMap::new();
         let jobs = self.jobs.values().filter(|job| !job.is_over());
         let steps = jobs.flat_map(|job| (0..job.steps.len()).map(move |step| (job, step)));
         let stalled = steps.filter(|(job, step)| !job.has_placed(*step));
         for stall in stalled.filter_map(|(job, step)| job.steps[step].stall) {
-            let reason = if self.knows_sizes(now) { stall.reason } else { StallReason::OldList };
-            let one = figures.entry(reason);
-            let one = one.or_insert(StallFigures { reason, steps: 0, longest: TimeSpan(0) });
-            one.steps += 1;
-            one.longest = one.longest.max(now.since(stall.since));
+            let reason = if self.has_fresh_worker_list(now) {
+                stall.reason
+            } else {
+                StallReason::StaleWorkerList
+            };
+            let stats = by_reason.entry(reason);
+            let stats = stats.or_insert(StallStats { reason, steps: 0, longest: TimeSpan(0) });
+            stats.steps += 1;
+            stats.longest = stats.longest.max(now.since(stall.since));
         }
-        figures.into_values().collect()
+        by_reason.into_values().collect()
     }
 }
--- a/crates/sedgehilld/src/cell/renewal.rs
+++ b/crates/sedgehilld/src/cell/renewal.rs
@@ -1,4 +1,4 @@
-//! Renews a claim of the lead, and gives it up.
+//! Renews the claim of a lead, and releases it.
 
 use std::time::Duration;
 
@@ -6,51 +6,54 @@
 use sedgehill_cell::ids::FencingToken;
 use slog::info;
 
-use super::lead::{LeadSession, WATCH_TURN, append_lead, lead_end};
-use super::sight::LeadEnd;
+use super::lead::{CLAIM_CHECK_INTERVAL, LeadSession, append_lead_record, lead_topic_end};
+use super::lead_log::LeadEndReason;
 use super::state::CellBox;
 use crate::clock;
 
-/// Pause before a renewal that failed is tried again.
-const RENEW_RETRY: Duration = Duration::from_millis(100);
+/// Pause after a renewal that failed.
+const RENEW_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Gives up the lead, and says so if this box stops or knows of a better one.
-pub async fn give_up(host: &CellBox, session: &LeadSession) {
+/// Gives up the lead. Resigns in the store if this box is stopping or should yield to a stronger
+/// one, so that another box can claim at once.
+pub async fn release_lead(host: &CellBox, session: &LeadSession) {
     if host.stopping.get() || session.should_yield(host) {
         resign(host, session.token).await;
     }
     host.watch.borrow_mut().step_down();
 }
 
-/// Renews the claim until it is lost or the box stops. Returns why it does so no longer.
-pub async fn renew(host: &CellBox, session: &LeadSession) -> LeadEnd {
+/// Renews the claim until it is lost or has to be given up. Returns the reason.
+pub async fn renew(host: &CellBox, session: &LeadSession) -> LeadEndReason {
     let every = Duration::from_millis(host.settings.authority.renew_interval.as_millis());
     let mut pause = every;
     loop {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = wait_for_stop(host) => return LeadEnd::Stopping,
+            () = wait_for_stop(host) => return LeadEndReason::Stopping,
         }
         if !host.watch.borrow().is_holder() {
-            return LeadEnd::LaterToken;
+            return LeadEndReason::LaterToken;
         }
         if session.scheduler.borrow().is_fenced_out() {
-            return LeadEnd::FencedByWorker;
+            return LeadEndReason::FencedByWorker;
         }
         if session.should_yield(host) {
             info!(host.log, "yielding to a stronger box"; "token" => %session.token,
                 "own" => %host.settings.strength, "strongest" => %host.watch.borrow().strongest());
-            return LeadEnd::Yielding;
+            return LeadEndReason::Yielding;
         }
         let newest = host.watch.borrow().newest().cloned();
-        let (Some(record), Some(end)) = (newest, lead_end(host)) else {
-            return LeadEnd::LaterToken;
+        let (Some(record), Some(end)) = (newest, lead_topic_end(host)) else {
+            return LeadEndReason::LaterToken;
         };
-        // A follower need not wait for leads before this one once their terms are over.
-        let sole = session.scheduler.borrow().is_sole(clock::now());
-        let record = LeadRecord { predecessors_expired: sole, ..record };
-        pause = RENEW_RETRY;
-        if record.token == session.token && append_lead(host, Some(session), record, end).await {
+        // Once the terms of all earlier leads are over, a successor need not wait for them.
+        let predecessors_expired = session.scheduler.borrow().is_sole_lead(clock::now());
+        let record = LeadRecord { predecessors_expired, ..record };
+        pause = RENEW_RETRY_PAUSE;
+        if record.token == session.token
+            && append_lead_record(host, Some(session), record, end).await
+        {
             pause = every;
         }
     }
@@ -58,20 +61,20 @@
 
 async fn wait_for_stop(host: &CellBox) {
     while !host.stopping.get() {
-        host.stop.notified().await;
+        host.stop_requested.notified().await;
     }
 }
 
-/// Tells the other boxes that this one gives no further orders.
+/// Records in the store that this box gives no further orders.
 async fn resign(host: &CellBox, token: FencingToken) {
-    const TRIES: usize = 5;
-    for _ in 0..TRIES {
+    const MAX_TRIES: usize = 5;
+    for _ in 0..MAX_TRIES {
         let newest = host.watch.borrow().newest().cloned();
-        let Some(end) = lead_end(host) else { return };
+        let Some(end) = lead_topic_end(host) else { return };
         let Some(record) = newest.filter(|newest| newest.token == token) else { return };
-        if append_lead(host, None, LeadRecord { resigned: true, ..record }, end).await {
+        if append_lead_record(host, None, LeadRecord { resigned: true, ..record }, end).await {
             return;
         }
-        tokio::time::sleep(WATCH_TURN).await;
+        tokio::time::sleep(CLAIM_CHECK_INTERVAL).await;
     }
 }
--- a/crates/sedgehilld/src/cell/stop.rs
+++ b/crates/sedgehilld/src/cell/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: no new callers, the lead handed over, every call answered, then the end.
+//! A planned stop: refuses new callers, hands over the lead, answers every call, and then ends.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use crate::clock;
 use crate::connection::StopPhase;
 
-/// Time between two looks at what is still open.
-const TURN: Duration = Duration::from_millis(50);
+/// Interval at which the open connections are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Kept of the time for a stop, to end the connections that are idle by then.
-const CLOSING_TIME: Duration = Duration::from_millis(1_100);
+/// Part of the stop limit that is kept for closing the connections that are idle by then.
+const CLOSING_RESERVE: Duration = Duration::from_millis(1_100);
 
-/// Waits for the signal to stop, and stops. A signal to reload changes nothing by itself.
-pub async fn wait(host: &CellBox) {
+/// Waits for the signal to stop, then stops the box. A signal to reload is only logged.
+pub async fn run_until_stopped(host: &CellBox) {
     let stop = signal(SignalKind::terminate());
     let reload = signal(SignalKind::hangup());
     let (mut stop, mut reload) = match (stop, reload) {
@@ -31,38 +31,38 @@
     loop {
         tokio::select! {
             _ = reload.recv() => info!(host.log, "reload asked for"),
-            () = received(&mut stop) => break,
+            () = wait_for_signal(&mut stop) => break,
         }
     }
-    finish(host).await;
+    stop_box(host).await;
 }
 
-async fn received(signal: &mut Signal) {
+async fn wait_for_signal(signal: &mut Signal) {
     signal.recv().await;
 }
 
-async fn finish(host: &CellBox) {
+async fn stop_box(host: &CellBox) {
     let StopTiming { linger, limit } = host.settings.stop;
     let connections = &host.connections;
     info!(host.log, "stopping"; "connections" => connections.open_count());
     host.stopping.set(true);
-    host.stop.notify_waiters();
-    let begun = clock::now();
+    host.stop_requested.notify_waiters();
+    let started = clock::now();
     connections.enter_phase(StopPhase::Announcing);
     tokio::time::sleep(linger).await;
     connections.enter_phase(StopPhase::ClosingIdle);
-    let is_over = || connections.open_count() == 0 && host.session.borrow().is_none();
-    wait_until(begun, limit.saturating_sub(CLOSING_TIME), is_over).await;
+    let is_idle = || connections.open_count() == 0 && host.session.borrow().is_none();
+    wait_until(started, limit.saturating_sub(CLOSING_RESERVE), is_idle).await;
     connections.enter_phase(StopPhase::ClosingAllIdle);
-    wait_until(begun, limit, is_over).await;
+    wait_until(started, limit, is_idle).await;
     info!(host.log, "stopped"; "connections" => connections.open_count(),
-        "ended_idle" => connections.ended_idle(), "took_ms" => clock::now().since(begun).as_millis());
+        "ended_idle" => connections.ended_idle(), "took_ms" => clock::now().since(started).as_millis());
 }
 
-/// Waits until a check holds, but not longer than `limit` after `begun`.
-async fn wait_until(begun: Moment, limit: Duration, check: impl Fn() -> bool) {
+/// Waits until a check holds, at most until `limit` after `started`.
+async fn wait_until(started: Moment, limit: Duration, check: impl Fn() -> bool) {
     let limit = TimeSpan(limit.as_millis() as u64);
-    while !check() && clock::now().since(begun) < limit {
-        tokio::time::sleep(TURN).await;
+    while !check() && clock::now().since(started) < limit {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
