--- a/crates/sedgehill-standin/tests/testsuite/cell.rs
+++ b/crates/sedgehill-standin/tests/testsuite/cell.rs
@@ -1,4 +1,4 @@
-//! Boxes in cell mode as separate processes, against stand-ins of the users' platform.
+//! Boxes in cell mode as separate processes, against stand-ins of the platform.
 
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -11,12 +11,12 @@
 use serde_json::{Value, json};
 
 use crate::cell_support::{
-    assert_kept, start_box, start_box_at, submit, submit_steps, wait_completed, wait_for,
+    assert_no_violation, start_box, start_box_at, submit, submit_steps, wait_completed, wait_for,
     wait_for_lead, wait_ready,
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn jobs_run_to_their_end_and_any_box_tells_their_state() {
+async fn jobs_complete_and_any_box_reports_their_state() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(3).await.unwrap();
     platform.configure(1);
@@ -35,7 +35,7 @@
     assert_eq!(unknown.map(|(status, _)| status), Some(410));
     let elsewhere = call(first.callers, "GET", "/elsewhere/", "").await;
     assert_eq!(elsewhere.map(|(status, _)| status), Some(404));
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -68,11 +68,11 @@
             wait_completed(&processes[0], 10 * round + id).await;
         }
     }
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_store_is_told_truly_and_soon_forgotten() {
+async fn submissions_are_refused_at_once_while_the_store_is_silent() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     platform.configure(1);
@@ -83,22 +83,22 @@
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let path = format!("/checks/{:016x}", 2);
     let body = r#"{"spec":"work","steps":[{"count":1,"cpu":1000,"mem_mb":16,"estimate_ms":150}]}"#;
-    let begun = Instant::now();
+    let started = Instant::now();
     let refused = call(only.callers, "POST", &path, body).await;
     assert_eq!(refused.map(|(status, _)| status), Some(503));
-    assert!(begun.elapsed() < Duration::from_millis(500), "a refusal comes at once");
+    assert!(started.elapsed() < Duration::from_millis(500), "the refusal took too long");
     platform.store.set_silent(false);
     let back = Instant::now();
     wait_ready(&only).await;
     assert!(back.elapsed() < Duration::from_secs(2), "ready again after {:?}", back.elapsed());
     wait_completed(&only, 1).await;
     let unknown = call(only.callers, "GET", &path, "").await;
-    assert_eq!(unknown.map(|(status, _)| status), Some(410), "what was refused never runs");
-    assert_kept(&platform);
+    assert_eq!(unknown.map(|(status, _)| status), Some(410), "a refused job must never run");
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_waits_behind_a_stuck_append_is_refused_and_never_runs() {
+async fn a_submission_behind_a_stuck_append_is_refused_and_never_runs() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     platform.configure(1);
@@ -114,18 +114,18 @@
         );
     tokio::time::sleep(Duration::from_millis(150)).await;
     let path = format!("/checks/{:016x}", 3);
-    let begun = Instant::now();
+    let started = Instant::now();
     let refused = call(only.callers, "POST", &path, body).await;
     assert_eq!(refused.map(|(status, _)| status), Some(503));
-    assert!(begun.elapsed() < Duration::from_millis(1_800), "after {:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(1_800), "after {:?}", started.elapsed());
     let status = stuck.await.unwrap().map(|(status, _)| status);
-    assert_ne!(status, Some(503), "what was sent to the store may still be kept");
+    assert_ne!(status, Some(503), "a job that was sent to the store may still be stored");
     platform.store.set_silent(false);
     wait_ready(&only).await;
     wait_completed(&only, 1).await;
     let unknown = call(only.callers, "GET", &path, "").await;
-    assert_eq!(unknown.map(|(status, _)| status), Some(410), "what was refused never runs");
-    assert_kept(&platform);
+    assert_eq!(unknown.map(|(status, _)| status), Some(410), "a refused job must never run");
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -140,19 +140,19 @@
     submit(&[&first], 1).await;
     first.signal(Signal::SIGTERM);
     let signalled = Instant::now();
-    wait_for("unreadiness", async || {
+    wait_for("the box to become unready", async || {
         let ready = call(first.ready, "GET", "/sedgehill/readyz", "").await;
         ready.is_some_and(|(status, _)| status == 503)
     })
     .await;
-    // The platform asks once a second.
+    // The platform checks readiness once a second.
     assert!(signalled.elapsed() < Duration::from_secs(1), "{:?}", signalled.elapsed());
     submit(&[&first], 2).await;
     for id in [1, 2] {
         wait_completed(&second, id).await;
     }
     assert_eq!(first.wait(), Some(0));
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -168,7 +168,7 @@
     wait_ready(&other).await;
     submit(&[&other], 1).await;
     path.set(PathState::Refusing);
-    // Longer than a view is taken as fresh without proof.
+    // Longer than the box treats its view as fresh without an answer from the store.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let ready = call(other.ready, "GET", "/sedgehill/readyz", "").await;
     let log = std::fs::read_to_string(directory.path().join("other.log")).unwrap();
@@ -183,11 +183,11 @@
         log.lines().any(|line| line.contains("configuration in force") && line.contains(":2"))
     })
     .await;
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lead_that_is_cut_from_the_store_goes_on_by_way_of_another_box() {
+async fn a_lead_that_is_cut_from_the_store_keeps_the_lead_through_another_box() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     platform.configure(1);
@@ -197,7 +197,7 @@
     wait_for_lead(directory.path(), "lead").await;
     let other = start_box_at(directory.path(), "other", &platform, platform.store_address, "0.25");
     wait_ready(&other).await;
-    // The boxes have found each other when a job handed in at one is led by the other.
+    // Until the boxes have found each other, so that a job submitted to one is led by the other.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     submit(&[&other], 1).await;
     path.set(PathState::Refusing);
@@ -211,7 +211,7 @@
     }
     let log = std::fs::read_to_string(directory.path().join("lead.log")).unwrap();
     assert!(!log.contains("not leading any more"), "{log}");
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -229,11 +229,11 @@
     lead.signal(Signal::SIGSTOP);
     let body = r#"{"spec":"work","steps":[{"count":1,"cpu":1000,"mem_mb":16,"estimate_ms":150}]}"#;
     let answer = call(other.callers, "POST", "/checks/0000000000000001", body).await;
-    // The box hears nothing on its link for 0.9 s, and puts the job into the store itself.
+    // The box receives nothing on its link for 0.9 s and then writes the job to the store itself.
     assert_eq!(answer.map(|(status, _)| status), Some(200));
     wait_completed(&other, 1).await;
     lead.signal(Signal::SIGCONT);
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -254,7 +254,7 @@
     for id in [1, 2] {
         wait_completed(&strong, id).await;
     }
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[test]
@@ -272,14 +272,14 @@
     };
     let listen = json!({"callers": "127.0.0.1:1", "ready": "127.0.0.1:2", "peers": "127.0.0.1:3",
         "metrics": "127.0.0.1:4"});
-    let good = json!({"box": "a", "listen": listen, "store": "127.0.0.1:5"});
-    assert_eq!(check(good.clone()).0, Some(0));
-    let mut wrong = good.clone();
+    let valid = json!({"box": "a", "listen": listen, "store": "127.0.0.1:5"});
+    assert_eq!(check(valid.clone()).0, Some(0));
+    let mut wrong = valid.clone();
     wrong["stores"] = json!("127.0.0.1:5");
     let (code, text) = check(wrong);
     assert_eq!(code, Some(3));
     assert!(text.contains("box.json") && text.contains("did you mean `store`"), "{text}");
-    let mut wrong = good;
+    let mut wrong = valid;
     wrong["cell"] = json!({"lease": "100ms"});
     let (code, text) = check(wrong);
     assert_eq!(code, Some(3));
@@ -292,7 +292,7 @@
     let path = directory.path().join("box.json");
     let template = workspace_root().join("deploy/settings.json.in");
     let mut text = std::fs::read_to_string(template).unwrap();
-    let gaps = [
+    let placeholders = [
         ("{{#advice}}", ""),
         ("{{/advice}}", ""),
         ("{{.}}", "127.0.0.1:8"),
@@ -311,9 +311,9 @@
         ("{{bounds.status_s}}", "120"),
         ("{{bounds.grace_s}}", "6"),
     ];
-    for (gap, value) in gaps {
-        assert!(text.contains(gap), "{gap}");
-        text = text.replace(gap, value);
+    for (placeholder, value) in placeholders {
+        assert!(text.contains(placeholder), "{placeholder}");
+        text = text.replace(placeholder, value);
     }
     std::fs::write(&path, text).unwrap();
     let output = Command::new(build_binaries().daemon)
@@ -325,7 +325,7 @@
 }
 
 #[tokio::test]
-async fn ends_that_are_heard_late_do_not_let_a_task_begin_again() {
+async fn late_reports_of_ended_runs_restart_no_task() {
     build_binaries();
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(3).await.unwrap();
@@ -334,7 +334,7 @@
     wait_ready(&only).await;
     submit(&[&only], 1).await;
     wait_completed(&only, 1).await;
-    // Longer than an account is waited for, which is some 0.8 s.
+    // Longer than the wait for a report, which is some 0.8 s.
     platform.workers.delay_answers(Duration::from_millis(1_200));
     for id in 2..5 {
         submit(&[&only], id).await;
@@ -342,7 +342,7 @@
     for id in 2..5 {
         wait_completed(&only, id).await;
     }
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test]
@@ -362,32 +362,32 @@
     path.silence_open();
     let silenced = Instant::now();
     submit(&[&first], 2).await;
-    // A second copy on a new connection follows after 0.15 s; reads alone take 1.2 s to be given up.
+    // The call is sent again on a new connection after 0.15 s; a read times out only after 1.2 s.
     assert!(silenced.elapsed() < Duration::from_millis(800), "{:?}", silenced.elapsed());
     wait_completed(&second, 2).await;
     let log = std::fs::read_to_string(directory.path().join("box-2.log")).unwrap();
-    assert!(!log.contains("\"leading\""), "the lead lives and must not be followed");
+    assert!(!log.contains("\"leading\""), "the lead is alive and must not be replaced");
     let log = std::fs::read_to_string(directory.path().join("box-1.log")).unwrap();
     assert!(log.contains("silent connections replaced"));
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
-/// Submits a job of many tasks, which keeps the workers of the tests busy for a second.
+/// Submits a job with 60 tasks, which keeps the workers busy for about a second.
 async fn submit_wide(process: &CellProcess, id: u64) {
     let steps = json!([{"count": 60, "cpu": 1000, "mem_mb": 16, "estimate_ms": 150}]);
     submit_steps(&[process], id, steps).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_box_that_was_told_states_alone_leads_when_no_other_is_left() {
+async fn a_box_that_received_only_summaries_leads_when_no_other_is_left() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     platform.configure(1);
     let mut boxes = Vec::new();
     for name in ["box-1", "box-2", "box-3", "box-4"] {
-        // A link so narrow that the lead feeds as few boxes in full as it may.
-        let site = CellBoxConfig::new(name, &platform, platform.store_address, "0.25");
-        let process = site.with_link_mbps("0.001").start(directory.path()).unwrap();
+        // The link is so slow that the lead sends full records to the minimum number of boxes.
+        let config = CellBoxConfig::new(name, &platform, platform.store_address, "0.25");
+        let process = config.with_link_mbps("0.001").start(directory.path()).unwrap();
         wait_ready(&process).await;
         boxes.push(process);
     }
@@ -395,30 +395,30 @@
         let path = directory.path().join(format!("box-{}.log", number + 1));
         std::fs::read_to_string(path).unwrap()
     };
-    // Of boxes alike the one that joined last is told states alone.
-    let mut told = None;
-    let mut narrow = 0;
-    wait_for("a box that is told states alone", async || {
-        narrow += 1;
-        submit(&[&boxes[0]], narrow).await;
-        told = (0..4).find(|number| log_of(*number).contains("told states alone"));
-        told.is_some()
+    // Among equal boxes, the one that joined last receives only summaries.
+    let mut summary_box = None;
+    let mut last_id = 0;
+    wait_for("a box that receives only summaries", async || {
+        last_id += 1;
+        submit(&[&boxes[0]], last_id).await;
+        summary_box = (0..4).find(|number| log_of(*number).contains("told states alone"));
+        summary_box.is_some()
     })
     .await;
-    let told = told.unwrap();
-    let last = boxes.remove(told);
-    for id in narrow + 1..=narrow + 3 {
+    let summary_box = summary_box.unwrap();
+    let last = boxes.remove(summary_box);
+    for id in last_id + 1..=last_id + 3 {
         submit_wide(&last, id).await;
     }
-    // The lead and all boxes that stand by are killed at once: a lead that outlived one of them would have this
-    // box stand by in its place.
+    // The lead and all standby boxes are killed at once: a lead that outlives one of them makes this box a
+    // standby in its place.
     for process in &boxes {
         process.signal(Signal::SIGKILL);
     }
     drop(boxes);
-    for id in 1..=narrow + 3 {
+    for id in 1..=last_id + 3 {
         wait_completed(&last, id).await;
     }
-    assert!(log_of(told).contains("no box that stands by leads"));
-    assert_kept(&platform);
+    assert!(log_of(summary_box).contains("no box that stands by leads"));
+    assert_no_violation(&platform);
 }
--- a/crates/sedgehill-standin/tests/testsuite/sight.rs
+++ b/crates/sedgehill-standin/tests/testsuite/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What boxes in cell mode tell of a change of the lead.
+//! Log lines and metrics of boxes in cell mode at a change of the lead.
 
 use std::path::Path;
 
@@ -8,28 +8,29 @@
 use serde_json::{Value, json};
 
 use crate::cell_support::{
-    assert_kept, start_box, submit_steps, wait_completed, wait_for, wait_for_lead, wait_ready,
+    assert_no_violation, start_box, submit_steps, wait_completed, wait_for, wait_for_lead,
+    wait_ready,
 };
 
-/// The lines of a box with one message.
+/// Returns the log lines of a box that have a given message.
 fn lines(directory: &Path, name: &str, message: &str) -> Vec<Value> {
     let text = std::fs::read_to_string(directory.join(format!("{name}.log"))).unwrap();
     let parsed = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     parsed.filter(|line| line["msg"] == message).collect()
 }
 
-/// The metrics page of a box.
+/// Returns the metrics page of a box.
 async fn metrics(directory: &Path, name: &str) -> String {
     let settings = std::fs::read_to_string(directory.join(format!("{name}.json"))).unwrap();
     let settings: Value = serde_json::from_str(&settings).unwrap();
     let address = settings["listen"]["metrics"].as_str().unwrap().parse().unwrap();
-    let (status, page) = call(address, "GET", "/metrics", "").await.expect("it answers");
+    let (status, page) = call(address, "GET", "/metrics", "").await.expect("the box answers");
     assert_eq!(status, 200);
     page
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_successor_of_a_killed_lead_tells_what_it_takes_over() {
+async fn the_successor_of_a_killed_lead_reports_its_take_over() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(3).await.unwrap();
     platform.configure(1);
@@ -52,7 +53,7 @@
     })
     .await;
     let [taking_over] = &lines(directory.path(), "second", "taking over")[..] else {
-        panic!("one line each");
+        panic!("expected one `taking over` line");
     };
     assert_eq!(taking_over["follows_token"], *token, "{taking_over}");
     assert_eq!(taking_over["follows_holder"], "first", "{taking_over}");
@@ -77,5 +78,5 @@
     ] {
         assert!(page.contains(line), "{line}:\n{page}");
     }
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
--- a/crates/sedgehill-standin/tests/testsuite/whole_path.rs
+++ b/crates/sedgehill-standin/tests/testsuite/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path, in separate processes: publish, route, place, read back.
+//! End to end in separate processes: publish a configuration, route requests, place jobs, read their state.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::support::{CHECK, OFFER, parse, small_plan, start_published, submit, wait_phase};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_and_two_jobs_go_all_the_way() {
+async fn a_request_and_two_jobs_complete_end_to_end() {
     let cluster = start_published(&small_plan()).await;
     let caller = cluster.caller();
 
@@ -30,7 +30,7 @@
 
     let explained = cluster.client_ok(&["explain", &batch]).await;
     assert!(explained.contains("placed on"), "{explained}");
-    let request = report.request_id.expect("the box names the request");
+    let request = report.request_id.expect("the answer has a request id");
     let explained = cluster.client_ok(&["explain", &request]).await;
     assert!(explained.contains("sent to windyk-"), "{explained}");
     let status = parse(&cluster.client_ok(&["--format", "json", "status"]).await);
--- a/crates/sedgehill-standin/tests/testsuite/main.rs
+++ b/crates/sedgehill-standin/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The system as separate processes, against stand-ins that fail on purpose.
+//! Tests that run the system as separate processes against stand-ins with injected faults.
 
 mod cell;
 mod cell_support;
@@ -6,10 +6,12 @@
 mod configuration;
 mod crashing;
 mod demo;
+mod diagnostics;
+mod discarded_history;
 mod earlier_lead;
+mod end_to_end;
 mod endpoints;
 mod entries;
-mod forgotten_history;
 mod ledger;
 mod logging;
 mod messages;
@@ -21,9 +23,7 @@
 mod planned_stops;
 mod replaced_lead;
 mod shared_token;
-mod sight;
 mod soak;
 mod stops;
 mod support;
 mod take_over;
-mod whole_path;
--- a/crates/sedgehill-standin/tests/testsuite/organisations.rs
+++ b/crates/sedgehill-standin/tests/testsuite/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations: keys at every box, jobs that are their owner's alone, limits.
+//! Organisations: keys at every box, access to the organisation's own jobs only, and resource limits.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,14 +9,14 @@
 use serde_json::json;
 
 use crate::cell_support::{
-    assert_kept, start_box, start_box_at, wait_for, wait_for_lead, wait_ready,
+    assert_no_violation, start_box, start_box_at, wait_for, wait_for_lead, wait_ready,
 };
 
 const OFFICE_KEY: &str = "office-key-3f9d";
 const OTHER_KEY: &str = "other-key-81aa";
 const SPARE_KEY: &str = "spare-key-77c2";
-/// What one version takes away is gone everywhere within this time.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which the removal of a key in a new configuration takes effect at every box.
+const REVOCATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn organisation(name: &'static str, keys: &[&str], cores: u64) -> StandinOrganisation {
     let keys = keys.iter().map(|key| (*key).to_owned()).collect();
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_call_needs_a_key_in_force_and_shows_only_ones_own_jobs() {
+async fn every_call_needs_a_valid_key_and_shows_only_the_callers_jobs() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     configure(&platform, 1, &[OFFICE_KEY]);
@@ -83,7 +83,7 @@
         }
         assert_eq!(status_of(process, "GET", "/checks/", None).await, 401);
         assert_eq!(status_of(process, "GET", "/checks/", Some(OTHER_KEY)).await, 200);
-        // A route that does not exist is no secret.
+        // An unknown route is answered without a key.
         assert_eq!(status_of(process, "GET", "/elsewhere/", None).await, 404);
     }
     wait_completed(&second, 1, OFFICE_KEY).await;
@@ -93,7 +93,7 @@
         assert_eq!(status_of(process, "POST", &job_path(1), Some(OTHER_KEY)).await, 409);
         assert_eq!(status_of(process, "POST", &job_path(1), Some(OFFICE_KEY)).await, 200);
     }
-    // A box that starts later knows whose a job was that is over.
+    // A box that starts later knows the organisation of an ended job.
     let third = start_box(directory.path(), "third", &platform);
     wait_ready(&third).await;
     wait_completed(&third, 1, OFFICE_KEY).await;
@@ -104,11 +104,11 @@
         assert!(!log.contains("no-such-key"), "{name} logs a wrong key");
     }
     assert_eq!(platform.workers.starts(), 1);
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_revoked_key_stops_working_also_at_a_box_that_the_store_turns_away() {
+async fn a_revoked_key_stops_working_at_a_box_that_is_cut_from_the_store() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     configure(&platform, 1, &[OFFICE_KEY, SPARE_KEY]);
@@ -124,18 +124,18 @@
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     configure(&platform, 2, &[OFFICE_KEY]);
     let revoked = Instant::now();
-    tokio::time::sleep(IN_FORCE.saturating_sub(revoked.elapsed())).await;
+    tokio::time::sleep(REVOCATION_TIMEOUT.saturating_sub(revoked.elapsed())).await;
     for process in [&lead, &cut] {
         assert_eq!(status_of(process, "GET", &job_path(1), Some(SPARE_KEY)).await, 401);
         assert_eq!(status_of(process, "POST", &job_path(2), Some(SPARE_KEY)).await, 401);
-        // The job that was accepted with it goes on, and the organisation still has a key.
+        // The job that was accepted with the revoked key continues, and the organisation has another key.
         wait_completed(process, 1, OFFICE_KEY).await;
     }
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lead_that_the_store_turns_away_learns_of_a_revocation_by_way_of_another_box() {
+async fn a_lead_that_is_cut_from_the_store_learns_of_a_revocation_through_another_box() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     configure(&platform, 1, &[OFFICE_KEY, SPARE_KEY]);
@@ -152,18 +152,18 @@
     path.reset();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     configure(&platform, 2, &[OFFICE_KEY]);
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(REVOCATION_TIMEOUT).await;
     for process in [&lead, &other] {
         assert_eq!(status_of(process, "GET", &job_path(1), Some(SPARE_KEY)).await, 401);
         wait_completed(process, 1, OFFICE_KEY).await;
     }
     let log = read_log(directory.path(), "lead");
     assert!(!log.contains("not leading any more"), "{log}");
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_box_that_hears_from_nobody_lets_no_key_pass_and_calls_none_unknown() {
+async fn an_isolated_box_accepts_no_key_and_rejects_none_as_unknown() {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(2).await.unwrap();
     configure(&platform, 1, &[OFFICE_KEY]);
@@ -173,13 +173,13 @@
     submit(&only, 1, 1, OFFICE_KEY).await;
     path.set(PathState::Refusing);
     path.reset();
-    tokio::time::sleep(IN_FORCE).await;
+    tokio::time::sleep(REVOCATION_TIMEOUT).await;
     assert_eq!(status_of(&only, "GET", &job_path(1), Some(OFFICE_KEY)).await, 503);
     assert_eq!(status_of(&only, "GET", &job_path(1), Some("new-key")).await, 503);
     assert_eq!(status_of(&only, "GET", &job_path(1), None).await, 401);
     path.set(PathState::Open);
     wait_completed(&only, 1, OFFICE_KEY).await;
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -187,7 +187,7 @@
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(4).await.unwrap();
     configure(&platform, 1, &[OFFICE_KEY]);
-    // The office may have three cores; its jobs' ids begin with zeros, the other's with an `f`.
+    // `office` may use three cores; the ids of its jobs begin with zeros, those of `other` with an `f`.
     platform.workers.limit_running_tasks("0", 3);
     let mut processes = vec![
         start_box(directory.path(), "a", &platform),
@@ -214,5 +214,5 @@
             wait_completed(&processes[1], other(10 * round + id), OTHER_KEY).await;
         }
     }
-    assert_kept(&platform);
+    assert_no_violation(&platform);
 }
--- a/crates/sedgehill-standin/tests/testsuite/planned_stops.rs
+++ b/crates/sedgehill-standin/tests/testsuite/planned_stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops under callers that keep their connections, in both modes.
+//! Planned stops while callers use keep-alive connections, in both modes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use crate::cell_support::{start_box, wait_ready};
 use crate::support::{small_plan, start_published};
 
-/// A call in cell mode.
+/// A request in cell mode.
 const CELL_CALL: &str =
     "GET /checks/00000000000000ff HTTP/1.1\r\nHost: cell.example\r\nDeadline-Ms: 3000\r\n\r\n";
-/// A call in the project's own mode.
+/// A request in the daemon's own mode.
 const OWN_CALL: &str = "POST /inkaso/windyk/check?work_ms=1&size=64 HTTP/1.1\r\nHost: cell.example\r\n\
                         X-Caller-Token: stops\r\nContent-Length: 3\r\n\r\nask";
-/// How long callers are at work before the signal.
+/// Time for which callers send requests before the signal.
 const WARM_UP: Duration = Duration::from_millis(500);
 
-/// Two boxes in cell mode, of which the first is to be stopped.
+/// Two boxes in cell mode; the tests stop the first.
 struct CellPair {
     first: CellProcess,
     _second: CellProcess,
@@ -43,7 +43,7 @@
 }
 
 fn assert_none_cut(tally: &StopTally) {
-    assert!(tally.calls > 100, "there was load: {tally:?}");
+    assert!(tally.calls > 100, "too few calls: {tally:?}");
     assert!(
         tally.cut.is_empty(),
         "{} of {} calls cut: {:?}",
@@ -53,11 +53,11 @@
     );
 }
 
-/// A box that was stopping closed all idle connections at once, and each connection that came after that before its first
-/// call was read; no answer said that its connection ends. Callers that go on until the box takes no connection met that
-/// in 340 of 39,499 calls: "2403 ms after the signal, call 104 of its connection: ended before the answer".
+/// A stopping box must announce the end of a connection in an answer. When it closed all idle connections at once, and
+/// each later connection before its first call was read, 340 of 39,499 calls of callers that continue until the box
+/// refuses connections were cut: "2403 ms after the signal, call 104 of its connection: ended before the answer".
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_in_cell_mode_cuts_off_no_call_on_a_kept_connection() {
+async fn a_planned_stop_in_cell_mode_cuts_off_no_call_on_a_keep_alive_connection() {
     let mut pair = start_pair().await;
     let calls = tokio::spawn(call_until_refused(pair.first.callers, CELL_CALL, 32, 0..=64));
     tokio::time::sleep(WARM_UP).await;
@@ -66,7 +66,8 @@
     assert_eq!(pair.first.wait(), Some(0));
 }
 
-/// Callers that pause for longer than any notice meet either an answer that says that the connection ends, or its end.
+/// Callers that pause for longer than the box announces its stop get an answer with `connection: close` or find the
+/// connection closed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_in_cell_mode_waits_for_callers_that_pause() {
     let mut pair = start_pair().await;
@@ -77,10 +78,10 @@
     assert_eq!(pair.first.wait(), Some(0));
 }
 
-/// The process is held up again and again while it stops, as it is where all cores are busy.
+/// The process is suspended repeatedly while it stops, as happens when all cores are busy.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_of_a_box_that_is_held_up_cuts_off_nothing() {
-    const HELD_UP: Duration = Duration::from_millis(10);
+async fn a_planned_stop_of_a_box_that_is_suspended_repeatedly_cuts_off_no_call() {
+    const SUSPENDED: Duration = Duration::from_millis(10);
     const RUNNING: Duration = Duration::from_micros(300);
     let mut cluster = start_published(&small_plan()).await;
     let address = cluster.boxes[1].addresses.traffic;
@@ -91,7 +92,7 @@
     tokio::time::sleep(Duration::from_millis(900)).await;
     while !calls.is_finished() {
         cluster.boxes[1].signal(Signal::SIGSTOP);
-        tokio::time::sleep(HELD_UP).await;
+        tokio::time::sleep(SUSPENDED).await;
         cluster.boxes[1].signal(Signal::SIGCONT);
         tokio::time::sleep(RUNNING).await;
     }
@@ -101,7 +102,7 @@
 
 async fn read_answer(stream: &mut TcpStream) -> String {
     let mut text = String::new();
-    // A reset shows as an answer that lacks its end.
+    // After a reset the answer is incomplete.
     let _ = stream.read_to_string(&mut text).await;
     text
 }
@@ -110,13 +111,13 @@
     TcpStream::connect(address).await.expect("the box takes connections")
 }
 
-/// What a caller has begun to send when the box goes over to ending connections is read to its end and answered.
+/// A request that is partly sent when the box starts to close connections is read completely and answered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_half_sent_call_is_answered_by_a_stopping_box() {
     let mut pair = start_pair().await;
     let mut half = connect(pair.first.callers).await;
-    let (begin, rest) = CELL_CALL.split_at(20);
-    half.write_all(begin.as_bytes()).await.unwrap();
+    let (first_part, rest) = CELL_CALL.split_at(20);
+    half.write_all(first_part.as_bytes()).await.unwrap();
     let mut late = connect(pair.first.callers).await;
     pair.first.signal(Signal::SIGTERM);
     tokio::time::sleep(Duration::from_millis(2_800)).await;
@@ -130,10 +131,10 @@
     assert_eq!(pair.first.wait(), Some(0));
 }
 
-/// A connection on which nothing came for long ends with an answer, which a call that was sent at that moment meets: a
-/// connection that just ended would leave its caller without any.
+/// The box ends an idle connection with a 503 answer, so that a call sent at that moment gets an answer. If the
+/// connection were only closed, the caller would not know whether the call was processed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_call_that_crosses_the_end_of_its_connection_is_told_that_nothing_was_done() {
+async fn a_call_that_crosses_the_end_of_its_connection_gets_a_503() {
     let mut pair = start_pair().await;
     let mut idle = connect(pair.first.callers).await;
     pair.first.signal(Signal::SIGTERM);
@@ -146,8 +147,8 @@
     assert_eq!(pair.first.wait(), Some(0));
 }
 
-/// A caller that reads its answer slowly gets the whole of it, however long the rest waits: the box has handed the answer over
-/// long before, and nothing more of a call is under way on the connection.
+/// A caller that reads its answer slowly gets the complete answer, however long it takes: the box has written the answer
+/// to the socket long before, and no call is in progress on the connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_long_answer_that_is_read_slowly_outlasts_a_planned_stop() {
     const SIZE: usize = 8_000_000;
@@ -157,18 +158,19 @@
     stream.write_all(call.as_bytes()).await.unwrap();
     tokio::time::sleep(WARM_UP).await;
     cluster.boxes[1].signal(Signal::SIGTERM);
-    // Longer than a connection may idle.
+    // Longer than the idle limit of a connection.
     tokio::time::sleep(Duration::from_millis(6_000)).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer).await;
-    let body = answer.windows(4).position(|window| window == b"\r\n\r\n").expect("a head") + 4;
-    let head = String::from_utf8_lossy(&answer[..body]).into_owned();
+    let body_start =
+        answer.windows(4).position(|window| window == b"\r\n\r\n").expect("a head") + 4;
+    let head = String::from_utf8_lossy(&answer[..body_start]).into_owned();
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     let length: usize = length.expect("a length").parse().unwrap();
     assert!(read.is_ok() && length >= SIZE, "{read:?}, {head}");
-    let (whole, after) = answer[body..].split_at(length.min(answer.len() - body));
-    assert_eq!(whole.len(), length);
-    // The answer had come before the signal, so it did not say that the connection ends.
-    assert!(after.starts_with(b"HTTP/1.1 408"), "{}", String::from_utf8_lossy(after));
+    let (body, rest) = answer[body_start..].split_at(length.min(answer.len() - body_start));
+    assert_eq!(body.len(), length);
+    // The answer preceded the signal, so it did not announce the end of the connection.
+    assert!(rest.starts_with(b"HTTP/1.1 408"), "{}", String::from_utf8_lossy(rest));
     assert_eq!(cluster.boxes[1].wait(), Some(0));
 }
--- a/crates/sedgehill-standin/tests/testsuite/replaced_lead.rs
+++ b/crates/sedgehill-standin/tests/testsuite/replaced_lead.rs
@@ -1,9 +1,9 @@
-//! A lead that was replaced wakes up before its term is over.
+//! A lead that was replaced resumes before its term has ended.
 //!
-//! A lead stands still for a second, another box follows it and accepts a job. The first lead goes on, and hears of
-//! the job before it hears of its successor. It took the job as one that may be started, and as it had nothing left to
-//! wait for, started the tasks beside its successor's own: the log of one play has `placed` with token 2 and run 1 from
-//! the one box, and 310 ms later `placed` with token 1 from the other, for the same four tasks.
+//! A lead is stopped for a second, and another box takes over and accepts a job. The first lead resumes and learns of
+//! the job before it learns of its successor. It must not start the job. With the fault it treated the job as ready to
+//! start, had no wait left, and started the tasks that its successor had started: one log has `placed` with token 2 and
+//! run 1 from the successor and, 310 ms later, `placed` with token 1 from the first lead for the same four tasks.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,31 +14,33 @@
 use sedgehill_standin::cell_process::{CellProcess, call};
 use serde_json::json;
 
-use crate::cell_support::{assert_kept, start_box, wait_completed, wait_for_lead, wait_ready};
+use crate::cell_support::{
+    assert_no_violation, start_box, wait_completed, wait_for_lead, wait_ready,
+};
 
-/// How long tasks run, in milliseconds: past the time in which both leads give orders.
+/// Run time of the tasks in milliseconds, longer than the time in which both leads send calls to workers.
 const RUN_MS: std::ops::Range<u64> = 2_500..2_501;
-/// Cells that are tried until one has its first lead hear of the job first, which is a matter of milliseconds.
-const CELLS: usize = 8;
-/// How soon a box follows a lead that stands still.
-const FOLLOW_LIMIT: Duration = Duration::from_secs(5);
-/// The topic of claims.
-const CLAIMS: &str = "keyed.sedgehill-lead";
-/// The job of the test.
+/// Number of cells to try until the first lead of one learns of the job first; milliseconds decide which comes first.
+const MAX_CELLS: usize = 8;
+/// Time limit for a box to take over from a stopped lead.
+const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Topic of the claims of the lead.
+const CLAIM_TOPIC: &str = "keyed.sedgehill-lead";
+/// Id of the job under test.
 const JOB: u64 = 7;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lead_that_wakes_up_starts_nothing_that_its_successor_accepted() {
-    for _ in 0..CELLS {
-        if lead_wakes_up_beside_its_successor().await {
+async fn a_resumed_lead_starts_no_job_that_its_successor_accepted() {
+    for _ in 0..MAX_CELLS {
+        if resume_replaced_lead().await {
             return;
         }
     }
-    panic!("each lead heard of its successor before it heard of the job");
+    panic!("each lead learned of its successor before it learned of the job");
 }
 
-/// Plays the course once. Returns whether the first lead heard of the job while it gave orders.
-async fn lead_wakes_up_beside_its_successor() -> bool {
+/// Runs the scenario once. Returns whether the first lead learned of the job while it still led.
+async fn resume_replaced_lead() -> bool {
     let directory = tempfile::tempdir().unwrap();
     let platform = CellPlatform::start(4).await.unwrap();
     platform.configure(1);
@@ -51,48 +53,48 @@
     // Until the boxes have found each other.
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     let token = platform.lead().expect("there is a lead").token.0;
-    reach_apart(&platform, token);
+    split_worker_paths(&platform, token);
     first.signal(Signal::SIGSTOP);
     wait_for_successor(directory.path()).await;
-    // The first lead learns neither from claims nor from a refused record that it was followed.
-    platform.store.hold_reads(Some(CLAIMS));
+    // The first lead learns neither from claims nor from a refused record that it was replaced.
+    platform.store.hold_reads(Some(CLAIM_TOPIC));
     let leads = AffectedLeads::UpTo(token);
-    let trouble = PathFault { kind: CallFault::Lost, percent: 100, leads };
-    platform.store.set_append_fault(Some(trouble));
-    hand_in(&next).await;
+    let fault = PathFault { kind: CallFault::Lost, percent: 100, leads };
+    platform.store.set_append_fault(Some(fault));
+    submit(&next).await;
     first.signal(Signal::SIGCONT);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     platform.store.hold_reads(None);
     platform.store.set_append_fault(None);
     (0..4).for_each(|number| platform.workers.set_path_fault(number, None));
     wait_completed(&next, JOB).await;
-    assert_kept(&platform);
-    heard_of_the_job(directory.path())
+    assert_no_violation(&platform);
+    learned_of_job(directory.path())
 }
 
-/// The lead of the moment reaches all workers but the last, and whoever follows it that one alone.
-fn reach_apart(platform: &CellPlatform, token: u64) {
+/// Lets the current lead reach all workers except the last, and its successors only the last.
+fn split_worker_paths(platform: &CellPlatform, token: u64) {
     for number in 0..4 {
         let leads = match number {
             3 => AffectedLeads::UpTo(token),
             _ => AffectedLeads::After(token),
         };
-        let trouble = PathFault { kind: CallFault::Lost, percent: 100, leads };
-        platform.workers.set_path_fault(number, Some(trouble));
+        let fault = PathFault { kind: CallFault::Lost, percent: 100, leads };
+        platform.workers.set_path_fault(number, Some(fault));
     }
 }
 
-/// Waits until the other box leads and takes jobs.
+/// Waits until the other box takes over.
 async fn wait_for_successor(directory: &Path) {
     let stopped = Instant::now();
     let log = directory.join("next.log");
     while !std::fs::read_to_string(&log).unwrap().contains("\"taking over\"") {
-        assert!(stopped.elapsed() < FOLLOW_LIMIT, "nobody followed");
+        assert!(stopped.elapsed() < TAKE_OVER_TIMEOUT, "no box took over");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-async fn hand_in(process: &CellProcess) {
+async fn submit(process: &CellProcess) {
     let steps = json!([{"count": 4, "cpu": 1000, "mem_mb": 16, "estimate_ms": 2500}]);
     let body = json!({"spec": "work", "steps": steps}).to_string();
     let path = format!("/checks/{JOB:016x}");
@@ -102,7 +104,7 @@
     }
 }
 
-fn heard_of_the_job(directory: &Path) -> bool {
+fn learned_of_job(directory: &Path) -> bool {
     let log = std::fs::read_to_string(directory.join("first.log")).unwrap();
     log.lines().any(|line| line.contains("job marked by another lead"))
 }
