--- a/crates/sedgehill-standin/tests/testsuite/client.rs
+++ b/crates/sedgehill-standin/tests/testsuite/client.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_error_of_a_file_is_named_at_once() {
+fn all_errors_of_a_file_are_reported_together() {
     let (code, text) = check_text(
         r#"{ "templates": [
             { "name": "Windyk", "type": "servce" },
@@ -73,7 +73,7 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("did you mean `publish`?"));
     assert_eq!(run(&["check"]).status.code(), Some(2));
     assert_eq!(run(&["check", "--fast", "x"]).status.code(), Some(2));
-    assert_eq!(run(&["list"]).status.code(), Some(2), "no box is given");
+    assert_eq!(run(&["list"]).status.code(), Some(2), "`list` without a box must be a usage error");
     assert_eq!(run(&["check", "no-such-file.json"]).status.code(), Some(3));
     let output = run(&["--boxes", "127.0.0.1:1", "list"]);
     assert_eq!(output.status.code(), Some(1));
@@ -104,9 +104,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_template_that_is_nowhere_publishes_nothing() {
+async fn a_reference_to_a_missing_template_publishes_nothing() {
     let cluster = start_published(&small_plan()).await;
-    let path = cluster.directory().join("stray.json");
+    let path = cluster.directory().join("missing-template.json");
     let manifest = r#"{ "parameters": [
         { "organisation": "inkaso", "template": "windyk", "queue": 9 },
         { "organisation": "inkaso", "template": "none" } ] }"#;
@@ -116,11 +116,11 @@
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(text.contains("parameters/inkaso/none: there is no template `none`"), "{text}");
     let history = cluster.client_ok(&["history", "parameters/inkaso/windyk"]).await;
-    assert_eq!(history.lines().count(), 1, "nothing was published: {history}");
+    assert_eq!(history.lines().count(), 1, "a version was published: {history}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_drained_box_says_so_and_comes_back() {
+async fn a_drained_box_reports_draining_and_can_be_undrained() {
     let cluster = start_published(&small_plan()).await;
     cluster.client_ok(&["drain", "box-2"]).await;
     sedgehill_standin::cluster::wait_for("box-2 to drain", async || {
--- a/crates/sedgehill-standin/tests/testsuite/configuration.rs
+++ b/crates/sedgehill-standin/tests/testsuite/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration: races, lost answers, sleepers, retention, and starting without the log.
+//! Configuration: concurrent publishing, lost answers, paused boxes, log retention, and starts without the log.
 
 use std::time::{Duration, Instant};
 
@@ -26,7 +26,7 @@
     Some(config.version.0)
 }
 
-/// Publishes until it is known how it ended, and returns the version.
+/// Publishes until the outcome is known (exit code 5 means unknown), and returns the version.
 async fn publish(cluster: &TestCluster, queue: u32) -> u64 {
     let file = write_parameters(cluster, &format!("queue-{queue}.json"), queue);
     loop {
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_racing_operators_one_wins_and_the_others_are_told() {
+async fn of_concurrent_publishes_one_wins_and_the_others_report_its_version() {
     let cluster = start_published(&small_plan()).await;
     let base = version_at(&cluster, 0).await.expect("it was published").to_string();
     let files: Vec<String> = (0..6)
@@ -67,22 +67,22 @@
         let cluster = &cluster;
         async move { cluster.client_at(&boxes, &["publish", "--base", &base, file]).await }
     });
-    let outputs = futures_join(runs).await;
+    let outputs = join_all(runs).await;
     let codes: Vec<Option<i32>> = outputs.iter().map(|output| output.status.code()).collect();
     assert_eq!(codes.iter().filter(|code| **code == Some(0)).count(), 1, "{codes:?}");
     assert_eq!(codes.iter().filter(|code| **code == Some(4)).count(), 5, "{codes:?}");
     let winner = version_at(&cluster, 0).await.expect("one won");
     let named = format!("version {winner} is in force");
-    let told =
+    let names_winner =
         |output: &&std::process::Output| String::from_utf8_lossy(&output.stderr).contains(&named);
-    assert_eq!(outputs.iter().filter(told).count(), 5);
+    assert_eq!(outputs.iter().filter(names_winner).count(), 5);
     wait_in_force(&cluster, winner).await;
 }
 
-async fn futures_join<F: Future>(futures: impl Iterator<Item = F>) -> Vec<F::Output> {
+async fn join_all<F: Future>(futures: impl Iterator<Item = F>) -> Vec<F::Output> {
     let mut pending: Vec<std::pin::Pin<Box<F>>> = futures.map(Box::pin).collect();
     let mut outputs = Vec::new();
-    // Each is started before any is waited for.
+    // Each round polls all pending futures, so that they run concurrently.
     std::future::poll_fn(|context| {
         let mut index = 0;
         while index < pending.len() {
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn lost_answers_make_no_version_twice() {
+async fn lost_answers_create_no_duplicate_version() {
     let cluster = start_published(&small_plan()).await;
     cluster.log.set_faults(LogFaults { lost_answers: 60, ..LogFaults::default() });
     let mut last = 0;
@@ -122,21 +122,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_box_that_slept_catches_up_and_never_reverts() {
+async fn a_paused_box_catches_up_and_never_reverts() {
     let cluster = start_published(&small_plan()).await;
     publish(&cluster, 300).await;
     cluster.boxes[2].signal(Signal::SIGSTOP);
-    let awake =
+    let running =
         format!("{},{}", cluster.boxes[0].addresses.admin, cluster.boxes[1].addresses.admin);
     let file = write_parameters(&cluster, "sleep.json", 301);
-    let output = cluster.client_at(&awake, &["--format", "json", "publish", &file]).await;
+    let output = cluster.client_at(&running, &["--format", "json", "publish", &file]).await;
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("the client prints text");
     let version = parse(&text)[0]["version"].as_u64().expect("a version is a number");
     tokio::time::sleep(Duration::from_secs(2)).await;
     cluster.boxes[2].signal(Signal::SIGCONT);
-    let took = wait_in_force(&cluster, version).await;
-    assert!(took < Duration::from_secs(2), "{took:?}");
+    let elapsed = wait_in_force(&cluster, version).await;
+    assert!(elapsed < Duration::from_secs(2), "{elapsed:?}");
     for _ in 0..20 {
         for index in 0..cluster.boxes.len() {
             assert!(version_at(&cluster, index).await >= Some(version));
@@ -145,20 +145,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_new_box_starts_from_a_snapshot_when_the_log_has_forgotten() {
+async fn a_restarted_box_uses_a_snapshot_when_the_log_has_discarded_its_start() {
     let mut plan = small_plan();
     plan.settings["log"]["snapshot_every"] = json!(20);
     let mut cluster = start_published(&plan).await;
     cluster.boxes[0].kill();
     cluster.log.set_faults(LogFaults { retention: Some(60), ..LogFaults::default() });
-    let awake =
+    let running =
         format!("{},{}", cluster.boxes[1].addresses.admin, cluster.boxes[2].addresses.admin);
     for queue in 400..430 {
-        let file = write_parameters(&cluster, "forget.json", queue);
-        let output = cluster.client_at(&awake, &["publish", &file]).await;
+        let file = write_parameters(&cluster, "retention.json", queue);
+        let output = cluster.client_at(&running, &["publish", &file]).await;
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     }
-    wait_for("the log to forget its beginning", async || {
+    wait_for("the log to discard its first entries", async || {
         cluster.log.entries().first().is_some_and(|entry| entry["offset"].as_u64() > Some(20))
     })
     .await;
@@ -180,11 +180,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_box_with_neither_log_nor_peers_is_not_ready_and_says_why() {
+async fn a_box_with_neither_log_nor_peers_is_not_ready_and_reports_why() {
     let mut cluster = TestCluster::prepare(&small_plan()).await;
     cluster.log.set_faults(LogFaults { down: true, ..LogFaults::default() });
     cluster.start_box(0);
-    wait_for("the box to say why it is not ready", async || {
+    wait_for("the box to report why it is not ready", async || {
         cluster.health(0).await.is_some_and(|report| report.reason.contains("the log says"))
     })
     .await;
@@ -196,7 +196,7 @@
     cluster.log.set_faults(LogFaults { down: true, ..LogFaults::default() });
     cluster.boxes[1].kill();
     cluster.boxes[2].kill();
-    wait_for("the box to say that it is cut off", async || {
+    wait_for("the box to report that it is cut off", async || {
         cluster.health(0).await.is_some_and(|report| report.reason.contains("cut off"))
     })
     .await;
--- a/crates/sedgehill-standin/tests/testsuite/demo.rs
+++ b/crates/sedgehill-standin/tests/testsuite/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration ends what it started, also when it is interrupted.
+//! The demonstration ends the processes that it started, also when it is interrupted.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -7,7 +7,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// The processes whose parent is `parent`.
+/// Returns the ids of the processes whose parent is `parent`.
 fn children(parent: u32) -> Vec<u32> {
     let entries = std::fs::read_dir("/proc").expect("processes are listed");
     let pids = entries.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse::<u32>().ok());
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn an_interrupted_demonstration_leaves_nothing_behind() {
-    const LIMIT: Duration = Duration::from_secs(20);
+fn an_interrupted_demonstration_leaves_no_box_running() {
+    const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
     let mut demo = Command::new(env!("CARGO_BIN_EXE_sedgehill-standin"))
         .args(["demo", "--seconds", "30"])
         .stdout(Stdio::null())
@@ -33,10 +33,10 @@
         .spawn()
         .expect("the demonstration can be started");
     let lines = BufReader::new(demo.stderr.take().expect("it is piped")).lines();
-    let sending = |line: &Result<String, std::io::Error>| {
+    let is_sending = |line: &Result<String, std::io::Error>| {
         line.as_ref().is_ok_and(|line| line.contains("Sending"))
     };
-    assert!(lines.into_iter().any(|line| sending(&line)), "the load began");
+    assert!(lines.into_iter().any(|line| is_sending(&line)), "the load began");
     let boxes = children(demo.id());
     assert!(boxes.len() >= 3, "three boxes run: {boxes:?}");
     kill(Pid::from_raw(demo.id() as i32), Signal::SIGINT).expect("it can be interrupted");
@@ -44,7 +44,7 @@
     assert!(!status.success());
     let ended = Instant::now();
     while boxes.iter().any(|pid| is_running(*pid)) {
-        assert!(ended.elapsed() < LIMIT, "a box outlived the demonstration");
+        assert!(ended.elapsed() < EXIT_TIMEOUT, "a box outlived the demonstration");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/sedgehill-standin/tests/testsuite/endpoints.rs
+++ b/crates/sedgehill-standin/tests/testsuite/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail, leave or lie, and callers that do.
+//! Endpoints that fail, leave or send malformed answers, and callers that misbehave.
 
 use std::time::Duration;
 
@@ -11,9 +11,12 @@
 
 use crate::support::{CHECK, call_many, small_plan, start_published};
 
-async fn calls_with_fault(fault: EndpointFault, broken: usize) -> (TestCluster, Vec<CallReport>) {
+async fn calls_with_fault(
+    fault: EndpointFault,
+    faulty_count: usize,
+) -> (TestCluster, Vec<CallReport>) {
     let cluster = start_published(&small_plan()).await;
-    for endpoint in cluster.endpoints.iter().take(broken) {
+    for endpoint in cluster.endpoints.iter().take(faulty_count) {
         endpoint.set_fault(fault);
     }
     let reports = call_many(&cluster, CHECK, 150, Duration::from_millis(5)).await;
@@ -32,11 +35,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cut_answer_is_never_passed_off_as_whole() {
+async fn a_truncated_answer_is_never_reported_as_complete() {
     let (cluster, reports) = calls_with_fault(EndpointFault::CutsAnswers, 2).await;
     let unknown: Vec<_> =
         reports.iter().filter(|report| report.outcome == CallerOutcome::Unknown).collect();
-    assert!(!unknown.is_empty(), "the fault was met");
+    assert!(!unknown.is_empty(), "no call met the fault");
     assert!(unknown.iter().all(|report| report.reason == "answer-cut"), "{unknown:?}");
     assert_eq!(count(&reports, CallerOutcome::Answered) + unknown.len(), reports.len());
     cluster.assert_no_violation();
@@ -45,7 +48,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_closed_connection_is_unknown_and_never_sent_again() {
     let (cluster, reports) = calls_with_fault(EndpointFault::Closes, 2).await;
-    assert!(count(&reports, CallerOutcome::Unknown) > 0, "the fault was met");
+    assert!(count(&reports, CallerOutcome::Unknown) > 0, "no call met the fault");
     assert_eq!(count(&reports, CallerOutcome::NotRun), 0);
     cluster.assert_no_violation();
 }
@@ -53,21 +56,21 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn garbage_from_an_endpoint_reaches_no_caller() {
     let (cluster, reports) = calls_with_fault(EndpointFault::Garbage, 2).await;
-    assert!(count(&reports, CallerOutcome::Unknown) > 0, "the fault was met");
+    assert!(count(&reports, CallerOutcome::Unknown) > 0, "no call met the fault");
     cluster.assert_no_violation();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_endpoint_that_fails_fast_does_not_draw_the_load() {
+async fn an_endpoint_that_fails_fast_does_not_attract_the_load() {
     let (cluster, reports) = calls_with_fault(EndpointFault::FailsFast, 1).await;
     let failed = reports.iter().filter(|report| report.status == Some(500)).count();
-    // Three failures eject it, then it is probed after a second at first.
+    // Three failures eject the endpoint; the first probe follows after a second.
     assert!(failed > 0 && failed <= 15, "{failed} of {} calls failed", reports.len());
     cluster.assert_no_violation();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_endpoint_that_is_gone_is_met_without_loss() {
+async fn a_stopped_endpoint_costs_no_answer() {
     let mut cluster = start_published(&small_plan()).await;
     cluster.stop_endpoint(0).await;
     let reports = call_many(&cluster, CHECK, 100, Duration::from_millis(5)).await;
@@ -82,7 +85,7 @@
         cluster.list.set_endpoint_leaving(endpoint.id(), true);
         cluster.ledger.endpoint_leaving(endpoint.id());
     }
-    // The ledger counts what a leaving endpoint gets after its time of grace.
+    // The ledger counts requests to a leaving endpoint only after its grace period.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let reports = call_many(&cluster, CHECK, 150, Duration::from_millis(20)).await;
     assert_eq!(count(&reports, CallerOutcome::Answered), reports.len());
@@ -101,12 +104,12 @@
     let caller = cluster.caller();
     let plan = CallPlan::new(CHECK, Duration::from_millis(5));
     let address = cluster.boxes[0].addresses.traffic;
-    let held = tokio::spawn(async move { caller.call(address, &plan, false).await });
+    let waiting = tokio::spawn(async move { caller.call(address, &plan, false).await });
     tokio::time::sleep(Duration::from_millis(800)).await;
     for id in &endpoints {
         cluster.list.set_endpoint_leaving(id, false);
     }
-    let report = held.await.expect("the call ends");
+    let report = waiting.await.expect("the call ends");
     assert_eq!(report.outcome, CallerOutcome::Answered, "{report:?}");
     for index in 0..endpoints.len() {
         cluster.stop_endpoint(index).await;
@@ -151,7 +154,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_goes_away_gives_its_slot_back() {
+async fn a_caller_that_disconnects_frees_its_slot() {
     let cluster = start_published(&small_plan()).await;
     let address = cluster.boxes[0].addresses.traffic;
     for _ in 0..60 {
@@ -167,8 +170,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_slow_sender_is_given_up_and_holds_no_endpoint() {
-    const LIMIT: Duration = Duration::from_secs(10);
+async fn a_slow_sender_times_out_and_holds_no_endpoint() {
+    const READ_TIMEOUT: Duration = Duration::from_secs(10);
     let mut plan = small_plan();
     plan.settings["limits"] = serde_json::json!({ "receive": "500ms" });
     let cluster = start_published(&plan).await;
@@ -180,8 +183,8 @@
         let mut stream = TcpStream::connect(address).await.expect("the box listens");
         stream.write_all(sent).await.expect("the box reads");
         let mut buffer = vec![0; 1024];
-        let read = tokio::time::timeout(LIMIT, stream.read(&mut buffer));
-        let read = read.await.expect("the box gives up").unwrap_or(0);
+        let read = tokio::time::timeout(READ_TIMEOUT, stream.read(&mut buffer));
+        let read = read.await.expect("the box ends the connection").unwrap_or(0);
         let text = String::from_utf8_lossy(&buffer[..read]);
         assert!(text.starts_with(expected), "{text}");
     }
--- a/crates/sedgehill-standin/tests/testsuite/ledger.rs
+++ b/crates/sedgehill-standin/tests/testsuite/ledger.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' count of broken promises can fail: each rule, broken on purpose, is counted.
+//! The rule ledger of the stand-ins counts a deliberate violation of each rule.
 
 use std::time::Duration;
 
--- a/crates/sedgehill-standin/tests/testsuite/logging.rs
+++ b/crates/sedgehill-standin/tests/testsuite/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: what each decision says, and that a slow sink holds up nothing.
+//! Log lines: the reason of each decision, and a log sink that blocks.
 
 use std::time::Duration;
 
@@ -45,8 +45,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_log_that_nobody_reads_holds_up_no_request() {
-    /// More lines than wait for the sink and fit into its pipe.
+async fn an_unread_log_delays_no_request() {
+    /// More lines than the queue in front of the sink and the pipe together hold.
     const CALLS: usize = 10_000;
     let mut plan = small_plan();
     plan.boxes.truncate(1);
@@ -61,6 +61,6 @@
     assert_eq!(answered, CALLS);
     assert!(
         cluster.metric(0, "sedgehill_log_lines_dropped").await > Some(0.0),
-        "the sink was full"
+        "no line was dropped: the sink was not full"
     );
 }
--- a/crates/sedgehill-standin/tests/testsuite/network.rs
+++ b/crates/sedgehill-standin/tests/testsuite/network.rs
@@ -1,13 +1,13 @@
 //! Addresses of test clusters.
 //!
-//! A box once could not listen: `could not listen on 127.154.44.12:44531 caused by: Address already in use`. Each of its
-//! ports was drawn and given back before the next one was, so that two of them could be the same.
+//! The ports of a box must be reserved together. When each port was released before the next one was drawn, two of
+//! them could be the same: `could not listen on 127.154.44.12:44531 caused by: Address already in use`.
 
 use std::collections::BTreeSet;
 
 use sedgehill_standin::network::LoopbackNetwork;
 
-/// Draws of all ports of a box: two of them were the same once in some ten thousand.
+/// Number of draws of all ports of a box; with the fault, two ports were the same once in some ten thousand.
 const DRAWS: usize = 20_000;
 
 #[test]
--- a/crates/sedgehill-standin/tests/testsuite/once_only.rs
+++ b/crates/sedgehill-standin/tests/testsuite/once_only.rs
@@ -1,4 +1,4 @@
-//! Once-only requests: over boxes, lost answers of the log, outages and kills.
+//! Once-only requests sent to several boxes, with lost answers of the log, outages of the log and killed boxes.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn while_the_log_is_down_once_only_is_refused_and_the_rest_goes_on() {
+async fn while_the_log_is_down_only_once_only_requests_are_refused() {
     let cluster = start_published(&small_plan()).await;
     cluster.log.set_faults(LogFaults { down: true, ..LogFaults::default() });
     let caller = cluster.caller();
@@ -115,17 +115,17 @@
         let mut plan = CallPlan::once_only(OFFER, Duration::ZERO);
         plan.key = Some(Uuid::new_v7(Timestamp::from_unix(uuid::NoContext, seconds, 0)));
         let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, false).await;
-        let told = (report.outcome, report.reason.as_str());
-        assert_eq!(told, (CallerOutcome::NotRun, "key-outside-window"), "{report:?}");
+        let answer = (report.outcome, report.reason.as_str());
+        assert_eq!(answer, (CallerOutcome::NotRun, "key-outside-window"), "{report:?}");
     }
     cluster.assert_no_violation();
 }
 
-// A box that has not read a new service yet answers "not run, no such service" to a request that ran at another box under
-// its key. Two tests of this file met that once each while their boxes had not all read what was published: "had run 1
-// times", and `left: (NotRun, "no-such-service")`.
+/// A box that has not read a new service yet must not answer "not run, no such service" to a request that ran at another
+/// box under its key. Two tests of this file met this fault while not all boxes had read the published configuration:
+/// "had run 1 times", and `left: (NotRun, "no-such-service")`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_box_that_has_not_read_the_service_yet_does_not_say_that_a_key_has_not_run() {
+async fn a_box_that_has_not_read_the_service_yet_reports_no_key_as_not_run() {
     let cluster = TestCluster::start(&small_plan()).await;
     cluster.boxes[1].signal(Signal::SIGSTOP);
     cluster.client_ok(&["publish", "examples/inkaso.json"]).await;
@@ -138,8 +138,9 @@
     cluster.assert_no_violation();
 }
 
-/// The log is down, and box 2 was paused when box 1 claimed the key, so that it cannot have read the claim. It said
-/// `"reason":"log-unavailable","outcome":"not-run"` of a request that had run.
+/// The log is down, and box 2 was paused when box 1 claimed the key, so that it cannot have read the claim. It must ask
+/// the other boxes. When it did not, it answered `"reason":"log-unavailable","outcome":"not-run"` for a request that
+/// had run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn while_the_log_is_down_a_box_that_missed_a_claim_asks_the_others() {
     let cluster = start_published(&small_plan()).await;
@@ -149,7 +150,7 @@
     cluster.assert_no_violation();
 }
 
-/// The log is down and the other boxes are gone: one of them may have claimed the key, and nobody is left who knows.
+/// The log is down and the other boxes are killed. One of them may have claimed the key, and no process can tell.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn while_the_log_is_down_a_key_that_a_lost_box_may_have_claimed_is_unknown() {
     let mut cluster = start_published(&small_plan()).await;
@@ -162,7 +163,7 @@
     cluster.assert_no_violation();
 }
 
-/// Runs a request at the first box while the second is paused, takes the log down, and wakes the second.
+/// Sends a request to the first box while the second is paused, takes the log down, and resumes the second.
 async fn run_beside_a_paused_box(cluster: &TestCluster) -> CallPlan {
     cluster.boxes[1].signal(Signal::SIGSTOP);
     let plan = CallPlan::once_only(OFFER, Duration::from_millis(5));
@@ -173,9 +174,9 @@
     plan
 }
 
-/// A refusal that needs no key speaks for its own attempt alone: the request under this key has run.
+/// A refusal that does not depend on the key says nothing about earlier attempts: the request with this key has run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_for_other_reasons_does_not_say_that_a_key_has_not_run() {
+async fn a_refusal_for_other_reasons_does_not_report_a_key_as_not_run() {
     let cluster = start_published(&small_plan()).await;
     let plan = CallPlan::once_only(OFFER, Duration::from_millis(5));
     let report = cluster.caller().call(cluster.boxes[0].addresses.traffic, &plan, true).await;
--- a/crates/sedgehill-standin/tests/testsuite/placement.rs
+++ b/crates/sedgehill-standin/tests/testsuite/placement.rs
@@ -1,4 +1,4 @@
-//! Placement while leads, workers and the log fail.
+//! Placement of jobs while leads, workers and the log fail.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::support::{small_plan, start_published, submit, wait_phase};
 
-/// The boxes that hold the lead of a hall, by index.
+/// Returns the indices of the boxes that hold the lead of a data hall.
 async fn leads(cluster: &TestCluster) -> BTreeSet<usize> {
     let mut leads = BTreeSet::new();
     for index in 0..cluster.boxes.len() {
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_leads_are_followed_and_nothing_runs_twice() {
+async fn killed_leads_are_replaced_and_no_task_runs_twice() {
     let mut cluster = start_published(&small_plan()).await;
     let batch = submit(&cluster, "arrears-rerun", 120).await;
     let gang = submit(&cluster, "utility-merge", 5).await;
@@ -42,7 +42,11 @@
     }
     wait_phase(&cluster, &batch, "done").await;
     wait_phase(&cluster, &gang, "done").await;
-    assert_eq!(cluster.ledger.task_starts(), 125, "each task ran once");
+    assert_eq!(
+        cluster.ledger.task_starts(),
+        125,
+        "a task was started more than once or not at all"
+    );
     cluster.assert_no_violation();
 }
 
@@ -119,7 +123,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cancelled_job_is_stopped_and_frees_its_room() {
+async fn a_cancelled_job_is_stopped_and_frees_its_resources() {
     let cluster = start_published(&small_plan()).await;
     let first = submit(&cluster, "arrears-rerun", 200).await;
     wait_running(&cluster).await;
@@ -135,7 +139,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn placement_goes_on_while_answers_of_the_log_are_lost() {
+async fn placement_continues_while_answers_of_the_log_are_lost() {
     let cluster = start_published(&small_plan()).await;
     cluster.log.set_faults(LogFaults { lost_answers: 50, ..LogFaults::default() });
     let output = cluster
@@ -165,12 +169,16 @@
     cluster.boxes[leads[0]].signal(Signal::SIGTERM);
     assert_eq!(cluster.boxes[leads[0]].wait(), Some(0));
     wait_phase(&cluster, &batch, "done").await;
-    assert_eq!(cluster.ledger.task_starts(), 150, "each task ran once");
+    assert_eq!(
+        cluster.ledger.task_starts(),
+        150,
+        "a task was started more than once or not at all"
+    );
     cluster.assert_no_violation();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_job_that_never_fits_says_so_and_blocks_nobody() {
+async fn a_job_that_never_fits_is_explained_and_blocks_no_other_job() {
     let cluster = start_published(&small_plan()).await;
     let path = cluster.directory().join("huge.json");
     let manifest = r#"{
@@ -188,18 +196,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_gang_that_lost_a_task_starts_whole_again() {
+async fn a_gang_that_lost_a_task_is_started_again_as_a_whole() {
     const TASKS: usize = 5;
     let cluster = start_published(&small_plan()).await;
     let gang = submit(&cluster, "utility-merge", TASKS as u32).await;
     let running = || cluster.workers.iter().map(|worker| worker.running().len()).sum::<usize>();
     wait_for("the whole gang to run", async || running() == TASKS).await;
-    let hit = cluster.workers.iter().find(|worker| !worker.running().is_empty());
-    let lost = hit.map(|worker| worker.running().len()).expect("a worker runs some of it");
-    assert!(lost < TASKS, "the gang is on several workers");
-    hit.expect("a worker runs some of it").restart();
+    let worker = cluster.workers.iter().find(|worker| !worker.running().is_empty());
+    let lost =
+        worker.map(|worker| worker.running().len()).expect("a worker runs some of its tasks");
+    assert!(lost < TASKS, "all tasks of the gang run on one worker");
+    worker.expect("a worker runs some of its tasks").restart();
     wait_phase(&cluster, &gang, "done").await;
     let starts = cluster.ledger.task_starts() as usize;
-    assert_eq!(starts, 2 * TASKS, "the others ran on without the {lost} that were lost");
+    assert_eq!(
+        starts,
+        2 * TASKS,
+        "the gang was not started again as a whole after losing {lost} tasks"
+    );
     cluster.assert_no_violation();
 }
--- a/crates/sedgehill-standin/tests/testsuite/stops.rs
+++ b/crates/sedgehill-standin/tests/testsuite/stops.rs
@@ -1,4 +1,4 @@
-//! Boxes that are killed, paused or stopped as planned, under load.
+//! Boxes that are killed, paused or stopped by SIGTERM under load.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,8 +12,8 @@
 
 use crate::support::{CHECK, call_many, small_plan, start_published};
 
-/// Sends requests to one box over kept connections, a few at a time, until told to stop or until
-/// the box takes no connection any more.
+/// Sends requests to a box one after another over a keep-alive connection, until `stop` is set or the box refuses
+/// connections.
 async fn keep_calling(
     caller: StandinCaller,
     address: std::net::SocketAddr,
@@ -54,7 +54,7 @@
     let reports: Vec<CallReport> = callers.join_all().await.into_iter().flatten().collect();
     let cut: Vec<_> =
         reports.iter().filter(|report| report.outcome != CallerOutcome::Answered).collect();
-    assert!(reports.len() > 50, "there was load: {} calls", reports.len());
+    assert!(reports.len() > 50, "too few calls: {}", reports.len());
     assert!(cut.is_empty(), "{cut:?}");
     assert_eq!(cluster.boxes[1].wait(), Some(0));
     cluster.assert_no_violation();
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_box_leaves_the_others_working_and_comes_back() {
+async fn the_other_boxes_keep_serving_while_a_box_is_killed_and_restarted() {
     let mut cluster = start_published(&small_plan()).await;
     let (callers, stop) = start_callers(&cluster, 0, 4);
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_paused_box_wakes_without_harm() {
+async fn a_paused_box_resumes_without_violations() {
     let cluster = start_published(&small_plan()).await;
     let (callers, stop) = start_callers(&cluster, 2, 4);
     tokio::time::sleep(Duration::from_millis(300)).await;
--- a/crates/sedgehill-standin/tests/testsuite/support.rs
+++ b/crates/sedgehill-standin/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a small cell and what is usually done with it.
+//! Shared setup of the tests: a small cluster and common operations on it.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 };
 use serde_json::Value;
 
-/// The path of a quick check.
+/// Path of a short request that may run more than once.
 pub const CHECK: &str = "inkaso/windyk/check";
-/// The path of an offer, which must run at most once.
+/// Path of a request that must run at most once.
 pub const OFFER: &str = "inkaso/windyk/offer";
 
-/// Three boxes, a few endpoints and a few workers in two halls.
+/// Returns a plan of three boxes, with endpoints and workers in two data halls.
 pub fn small_plan() -> ClusterPlan {
     ClusterPlan {
         boxes: vec!["gdansk-hala-a", "gdynia-hala-b", "sopot-hala-c"],
@@ -35,11 +35,11 @@
     }
 }
 
-/// Starts a cell with the Inkaso example published.
+/// Starts a cluster with the Inkaso example published.
 pub async fn start_published(plan: &ClusterPlan) -> TestCluster {
     let cluster = TestCluster::start(plan).await;
     cluster.client_ok(&["publish", "examples/inkaso.json"]).await;
-    // Nothing bounds how soon the others read it: one that has not yet knows none of the services.
+    // A box that has not read the configuration yet knows no service, and the delay has no bound.
     cluster.wait_same_configs().await;
     cluster
 }
@@ -51,13 +51,13 @@
     cluster.client_ok(&args).await.trim().to_owned()
 }
 
-/// The jobs as the command line lists them.
+/// Returns the jobs that the command line lists.
 pub async fn jobs(cluster: &TestCluster) -> Vec<JobListing> {
     let text = cluster.client_ok(&["--format", "json", "jobs"]).await;
     serde_json::from_str(&text).expect("the client prints jobs")
 }
 
-/// Waits until a job has the phase of this name.
+/// Waits until a job has the phase with the given name.
 pub async fn wait_phase(cluster: &TestCluster, job: &str, phase: &str) {
     wait_for(&format!("job {job} to be {phase}"), async || {
         let jobs = jobs(cluster).await;
@@ -67,26 +67,26 @@
     .await;
 }
 
-/// Parses what the command line printed with `--format json`.
+/// Parses the output of the command line with `--format json`.
 pub fn parse(text: &str) -> Value {
     serde_json::from_str(text).expect("the client prints JSON")
 }
 
-/// Makes calls to all boxes in turn, a few at a time, and returns how each went.
+/// Calls all boxes in turn, ten calls at a time, and returns the report of each call.
 pub async fn call_many(
     cluster: &TestCluster,
     path: &str,
     count: usize,
     work: Duration,
 ) -> Vec<CallReport> {
-    const AT_ONCE: usize = 10;
+    const MAX_CONCURRENT_CALLS: usize = 10;
     let mut reports = Vec::new();
     let mut calls = tokio::task::JoinSet::new();
     for index in 0..count {
         let address = cluster.boxes[index % cluster.boxes.len()].addresses.traffic;
         let (caller, plan) = (cluster.caller(), CallPlan::new(path, work));
         calls.spawn(async move { caller.call(address, &plan, false).await });
-        if calls.len() >= AT_ONCE {
+        if calls.len() >= MAX_CONCURRENT_CALLS {
             reports.extend(calls.join_next().await.map(|report| report.expect("a call ends")));
         }
     }
