--- a/crates/sedgehill-cell/tests/testsuite/accounts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/accounts.rs
@@ -22,7 +22,7 @@
     let older = cell.hold(0, &order);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Failed);
     cell.now.0 += 10;
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     cell.now.0 += 10;
     let taken = lead.take_events().len();
     lead.hold_answered(ONLY, older, sent, cell.now);
--- a/crates/sedgehill-cell/tests/testsuite/advice.rs
+++ b/crates/sedgehill-cell/tests/testsuite/advice.rs
@@ -119,7 +119,7 @@
     let mut asked = Vec::new();
     for _ in 0..8 {
         cell.now.0 += 10;
-        cell.look(&mut lead);
+        cell.poll_workers(&mut lead);
         cell.record(&mut lead);
         lead.schedule(cell.now);
         for order in lead.take_orders() {
--- a/crates/sedgehill-cell/tests/testsuite/cancelled.rs
+++ b/crates/sedgehill-cell/tests/testsuite/cancelled.rs
@@ -20,7 +20,7 @@
     cell.now.0 += 20;
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     (cell, lead)
 }
@@ -30,7 +30,7 @@
     let (mut cell, mut lead) = unanswered_start();
     cell.cancel(&mut lead, 1);
     cell.workers[0].cut = false;
-    cell.carry_out_late();
+    cell.carry_out_late_starts();
     assert!(cell.place(task(1, 0, 0)).is_some(), "the worker carried it out");
     (cell, lead)
 }
--- a/crates/sedgehill-cell/tests/testsuite/capacity.rs
+++ b/crates/sedgehill-cell/tests/testsuite/capacity.rs
@@ -8,7 +8,7 @@
 use sedgehill_cell::scheduler::{RunEnd, Scheduler, WorkerRoster};
 use sedgehill_core::units::{CoreCount, MemorySize, TimeSpan};
 
-use crate::fake::{CrashHabit, FakeCell, job, owned, step, task, worker_entry};
+use crate::fake::{CrashRule, FakeCell, job, owned, step, task, worker_entry};
 
 /// Room for one task less than the worker began with, in each dimension in turn.
 fn shrink(cell: &mut FakeCell, number: usize, dimension: usize) {
@@ -103,13 +103,13 @@
     let mut cell = FakeCell::new(1, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 2);
-    cell.list_away = true;
+    cell.list_unreadable = true;
     cell.turns(&mut lead, 160);
     cell.workers[0].entry.capacity.cores = CoreCount(1_000);
     cell.submit_led(&mut lead, 1, job(vec![step(4, 1)]));
     cell.turns(&mut lead, 50);
     assert_eq!(started(&cell, 1), 0);
-    cell.list_away = false;
+    cell.list_unreadable = false;
     cell.turns(&mut lead, 25);
     assert_eq!(started(&cell, 1), 1);
 }
@@ -151,7 +151,7 @@
 fn a_start_that_waited_to_be_recorded_is_not_sent_to_a_worker_that_shrank_meanwhile() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { runs: 1, back: TimeSpan(500), ..CrashHabit::default() };
+    let habit = CrashRule { runs: 1, back: TimeSpan(500), ..CrashRule::default() };
     cell.make_crash(task(1, 0, 0), habit);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 2)]));
     // The turn that counts the crash decides on the next start, which waits to be recorded.
--- a/crates/sedgehill-cell/tests/testsuite/crashing.rs
+++ b/crates/sedgehill-cell/tests/testsuite/crashing.rs
@@ -20,7 +20,7 @@
 use sedgehill_cell::scheduler::{CellOrder, RunEnd, Scheduler};
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{CrashHabit, FakeCell, job, step, task};
+use crate::fake::{CrashRule, FakeCell, job, step, task};
 
 /// Turns of a fake cell in which a worker is back twice over.
 const SEVERAL_CRASHES: usize = 1_500;
@@ -29,7 +29,7 @@
 fn a_task_that_crashes_its_workers_is_given_up_and_the_others_go_on() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit::default());
+    cell.make_crash(task(1, 0, 0), CrashRule::default());
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
     for _ in 0..SEVERAL_CRASHES {
@@ -101,7 +101,7 @@
             }
             cell.list(&mut lead);
             turns(&mut cell, &mut lead, 10);
-            cell.begin_anew(place);
+            cell.replace_worker(place);
         }
         turns(&mut cell, &mut lead, 10);
         assert_eq!(cell.progress(1).state, JobState::Running);
@@ -129,7 +129,7 @@
 fn a_crash_that_shows_after_the_lease_counts() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { back: TimeSpan(9_000), ..CrashHabit::default() };
+    let habit = CrashRule { back: TimeSpan(9_000), ..CrashRule::default() };
     cell.make_crash(task(1, 0, 0), habit);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     turns(&mut cell, &mut lead, SEVERAL_CRASHES * 2);
@@ -143,7 +143,7 @@
         for lost_after in [1, 30, 149, 151] {
             let mut cell = FakeCell::new(8, 4);
             let mut lead = cell.lead(false);
-            let habit = CrashHabit { back: TimeSpan(back), ..CrashHabit::default() };
+            let habit = CrashRule { back: TimeSpan(back), ..CrashRule::default() };
             cell.make_crash(task(1, 0, 0), habit);
             cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
             cell.submit_led(&mut lead, 2, job(vec![step(8, 1)]));
@@ -173,7 +173,7 @@
 fn a_gang_with_a_member_that_crashes_its_workers_is_given_up() {
     let mut cell = FakeCell::new(8, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 2), CrashHabit::default());
+    cell.make_crash(task(1, 0, 2), CrashRule::default());
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { gang: true, ..step(4, 2) }]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
     for _ in 0..SEVERAL_CRASHES {
@@ -191,7 +191,7 @@
 fn a_lasting_task_that_crashes_its_workers_is_given_up() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { after: TimeSpan(700), ..CrashHabit::default() };
+    let habit = CrashRule { after: TimeSpan(700), ..CrashRule::default() };
     cell.make_crash(task(1, 0, 0), habit);
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { long_running: true, ..step(2, 1) }]));
     turns(&mut cell, &mut lead, SEVERAL_CRASHES);
@@ -222,7 +222,7 @@
 fn a_task_that_crashes_its_first_two_workers_is_done_by_the_third() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit { runs: 2, ..CrashHabit::default() });
+    cell.make_crash(task(1, 0, 0), CrashRule { runs: 2, ..CrashRule::default() });
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     turns(&mut cell, &mut lead, SEVERAL_CRASHES);
     cell.end_all();
@@ -239,7 +239,7 @@
     const GUILTY: u64 = 12;
     const OTHERS: u64 = 100;
     for id in 0..GUILTY {
-        let habit = CrashHabit { after: TimeSpan(20 + 150 * id), ..CrashHabit::default() };
+        let habit = CrashRule { after: TimeSpan(20 + 150 * id), ..CrashRule::default() };
         cell.make_crash(task(id, 0, 0), habit);
     }
     for id in 0..OTHERS {
@@ -335,7 +335,7 @@
 fn a_caller_is_told_as_soon_as_the_third_worker_is_known_to_have_crashed() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit::default());
+    cell.make_crash(task(1, 0, 0), CrashRule::default());
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     while cell.crashes_under(task(1, 0, 0)) < 3 {
         turns(&mut cell, &mut lead, 1);
@@ -366,7 +366,7 @@
     let mut lead = cell.lead(false);
     turns(&mut cell, &mut lead, 5);
     for _ in 0..4 {
-        let number = cell.living(9);
+        let number = cell.living_worker(9);
         cell.crash(number, TimeSpan(500));
         turns(&mut cell, &mut lead, 60);
     }
@@ -419,7 +419,7 @@
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     turns(&mut cell, &mut lead, PAST_LEASES);
     assert!(!cell.progress(1).crash_histories.is_empty(), "it is open whether the worker crashed");
@@ -473,7 +473,7 @@
 fn lose_unanswered_start(cell: &mut FakeCell, lead: &mut Scheduler) {
     let order = loop {
         cell.now.0 += 20;
-        cell.look(lead);
+        cell.poll_workers(lead);
         cell.record(lead);
         lead.schedule(cell.now);
         let orders = lead.take_orders();
@@ -485,8 +485,8 @@
     let CellOrder::Start(start) = &order else { unreachable!() };
     let place = cell.number(lead, start.worker);
     cell.workers[place].cut = true;
-    cell.obey(lead, &order);
-    cell.forget_late();
+    cell.carry_out(lead, &order);
+    cell.discard_late_starts();
     cell.crash(place, TimeSpan(500));
     cell.workers[place].cut = false;
     turns(cell, lead, 60);
--- a/crates/sedgehill-cell/tests/testsuite/entries.rs
+++ b/crates/sedgehill-cell/tests/testsuite/entries.rs
@@ -155,7 +155,7 @@
     cell.workers[1].shown = None;
     cell.now.0 += 5_000;
     cell.list(&mut lead);
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     lead.batch_recorded(&batch);
     lead.schedule(cell.now);
     assert!(lead.take_orders().is_empty(), "no roster holds the right address yet");
--- a/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
@@ -18,7 +18,7 @@
 
 /// How a task crashes its workers.
 #[derive(Debug, Clone, Copy)]
-pub struct CrashHabit {
+pub struct CrashRule {
     /// From its start until the worker crashes.
     pub after: TimeSpan,
     /// From the crash until the next life is there.
@@ -27,9 +27,9 @@
     pub runs: usize,
 }
 
-impl Default for CrashHabit {
-    fn default() -> CrashHabit {
-        CrashHabit { after: TimeSpan(10), back: TimeSpan(3_000), runs: usize::MAX }
+impl Default for CrashRule {
+    fn default() -> CrashRule {
+        CrashRule { after: TimeSpan(10), back: TimeSpan(3_000), runs: usize::MAX }
     }
 }
 
@@ -46,7 +46,7 @@
 /// What happened to workers, and what tasks did to them.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    habits: HashMap<CellTask, CrashHabit>,
+    habits: HashMap<CellTask, CrashRule>,
     pending: Vec<PendingCrash>,
     /// Lives that are to begin, by the number of the worker that crashed.
     returns: Vec<(Moment, usize)>,
@@ -64,7 +64,7 @@
 
 impl FakeCell {
     /// Has a task crash the workers that start it.
-    pub fn make_crash(&mut self, task: CellTask, habit: CrashHabit) {
+    pub fn make_crash(&mut self, task: CellTask, habit: CrashRule) {
         self.crashes.habits.insert(task, habit);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// A worker that lives, by any number.
-    pub fn living(&self, pick: usize) -> usize {
+    pub fn living_worker(&self, pick: usize) -> usize {
         let numbers = 0..self.workers.len();
         let living: Vec<usize> = numbers.filter(|number| !self.workers[*number].ended).collect();
         living[pick % living.len()]
@@ -227,8 +227,8 @@
         for (_, number) in back {
             self.workers[number].down = false;
             match self.keeps_ids {
-                true => self.start_again(number),
-                false => self.begin_anew(number),
+                true => self.restart_worker(number),
+                false => self.replace_worker(number),
             }
         }
     }
--- a/crates/sedgehill-cell/tests/testsuite/fake/entries.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/entries.rs
@@ -30,7 +30,7 @@
     }
 
     /// A worker's life ends, and another begins at its address. The store lists the old one for a time.
-    pub fn begin_anew(&mut self, number: usize) {
+    pub fn replace_worker(&mut self, number: usize) {
         if self.workers[number].ended {
             return;
         }
--- a/crates/sedgehill-cell/tests/testsuite/fake/lives.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/lives.rs
@@ -19,7 +19,7 @@
     }
 
     /// A worker starts again under its id, at its address: it holds and knows nothing of before, and counts anew.
-    pub fn start_again(&mut self, number: usize) {
+    pub fn restart_worker(&mut self, number: usize) {
         if self.workers[number].ended {
             return;
         }
--- a/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
@@ -25,10 +25,10 @@
 };
 use sedgehill_core::units::{CoreCount, MemorySize, Moment, ResourceSet, TimeSpan};
 
-pub use self::crashes::CrashHabit;
 use self::crashes::CrashLedger;
+pub use self::crashes::CrashRule;
 pub use self::organisations::owned;
-pub use self::service::{FakeService, HelperTrouble};
+pub use self::service::{FakeService, HelperFault};
 
 /// A worker's clock is this far ahead of the lead's.
 const CLOCK_AHEAD: u64 = 100_000;
@@ -105,7 +105,7 @@
     /// When the list of workers was last shown.
     listed_at: Moment,
     /// The list of workers cannot be read.
-    pub list_away: bool,
+    pub list_unreadable: bool,
     /// Workers that crash start again under their ids.
     pub keeps_ids: bool,
 }
@@ -211,7 +211,7 @@
             begun_again: HashMap::new(),
             crashes: CrashLedger::default(),
             listed_at: Moment(0),
-            list_away: false,
+            list_unreadable: false,
             keeps_ids: false,
         }
     }
@@ -280,7 +280,7 @@
     fn pass(&mut self, scheduler: &mut Scheduler) {
         self.now.0 += 20;
         self.pass_crashes();
-        if !self.list_away && self.now >= self.listed_at.after(LIST_EVERY) {
+        if !self.list_unreadable && self.now >= self.listed_at.after(LIST_EVERY) {
             self.list(scheduler);
         }
     }
@@ -288,12 +288,12 @@
     /// One turn: accounts, decisions, orders, records. Returns the orders.
     pub fn turn(&mut self, scheduler: &mut Scheduler) -> Vec<CellOrder> {
         self.pass(scheduler);
-        self.look(scheduler);
+        self.poll_workers(scheduler);
         self.record(scheduler);
         scheduler.schedule(self.now);
         let orders = scheduler.take_orders();
         for order in &orders {
-            self.obey(scheduler, order);
+            self.carry_out(scheduler, order);
         }
         orders
     }
@@ -301,13 +301,13 @@
     /// The same, but the answers to all orders are lost: accounts alone are heard.
     pub fn turn_losing_answers(&mut self, scheduler: &mut Scheduler) {
         self.pass(scheduler);
-        self.look(scheduler);
+        self.poll_workers(scheduler);
         self.record(scheduler);
         scheduler.schedule(self.now);
         let mutes: Vec<bool> = self.workers.iter().map(|worker| worker.mute).collect();
         self.workers.iter_mut().for_each(|worker| worker.mute = true);
         for order in scheduler.take_orders() {
-            self.obey(scheduler, &order);
+            self.carry_out(scheduler, &order);
         }
         for (worker, mute) in self.workers.iter_mut().zip(mutes) {
             worker.mute = mute;
@@ -321,19 +321,19 @@
     }
 
     /// Asks every worker for its account.
-    pub fn look(&mut self, scheduler: &mut Scheduler) {
+    pub fn poll_workers(&mut self, scheduler: &mut Scheduler) {
         for key in std::mem::take(&mut self.watched) {
             if !scheduler.should_poll(key) {
                 scheduler.stop_polling(key);
                 continue;
             }
             self.watched.push(key);
-            self.look_at(scheduler, key);
+            self.poll_worker(scheduler, key);
         }
     }
 
     /// Asks one worker for its account.
-    pub fn look_at(&mut self, scheduler: &mut Scheduler, key: WorkerKey) {
+    pub fn poll_worker(&mut self, scheduler: &mut Scheduler, key: WorkerKey) {
         let number = self.number(scheduler, key);
         let order = scheduler.hold_order(key, true, self.now);
         let answer = self.hold_at_address(scheduler, key, number, &order);
@@ -361,7 +361,7 @@
         place.expect("the scheduler knows only workers that exist")
     }
 
-    pub fn obey(&mut self, scheduler: &mut Scheduler, order: &CellOrder) {
+    pub fn carry_out(&mut self, scheduler: &mut Scheduler, order: &CellOrder) {
         match order {
             CellOrder::Start(order) => {
                 let number = self.number(scheduler, order.worker);
@@ -389,15 +389,15 @@
     /// A turn of which nothing is recorded.
     pub fn turn_unrecorded(&mut self, scheduler: &mut Scheduler) {
         self.pass(scheduler);
-        self.look(scheduler);
+        self.poll_workers(scheduler);
         scheduler.schedule(self.now);
         for order in scheduler.take_orders() {
-            self.obey(scheduler, &order);
+            self.carry_out(scheduler, &order);
         }
     }
 
     /// A turn in which accounts are taken before orders are carried out and heard after them.
-    pub fn turn_with_stale_accounts(&mut self, scheduler: &mut Scheduler) {
+    pub fn turn_with_stale_reports(&mut self, scheduler: &mut Scheduler) {
         self.pass(scheduler);
         let sent = self.now;
         let mut answers = Vec::new();
@@ -409,7 +409,7 @@
         self.record(scheduler);
         scheduler.schedule(self.now);
         for order in scheduler.take_orders() {
-            self.obey(scheduler, &order);
+            self.carry_out(scheduler, &order);
         }
         self.now.0 += 5;
         for (key, answer) in answers {
@@ -418,12 +418,12 @@
     }
 
     /// Drops the starts that are on their way.
-    pub fn forget_late(&mut self) {
+    pub fn discard_late_starts(&mut self) {
         self.late.clear();
     }
 
     /// Carries out the starts that were lost on the way.
-    pub fn carry_out_late(&mut self) {
+    pub fn carry_out_late_starts(&mut self) {
         for late in std::mem::take(&mut self.late) {
             let FakeWorker { cut, ended, down, .. } = self.workers[late.number];
             if !cut && !ended && !down {
--- a/crates/sedgehill-cell/tests/testsuite/fake/service.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/service.rs
@@ -15,7 +15,7 @@
 
 /// What becomes of the questions of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HelperTrouble {
+pub enum HelperFault {
     /// They fail at once.
     Fails,
     /// They are never answered.
@@ -35,8 +35,8 @@
     /// Jobs whose questions cost something else.
     pub own_costs: HashMap<JobId, AdvicePolicy>,
     good: GoodRule,
-    /// Boxes in trouble.
-    pub troubles: HashMap<HelperId, HelperTrouble>,
+    /// Boxes in fault.
+    pub faults: HashMap<HelperId, HelperFault>,
     /// Until then it names nobody.
     pub nobody_until: Moment,
     /// Until when it works on the questions of a box.
@@ -56,7 +56,7 @@
             policy,
             own_costs: HashMap::new(),
             good: Box::new(good),
-            troubles: HashMap::new(),
+            faults: HashMap::new(),
             nobody_until: Moment(0),
             busy: HashMap::new(),
             open: Vec::new(),
@@ -76,7 +76,7 @@
     }
 
     /// Whoever asked is gone: nobody hears the answers.
-    pub fn forget_questions(&mut self) {
+    pub fn discard_questions(&mut self) {
         self.open.clear();
     }
 
@@ -84,10 +84,10 @@
         self.asked.push((now, question.clone()));
         let policy = self.own_costs.get(&question.step.job).unwrap_or(&self.policy);
         let cost = policy.cost(question.workers.len()).0;
-        let (took, answered) = match self.troubles.get(&question.helper) {
-            Some(HelperTrouble::Silent) => return,
-            Some(HelperTrouble::Fails) => (0, false),
-            Some(HelperTrouble::Slow(times)) => (cost * times, true),
+        let (took, answered) = match self.faults.get(&question.helper) {
+            Some(HelperFault::Silent) => return,
+            Some(HelperFault::Fails) => (0, false),
+            Some(HelperFault::Slow(times)) => (cost * times, true),
             None => (cost, true),
         };
         let begins = self.busy.get(&question.helper).copied().unwrap_or_default().max(now);
@@ -124,7 +124,7 @@
     pub fn turn_advised(&mut self, scheduler: &mut Scheduler, service: &mut FakeService) {
         self.pass(scheduler);
         service.answer(scheduler, self.now);
-        self.look(scheduler);
+        self.poll_workers(scheduler);
         self.record(scheduler);
         scheduler.schedule(self.now);
         for order in scheduler.take_orders() {
@@ -137,10 +137,10 @@
                         let refused = WorkerAnswer::NotDone(WorkerRefusal::Ticket);
                         scheduler.start_answered(start, refused, self.now);
                     } else {
-                        self.obey(scheduler, &order);
+                        self.carry_out(scheduler, &order);
                     }
                 }
-                CellOrder::Stop(_) => self.obey(scheduler, &order),
+                CellOrder::Stop(_) => self.carry_out(scheduler, &order),
             }
         }
     }
--- a/crates/sedgehill-cell/tests/testsuite/further_starts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/further_starts.rs
@@ -28,7 +28,7 @@
     let place = cell.place(task(1, 0, 0)).unwrap();
     cell.workers[place].entry.draining = true;
     cell.list(&mut lead);
-    cell.begin_anew(place);
+    cell.replace_worker(place);
     turns(&mut cell, &mut lead, 100);
     assert_eq!(counted(&cell, 1), 2);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Stopped);
@@ -47,7 +47,7 @@
     for _ in 0..200 {
         cell.now.0 += 20;
         cell.list(lead);
-        cell.look(lead);
+        cell.poll_workers(lead);
         cell.record(lead);
         lead.schedule(cell.now);
         let mut lost = false;
@@ -57,7 +57,7 @@
                     lead.start_answered(start, WorkerAnswer::Unknown, cell.now);
                     lost = true;
                 }
-                _ => cell.obey(lead, &order),
+                _ => cell.carry_out(lead, &order),
             }
         }
         if lost {
--- a/crates/sedgehill-cell/tests/testsuite/lives.rs
+++ b/crates/sedgehill-cell/tests/testsuite/lives.rs
@@ -21,7 +21,7 @@
 };
 use sedgehill_core::units::{ResourceSet, TimeSpan};
 
-use crate::fake::{CrashHabit, FakeCell, job, step, task, worker_entry};
+use crate::fake::{CrashRule, FakeCell, job, step, task, worker_entry};
 
 #[test]
 fn ends_of_a_worker_that_started_again_are_read() {
@@ -29,7 +29,7 @@
     let mut lead = cell.lead(false);
     run_to_end(&mut cell, &mut lead, 1, 8);
     assert_eq!(cell.progress(1).state, JobState::Completed);
-    cell.start_again(0);
+    cell.restart_worker(0);
     cell.turns(&mut lead, 60);
     cell.submit_led(&mut lead, 2, job(vec![step(2, 1)]));
     cell.turns(&mut lead, 3);
@@ -42,7 +42,7 @@
 fn a_task_that_crashes_workers_that_keep_their_ids_is_given_up() {
     let mut cell = FakeCell::with_lasting_ids(6, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit { back: TimeSpan(500), ..CrashHabit::default() });
+    cell.make_crash(task(1, 0, 0), CrashRule { back: TimeSpan(500), ..CrashRule::default() });
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
     cell.turns(&mut lead, 1_000);
@@ -57,8 +57,8 @@
     let mut cell = FakeCell::with_lasting_ids(2, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 50);
-    cell.start_again(0);
-    cell.start_again(1);
+    cell.restart_worker(0);
+    cell.restart_worker(1);
     cell.turns(&mut lead, 60);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 5);
@@ -76,7 +76,7 @@
     cell.turns(&mut lead, 30);
     cell.workers[0].entry.draining = true;
     cell.turns(&mut lead, 30);
-    cell.start_again(0);
+    cell.restart_worker(0);
     cell.workers[0].entry.draining = false;
     cell.turns(&mut lead, 60);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
@@ -105,7 +105,7 @@
     let mut asked = None;
     for _ in 0..5 {
         cell.now.0 += 20;
-        cell.look(&mut lead);
+        cell.poll_workers(&mut lead);
         cell.record(&mut lead);
         lead.schedule(cell.now);
         for order in lead.take_orders() {
@@ -114,9 +114,9 @@
             }
         }
     }
-    cell.start_again(0);
+    cell.restart_worker(0);
     cell.now.0 += 20;
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     let answer = vec![("w0".into(), "of the earlier life".into())];
     lead.advice_answered(&asked.unwrap(), Some(answer), policy.valid, cell.now);
     let mut used = Vec::new();
@@ -137,7 +137,7 @@
     let earlier = cell.key_of(&lead, 0);
     let late = lead.hold_order(earlier, true, cell.now);
     assert_eq!(late.acknowledged, 8);
-    cell.start_again(0);
+    cell.restart_worker(0);
     cell.turns(&mut lead, 60);
     cell.submit_led(&mut lead, 2, job(vec![step(2, 1)]));
     cell.turns(&mut lead, 3);
@@ -157,10 +157,10 @@
     let mut lead = cell.lead(false);
     run_to_end(&mut cell, &mut lead, 1, 8);
     cell.submit_led(&mut lead, 2, job(vec![step(1, 1)]));
-    cell.start_again(0);
+    cell.restart_worker(0);
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     assert_eq!(cell.starts_of(task(2, 0, 0)), 1);
     cell.end_all();
@@ -180,7 +180,7 @@
     let order = next_start(&mut cell, &mut lead);
     lead.start_answered(&order, WorkerAnswer::Unknown, cell.now);
     let number = cell.number(&lead, order.worker);
-    cell.start_again(number);
+    cell.restart_worker(number);
     cell.turns(&mut lead, 100);
     assert!(cell.place(task(1, 0, 0)).is_some());
     cell.start(number, &order);
@@ -197,12 +197,12 @@
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     let order = next_start(&mut cell, &mut lead);
     let number = cell.number(&lead, order.worker);
-    cell.start_again(number);
+    cell.restart_worker(number);
     // The lead learns of the next life, decides, and is about to call it.
-    cell.look_at(&mut lead, order.worker);
+    cell.poll_worker(&mut lead, order.worker);
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     cell.start(number, &order);
     lead.start_answered(&order, WorkerAnswer::Unknown, cell.now);
@@ -219,7 +219,7 @@
     let mut cell = FakeCell::with_lasting_ids(1, 8);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 30);
-    cell.start_again(0);
+    cell.restart_worker(0);
     cell.workers[0].entry.capacity = worker_entry(0, 2).capacity;
     cell.submit_led(&mut lead, 1, job(vec![step(8, 1)]));
     cell.turns(&mut lead, 60);
@@ -257,7 +257,7 @@
 fn next_start(cell: &mut FakeCell, lead: &mut Scheduler) -> StartOrder {
     for _ in 0..100 {
         cell.now.0 += 20;
-        cell.look(lead);
+        cell.poll_workers(lead);
         cell.record(lead);
         lead.schedule(cell.now);
         for order in lead.take_orders() {
--- a/crates/sedgehill-cell/tests/testsuite/outages.rs
+++ b/crates/sedgehill-cell/tests/testsuite/outages.rs
@@ -9,7 +9,7 @@
 use sedgehill_cell::scheduler::RunEnd;
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{CrashHabit, FakeCell, job, step, task};
+use crate::fake::{CrashRule, FakeCell, job, step, task};
 
 const WORKERS: u16 = 60;
 const CORES: u64 = 16;
@@ -89,7 +89,7 @@
 fn a_gang_that_crashes_all_its_workers_is_given_up() {
     let mut cell = FakeCell::with_lasting_ids(WORKERS, CORES);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { back: BACK, ..CrashHabit::default() };
+    let habit = CrashRule { back: BACK, ..CrashRule::default() };
     for index in 0..20 {
         cell.make_crash(task(1, 0, index), habit);
     }
@@ -112,10 +112,7 @@
             false => FakeCell::new(WORKERS, CORES),
         };
         let mut lead = cell.lead(false);
-        cell.make_crash(
-            task(1, 0, 0),
-            CrashHabit { after: TimeSpan(900), ..CrashHabit::default() },
-        );
+        cell.make_crash(task(1, 0, 0), CrashRule { after: TimeSpan(900), ..CrashRule::default() });
         cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
         cell.submit_led(&mut lead, 2, job(vec![step(30, 1)]));
         for _ in 0..6 {
@@ -140,7 +137,7 @@
         };
         let mut lead = cell.lead(false);
         turns(&mut cell, &mut lead, 20);
-        let habit = CrashHabit { back: TimeSpan(1_500), ..CrashHabit::default() };
+        let habit = CrashRule { back: TimeSpan(1_500), ..CrashRule::default() };
         for id in 0..16 {
             cell.make_crash(task(id, 0, 0), habit);
             cell.submit_led(&mut lead, id, job(vec![step(1, 4)]));
--- a/crates/sedgehill-cell/tests/testsuite/overlap/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/mod.rs
@@ -3,10 +3,10 @@
 //! alone: what runs there, and what they were told.
 
 mod answers;
-pub mod course;
 mod crashes;
 mod host;
 mod paths;
+pub mod scenario;
 mod session;
 mod store;
 mod worker;
--- a/crates/sedgehill-cell/tests/testsuite/overlap/course.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/scenario.rs
@@ -208,7 +208,7 @@
 }
 
 /// A course: a job or two at work, often for long, and what happens then.
-pub fn course() -> impl Strategy<Value = Vec<Event>> {
+pub fn scenario() -> impl Strategy<Value = Vec<Event>> {
     let some = prop_oneof![6 => event().prop_map(|event| vec![event]), 1 => take_over()];
     let begin = (1u16..4, 1u64..4, prop::option::of(10_000u64..180_000)).prop_map(
         |(count, need, quiet)| {
@@ -225,7 +225,7 @@
 }
 
 /// Lets an event happen.
-pub fn take(world: &mut World, event: Event) {
+pub fn apply_event(world: &mut World, event: Event) {
     match event {
         Event::Submit { host, count, need, gang, crashes } => {
             if let Some(after) = crashes {
@@ -284,7 +284,7 @@
 }
 
 /// A world before a course: a lead, and workers some of whose clocks are slow.
-pub fn begin(slow: &[bool], keeps_ids: bool) -> World {
+pub fn start_world(slow: &[bool], keeps_ids: bool) -> World {
     let slow: Vec<u64> = slow.iter().map(|slow| if *slow { 20 } else { 0 }).collect();
     let mut world = World::new(HOSTS, &slow, CORES);
     if keeps_ids {
--- a/crates/sedgehill-cell/tests/testsuite/overlapping.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlapping.rs
@@ -14,7 +14,7 @@
 
 use crate::cases::cases;
 use crate::fake::{FakeCell, job, step, task, worker_entry};
-use crate::overlap::course::{WORKERS, begin, course, take};
+use crate::overlap::scenario::{WORKERS, apply_event, scenario, start_world};
 
 fn watch(name: &str, life: u64, now: Moment) -> LeadWatch {
     LeadWatch::new(name.into(), life, BoxStrength(1_000), now)
@@ -252,7 +252,7 @@
     let mut highest = None;
     for _ in 0..100 {
         cell.now.0 += 400;
-        cell.look(&mut earlier);
+        cell.poll_workers(&mut earlier);
         earlier.schedule(cell.now);
         for order in earlier.take_orders() {
             let CellOrder::Start(order) = order else { continue };
@@ -286,7 +286,7 @@
         if let Some(batch) = under_way.take() {
             lead.batch_recorded(&batch);
         }
-        cell.look(&mut lead);
+        cell.poll_workers(&mut lead);
         under_way = lead.take_batch(cell.now);
         batches += usize::from(under_way.is_some());
         rosters += usize::from(under_way.as_ref().is_some_and(|batch| batch.roster.is_some()));
@@ -306,11 +306,11 @@
     fn no_course_of_overlapping_leads_breaks_a_rule_and_every_job_ends(
         slow in prop::collection::vec(any::<bool>(), WORKERS),
         keeps_ids in any::<bool>(),
-        events in course(),
+        events in scenario(),
     ) {
-        let mut world = begin(&slow, keeps_ids);
+        let mut world = start_world(&slow, keeps_ids);
         for event in events {
-            take(&mut world, event);
+            apply_event(&mut world, event);
         }
         world.heal();
         let open = world.settle(TimeSpan(90_000));
@@ -326,12 +326,12 @@
     fn no_course_of_overlapping_leads_with_long_running_tasks_breaks_a_rule(
         slow in prop::collection::vec(any::<bool>(), WORKERS),
         keeps_ids in any::<bool>(),
-        events in course(),
+        events in scenario(),
     ) {
-        let mut world = begin(&slow, keeps_ids);
+        let mut world = start_world(&slow, keeps_ids);
         world.long_running = true;
         for event in events {
-            take(&mut world, event);
+            apply_event(&mut world, event);
         }
         world.heal();
         world.settle(TimeSpan(20_000));
@@ -340,7 +340,7 @@
 
 #[test]
 fn without_faults_jobs_run_and_the_lead_stays() {
-    let mut world = begin(&[false; WORKERS], false);
+    let mut world = start_world(&[false; WORKERS], false);
     for host in 0..2 {
         world.submit(host, job(vec![step(2, 1)]));
     }
--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -9,7 +9,7 @@
 use sedgehill_cell::scheduler::{HelperId, RunEnd, Scheduler};
 use sedgehill_core::units::{Moment, TimeSpan};
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, job, step, task};
+use crate::fake::{FakeCell, FakeService, HelperFault, job, step, task};
 
 const WORKERS: u16 = 12;
 const CORES: u64 = 16;
@@ -34,7 +34,7 @@
         gang: bool,
         chained: bool,
     },
-    Trouble(u64, Option<HelperTrouble>),
+    Trouble(u64, Option<HelperFault>),
     /// The service names nobody for so long.
     Nobody(u64),
     /// Some runs fail.
@@ -46,9 +46,9 @@
 
 fn moves() -> impl Strategy<Value = Move> {
     let trouble = prop_oneof![
-        Just(HelperTrouble::Fails),
-        Just(HelperTrouble::Silent),
-        (2u64..12).prop_map(HelperTrouble::Slow),
+        Just(HelperFault::Fails),
+        Just(HelperFault::Silent),
+        (2u64..12).prop_map(HelperFault::Slow),
     ];
     prop_oneof![
         5 => (1u16..25, 1u64..9, any::<bool>(), any::<bool>()).prop_map(
@@ -116,8 +116,8 @@
             Move::Trouble(helper, trouble) => {
                 let helper = HelperId(helper);
                 match trouble {
-                    Some(trouble) => self.service.troubles.insert(helper, trouble),
-                    None => self.service.troubles.remove(&helper),
+                    Some(trouble) => self.service.faults.insert(helper, trouble),
+                    None => self.service.faults.remove(&helper),
                 };
             }
             Move::Nobody(span) => {
@@ -128,7 +128,7 @@
             }
             Move::Turns(count) => (0..count).for_each(|_| self.turn()),
             Move::NewLead => {
-                self.service.forget_questions();
+                self.service.discard_questions();
                 self.lead = self.cell.lead(true);
                 self.lead.note_fenced(self.cell.now);
                 add_helpers(&mut self.lead);
@@ -154,7 +154,7 @@
         for taken in course {
             cell.take(taken);
         }
-        cell.service.troubles.clear();
+        cell.service.faults.clear();
         cell.service.nobody_until = Moment(0);
         // What was asked of a silent box stays unanswered; what a slow one works on has to end first.
         let busy = cell.service.busy_until().0.saturating_sub(cell.cell.now.0);
--- a/crates/sedgehill-cell/tests/testsuite/random.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random.rs
@@ -10,7 +10,7 @@
 use sedgehill_core::units::{CoreCount, TimeSpan};
 
 use crate::cases::cases;
-use crate::fake::{CrashHabit, FakeCell, job, owned, step, task};
+use crate::fake::{CrashRule, FakeCell, job, owned, step, task};
 
 const WORKERS: u16 = 4;
 const CORES: u64 = 4;
@@ -26,7 +26,7 @@
         chained: bool,
         owner: usize,
         /// Its first task crashes the workers that start it, mostly.
-        crashes: Option<CrashHabit>,
+        crashes: Option<CrashRule>,
     },
     /// A worker crashes by itself, and is back after so long.
     Crash(usize, u64),
@@ -67,9 +67,9 @@
 }
 
 /// Mostly none. A task crashes its workers at once or later, each time or the first times only.
-fn habits() -> impl Strategy<Value = Option<CrashHabit>> {
+fn habits() -> impl Strategy<Value = Option<CrashRule>> {
     let runs = prop_oneof![3 => Just(usize::MAX), 1 => 1usize..4];
-    let habit = (0u64..2_000, 20u64..8_000, runs).prop_map(|(after, back, runs)| CrashHabit {
+    let habit = (0u64..2_000, 20u64..8_000, runs).prop_map(|(after, back, runs)| CrashRule {
         after: TimeSpan(after),
         back: TimeSpan(back),
         runs,
@@ -139,14 +139,14 @@
             *jobs += 1;
         }
         Step::Crash(number, back) => {
-            let number = cell.living(number);
+            let number = cell.living_worker(number);
             cell.crash(number, TimeSpan(back));
         }
         Step::CrashAll(back) => {
             (0..cell.workers.len()).for_each(|number| cell.crash(number, TimeSpan(back)));
         }
         Step::Resize(number, cores) => {
-            let number = cell.living(number);
+            let number = cell.living_worker(number);
             cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
         Step::Cancel(id) => cell.cancel(lead, id),
@@ -156,8 +156,8 @@
         Step::Unlist(number, gone) => cell.workers[number].unlisted = gone,
         Step::Spoil(number, bad) => cell.workers[number].unreadable = bad,
         Step::Misplace(number, at) => cell.misplace(number, at),
-        Step::BeginAnew(number) => cell.begin_anew(number),
-        Step::StartAgain(number) if cell.keeps_ids => cell.start_again(number),
+        Step::BeginAnew(number) => cell.replace_worker(number),
+        Step::StartAgain(number) if cell.keeps_ids => cell.restart_worker(number),
         Step::StartAgain(_) => {}
         Step::End { pick, end } => cell.end_some(pick, end),
         Step::Turns(count) => {
@@ -166,12 +166,12 @@
             cell.break_gangs();
         }
         Step::Unrecorded => cell.turn_unrecorded(lead),
-        Step::StaleAccounts => cell.turn_with_stale_accounts(lead),
+        Step::StaleAccounts => cell.turn_with_stale_reports(lead),
         Step::LoseAnswers(number) => {
             cell.turn_losing_answers(lead);
             cell.workers[number].cut = true;
         }
-        Step::CarryOutLate => cell.carry_out_late(),
+        Step::CarryOutLate => cell.carry_out_late_starts(),
         Step::NewLead => *lead = cell.lead(true),
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/restart_courses.rs
+++ b/crates/sedgehill-cell/tests/testsuite/restart_courses.rs
@@ -7,7 +7,7 @@
 use sedgehill_core::units::{CoreCount, TimeSpan};
 
 use crate::cases::cases;
-use crate::fake::{HelperTrouble, task};
+use crate::fake::{HelperFault, task};
 use crate::restarts::{Advice, CORES, Course, HELPERS, LONG_RUNNING, Load, TASKS, WORKERS};
 
 /// What users allow from the last run to the next one, and what they allow on top of it.
@@ -24,7 +24,7 @@
     /// A worker crashes and is back after so long.
     Crash(usize, u64),
     Resize(usize, u64),
-    Trouble(u64, Option<HelperTrouble>),
+    Trouble(u64, Option<HelperFault>),
     Turns(usize),
     NewLead,
 }
@@ -32,9 +32,9 @@
 fn moves() -> impl Strategy<Value = Move> {
     let worker = 0..usize::from(WORKERS);
     let trouble = prop_oneof![
-        Just(HelperTrouble::Fails),
-        Just(HelperTrouble::Silent),
-        (2u64..8).prop_map(HelperTrouble::Slow),
+        Just(HelperFault::Fails),
+        Just(HelperFault::Silent),
+        (2u64..8).prop_map(HelperFault::Slow),
     ];
     prop_oneof![
         6 => (0..TASKS).prop_map(Move::Fail),
@@ -60,11 +60,11 @@
         Move::Cut(number, cut) => course.cell.workers[number].cut = cut,
         Move::Mute(number, mute) => course.cell.workers[number].mute = mute,
         Move::Crash(number, back) => {
-            let number = course.cell.living(number);
+            let number = course.cell.living_worker(number);
             course.cell.crash(number, TimeSpan(back));
         }
         Move::Resize(number, cores) => {
-            let number = course.cell.living(number);
+            let number = course.cell.living_worker(number);
             course.cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
         Move::Trouble(helper, trouble) => course.set_trouble(HelperId(helper), trouble),
--- a/crates/sedgehill-cell/tests/testsuite/restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/restarts.rs
@@ -10,7 +10,7 @@
 };
 use sedgehill_core::units::{CoreCount, Moment, TimeSpan};
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, cores, job, step, task};
+use crate::fake::{FakeCell, FakeService, HelperFault, cores, job, step, task};
 
 pub const WORKERS: u16 = 24;
 pub const CORES: u64 = 16;
@@ -163,16 +163,16 @@
     }
 
     /// The questions of a box fare worse, or well again.
-    pub fn set_trouble(&mut self, helper: HelperId, trouble: Option<HelperTrouble>) {
+    pub fn set_trouble(&mut self, helper: HelperId, trouble: Option<HelperFault>) {
         match trouble {
-            Some(trouble) => self.service.troubles.insert(helper, trouble),
-            None => self.service.troubles.remove(&helper),
+            Some(trouble) => self.service.faults.insert(helper, trouble),
+            None => self.service.faults.remove(&helper),
         };
     }
 
     /// The lead is lost, and the next one takes over.
     pub fn lose_lead(&mut self) {
-        self.service.forget_questions();
+        self.service.discard_questions();
         self.lead = self.cell.lead(true);
         self.lead.note_fenced(self.cell.now);
         (1..=HELPERS).for_each(|helper| self.lead.add_helper(HelperId(helper)));
@@ -180,7 +180,7 @@
 
     /// Ends all faults.
     pub fn heal(&mut self) {
-        self.service.troubles.clear();
+        self.service.faults.clear();
         for worker in &mut self.cell.workers {
             (worker.cut, worker.mute) = (false, false);
             worker.entry.capacity.cores = CoreCount(CORES * 1_000);
@@ -379,7 +379,7 @@
     let late = (0..2).map(|index| task(LONG_RUNNING, 0, index));
     let late = late.into_iter().max_by_key(|one| cell.starts.iter().position(|(t, ..)| t == one));
     let number = cell.place(late.unwrap()).unwrap();
-    cell.begin_anew(number);
+    cell.replace_worker(number);
     let mut next = cell.lead(false);
     cell.turns(&mut next, 5);
     let restarted = next
@@ -439,7 +439,7 @@
     cell.turns(&mut lead, 30);
     let places = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
     // One worker starts again with nothing, the other is gone.
-    cell.begin_anew(places[0]);
+    cell.replace_worker(places[0]);
     cell.workers[places[1]].cut = true;
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
@@ -456,7 +456,7 @@
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(2, 4)]));
     cell.turns(&mut lead, 30);
     let places = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
-    cell.begin_anew(places[0]);
+    cell.replace_worker(places[0]);
     cell.workers[places[1]].cut = true;
     // Another lead has claimed, and recorded nothing.
     drop(cell.lead(true));
--- a/crates/sedgehill-cell/tests/testsuite/scheduler.rs
+++ b/crates/sedgehill-cell/tests/testsuite/scheduler.rs
@@ -17,9 +17,9 @@
     assert_eq!(cell.starts.len(), 2);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Done);
     cell.end_anywhere(task(1, 0, 1), RunEnd::Done);
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     // The end was seen but is not in the store yet, so the worker must go on listing it.
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     assert_eq!(cell.listed_ends(0) + cell.listed_ends(1), 2);
     cell.turns(&mut lead, 2);
     assert_eq!(cell.listed_ends(0) + cell.listed_ends(1), 0);
@@ -34,12 +34,12 @@
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 3);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Failed);
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     cell.record(&mut lead);
     assert_eq!(cell.progress(1).tasks[0].failed_runs.len(), 1);
     // The lead is lost before it acknowledges the end, so the worker lists it to the next one.
     let mut next = cell.lead(false);
-    cell.look(&mut next);
+    cell.poll_workers(&mut next);
     cell.record(&mut next);
     assert_eq!(cell.progress(1).tasks[0].failed_runs.len(), 1);
     cell.turns(&mut next, 4);
@@ -113,7 +113,7 @@
     cell.now.0 += 20;
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     assert_eq!(cell.starts.len(), 1, "it was carried out, and nobody heard");
     for worker in &mut cell.workers {
@@ -144,11 +144,11 @@
                 cell.workers[number].expire_for_test();
             }
         }
-        cell.look(&mut lead);
+        cell.poll_workers(&mut lead);
         cell.record(&mut lead);
         lead.schedule(cell.now);
         for order in lead.take_orders() {
-            cell.obey(&mut lead, &order);
+            cell.carry_out(&mut lead, &order);
         }
         assert!(cell.now.0 - begun.0 < 10_000, "the task never ran again");
     }
@@ -217,10 +217,10 @@
         cell.end_anywhere(task(1, 0, 0), RunEnd::Failed);
         for _ in 0..10 {
             cell.now.0 += 20;
-            cell.look(&mut lead);
+            cell.poll_workers(&mut lead);
             lead.schedule(cell.now);
             for order in lead.take_orders() {
-                cell.obey(&mut lead, &order);
+                cell.carry_out(&mut lead, &order);
             }
         }
     }
@@ -230,7 +230,7 @@
     // The account that holds the later end is heard first.
     let order = if later { [1, 0] } else { [0, 1] };
     for number in order {
-        cell.look_at(&mut next, WorkerKey(number));
+        cell.poll_worker(&mut next, WorkerKey(number));
     }
     cell.record(&mut next);
     assert_eq!(cell.progress(1).tasks[0].failed_runs.len(), 2);
@@ -248,7 +248,7 @@
     cell.submit(&mut next, 2, job(vec![step(1, 4)]));
     for _ in 0..5 {
         cell.now.0 += 20;
-        cell.look(&mut next);
+        cell.poll_workers(&mut next);
         cell.record(&mut next);
         next.schedule(cell.now);
         let starts =
@@ -404,7 +404,7 @@
     // The fake panics when a run begins a second time.
     assert_eq!(cell.starts.len(), 3);
     let mut last = cell.lead(false);
-    cell.look(&mut last);
+    cell.poll_workers(&mut last);
     cell.record(&mut last);
     assert_eq!(cell.progress(1).tasks[0].failed_runs.len(), 2);
 }
@@ -422,9 +422,9 @@
     for round in 0..60 {
         cell.workers[round % 40].mute = round % 10 == 0;
         cell.now.0 += 20;
-        cell.look_at(&mut lead, WorkerKey(round % 40));
+        cell.poll_worker(&mut lead, WorkerKey(round % 40));
         cell.workers[round % 40].mute = false;
-        cell.look_at(&mut lead, WorkerKey(round % 40));
+        cell.poll_worker(&mut lead, WorkerKey(round % 40));
     }
     let lossy = lead.hold_order(watched, true, cell.now).wait;
     assert!(lossy.0 * 4 <= usual.0, "{usual} against {lossy}");
@@ -456,7 +456,7 @@
     cell.now.0 += 20;
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     assert!(cell.starts.is_empty(), "the start is on its way");
     let ordered =
@@ -471,5 +471,5 @@
         assert!(cell.now.since(begun) < TimeSpan(400), "the task waits too long");
     }
     // The fake panics if the late copy begins as well.
-    cell.carry_out_late();
+    cell.carry_out_late_starts();
 }
--- a/crates/sedgehill-cell/tests/testsuite/sight.rs
+++ b/crates/sedgehill-cell/tests/testsuite/sight.rs
@@ -269,7 +269,7 @@
     assert_eq!(belief(&cell, &mut lead, row(9, 1)), KnownTaskState::Unknown);
     lead.cancel_job(JobId(2), cell.now);
     cell.end_anywhere(task(2, 0, 0), RunEnd::Stopped);
-    cell.look_at(&mut lead, WorkerKey(0));
+    cell.poll_worker(&mut lead, WorkerKey(0));
     let over = belief(&cell, &mut lead, row(2, 5));
     assert_eq!(over, KnownTaskState::JobOver(JobState::Cancelled));
 }
--- a/crates/sedgehill-cell/tests/testsuite/stalled.rs
+++ b/crates/sedgehill-cell/tests/testsuite/stalled.rs
@@ -13,7 +13,7 @@
 use sedgehill_cell::scheduler::{CellEvent, HelperId, RunEnd, Scheduler, StallReason};
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, job, step};
+use crate::fake::{FakeCell, FakeService, HelperFault, job, step};
 
 /// A question as dear as the dearest of the users' small sites.
 const DEAR: AdvicePolicy =
@@ -123,7 +123,7 @@
 #[test]
 fn a_gang_begins_though_a_box_fails_each_question() {
     let mut course = Course::new(|_| 2);
-    course.service.troubles.insert(LAST, HelperTrouble::Fails);
+    course.service.faults.insert(LAST, HelperFault::Fails);
     course.submit(1, gang(24, 4));
     course.assert_begins(1, 24, TimeSpan(2_000));
 }
@@ -131,7 +131,7 @@
 #[test]
 fn a_box_that_fails_is_asked_only_while_no_other_is_free() {
     let mut course = Course::new(|_| 2);
-    course.service.troubles.insert(LAST, HelperTrouble::Fails);
+    course.service.faults.insert(LAST, HelperFault::Fails);
     for id in 1..=10 {
         course.submit(id, gang(4, 1));
         course.assert_begins(id, 4, TimeSpan(2_000));
@@ -145,8 +145,8 @@
 #[test]
 fn a_box_that_is_kept_for_short_questions_asks_long_ones_while_no_other_can() {
     let mut course = Course::new(|_| 2);
-    let fail = HelperTrouble::Fails;
-    course.service.troubles.extend((1..=HELPERS).map(|helper| (HelperId(helper), fail)));
+    let fail = HelperFault::Fails;
+    course.service.faults.extend((1..=HELPERS).map(|helper| (HelperId(helper), fail)));
     course.submit(1, gang(24, 4));
     course.assert_begins(1, 24, TimeSpan(1_500));
 }
@@ -154,21 +154,21 @@
 #[test]
 fn a_service_that_is_down_is_asked_ever_more_rarely_and_noticed_when_it_is_back() {
     let mut course = Course::new(|_| 2);
-    let fail = HelperTrouble::Fails;
-    course.service.troubles.extend((0..=HELPERS).map(|helper| (HelperId(helper), fail)));
+    let fail = HelperFault::Fails;
+    course.service.faults.extend((0..=HELPERS).map(|helper| (HelperId(helper), fail)));
     course.submit(1, gang(24, 4));
     assert_eq!(course.begins(1, 24, TimeSpan(10_000)), None);
     // Each box asks at 0, 0.25, 0.75, 1.75 s and then every 2 s: 8 questions in 10 s.
     let asked = course.service.asked.len();
     assert!(asked <= 8 * (HELPERS as usize + 1), "{asked} questions in 10 s");
-    course.service.troubles.clear();
+    course.service.faults.clear();
     course.assert_begins(1, 24, TimeSpan(3_000));
 }
 
 #[test]
 fn a_gang_begins_though_a_box_never_answers() {
     let mut course = Course::new(|_| 2);
-    course.service.troubles.insert(LAST, HelperTrouble::Silent);
+    course.service.faults.insert(LAST, HelperFault::Silent);
     course.submit(1, gang(24, 4));
     course.assert_begins(1, 24, TimeSpan(3_000));
 }
@@ -185,7 +185,7 @@
 fn a_gang_begins_by_answers_that_are_late() {
     let mut course = Course::new(|_| 2);
     for helper in 0..=HELPERS {
-        course.service.troubles.insert(HelperId(helper), HelperTrouble::Slow(6));
+        course.service.faults.insert(HelperId(helper), HelperFault::Slow(6));
     }
     course.submit(1, gang(24, 4));
     // A question about all workers costs 0.81 s, and takes 4.9 s.
@@ -258,7 +258,7 @@
     let mut course = Course::new(|_| 2);
     let silent = HelperId(HELPERS + 1);
     course.lead.add_helper(silent);
-    course.service.troubles.insert(silent, HelperTrouble::Silent);
+    course.service.faults.insert(silent, HelperFault::Silent);
     for id in 0..GANGS {
         course.submit(id, gang(2, 1));
     }
--- a/crates/sedgehill-cell/tests/testsuite/unasked.rs
+++ b/crates/sedgehill-cell/tests/testsuite/unasked.rs
@@ -14,7 +14,7 @@
 use sedgehill_cell::scheduler::{HelperId, Scheduler};
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, job, step};
+use crate::fake::{FakeCell, FakeService, HelperFault, job, step};
 
 /// A question as dear as the dearest of the users' small sites.
 const DEAR: AdvicePolicy =
@@ -57,8 +57,8 @@
         let mut lead = cell.lead(false);
         (1..=HELPERS).for_each(|helper| lead.add_helper(HelperId(helper)));
         let mut service = FakeService::new(DEAR, |_, _| true);
-        let fails = (0..=HELPERS).map(|helper| (HelperId(helper), HelperTrouble::Fails));
-        service.troubles.extend(fails);
+        let fails = (0..=HELPERS).map(|helper| (HelperId(helper), HelperFault::Fails));
+        service.faults.extend(fails);
         let mut course = Course { cell, lead, service, others: 0 };
         course.turn();
         course.cell.submit_led(&mut course.lead, LATE, gang(24, 4, DEAR));
@@ -72,7 +72,7 @@
             let other = gang(4, 1, DEAR);
             course.cell.submit_led(&mut course.lead, OTHERS + course.others, other);
         }
-        course.service.troubles.clear();
+        course.service.faults.clear();
         course
     }
 
