--- a/crates/sedgehill-cell/tests/testsuite/fake/ends.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/ends.rs
@@ -1,4 +1,4 @@
-//! How runs end.
+//! Ends of runs on fake workers.
 
 use sedgehill_cell::ids::CellTask;
 use sedgehill_cell::scheduler::{EndRow, RunEnd};
@@ -7,7 +7,7 @@
 use super::FakeCell;
 
 impl FakeCell {
-    /// Ends some run.
+    /// Ends a run, chosen by any number.
     pub fn end_some(&mut self, pick: usize, end: RunEnd) {
         let runs: Vec<(usize, CellTask)> = self.all_runs();
         if let Some((number, task)) = runs.get(pick % runs.len().max(1)) {
@@ -15,14 +15,15 @@
         }
     }
 
-    /// Ends all runs well.
+    /// Ends all runs with `Done`.
     pub fn end_all(&mut self) {
         while let Some((number, task)) = self.all_runs().first().copied() {
             self.end_gang_aware(number, task, RunEnd::Done);
         }
     }
 
-    /// Ends well what has run for so long. Long-running tasks have no end of their own.
+    /// Ends runs of at least the given age with `Done`, except those of long-running tasks, which do not end by
+    /// themselves.
     pub fn end_old(&mut self, span: TimeSpan) {
         let now = self.now;
         let is_old = |(number, task): &(usize, CellTask)| {
@@ -32,7 +33,7 @@
         };
         let old: Vec<(usize, CellTask)> = self.all_runs().into_iter().filter(is_old).collect();
         for (number, task) in old {
-            // A member of a gang may have ended with another one.
+            // A gang member may have ended together with another one.
             if self.workers[number].runs.contains_key(&task) {
                 self.end_gang_aware(number, task, RunEnd::Done);
             }
@@ -46,8 +47,8 @@
             .collect()
     }
 
-    /// The members of a gang end together: all done, or the others broken. A gang that is not whole
-    /// does no work.
+    /// Ends a run, and with it the other members of its gang: with `Done`, or with `Broken` for any other end. If the
+    /// gang is incomplete, it cannot work, and the run ends with `Alone`.
     fn end_gang_aware(&mut self, number: usize, task: CellTask, end: RunEnd) {
         let spec = &self.store[&task.step.job].0.spec.steps[usize::from(task.step.step)];
         if !spec.gang {
@@ -63,19 +64,19 @@
             .collect();
         let end = if members.len() == count { end } else { RunEnd::Alone };
         for (at, member) in members {
-            let own = match end {
+            let member_end = match end {
                 RunEnd::Done => RunEnd::Done,
                 end if member == task => end,
                 _ => RunEnd::Broken,
             };
-            self.end(at, member, own);
+            self.end(at, member, member_end);
         }
     }
 
-    /// Ends a run.
+    /// Ends one run on a worker.
     pub fn end(&mut self, number: usize, task: CellTask, end: RunEnd) {
         let worker = &mut self.workers[number];
-        let run = worker.runs.remove(&task).expect("the task runs there").run;
+        let run = worker.runs.remove(&task).expect("the task runs on the worker").run;
         worker.floor.insert(task, run);
         let row = EndRow { number: worker.next_end, task, run, end, checkpoint: String::new() };
         worker.next_end += 1;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Ends a run wherever it is.
+    /// Ends the run of a task on whichever worker it is.
     pub fn end_anywhere(&mut self, task: CellTask, end: RunEnd) {
         let number = self.place(task).expect("the task runs somewhere");
         self.end(number, task, end);
--- a/crates/sedgehill-cell/tests/testsuite/fake/entries.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/entries.rs
@@ -1,4 +1,4 @@
-//! What the store lists of a cell of fakes, and what calls meet at the address that it lists.
+//! The entries that the store lists for fake workers, and the refusals of calls to their addresses.
 
 use sedgehill_cell::ids::LifeStart;
 use sedgehill_cell::scheduler::{
@@ -8,7 +8,7 @@
 use super::{FakeCell, FakeWorker};
 
 impl FakeCell {
-    /// Asks a worker for its account at the address that the scheduler knows.
+    /// Sends a hold to the address that the scheduler knows for a worker.
     pub(super) fn hold_at_address(
         &mut self,
         scheduler: &Scheduler,
@@ -22,14 +22,14 @@
         }
     }
 
-    /// The store lists a worker at the address of another one.
+    /// Makes the store list a worker at the address of another one.
     pub fn misplace(&mut self, number: usize, at: usize) {
         let address = self.workers[at].entry.address;
         let entry = self.workers[number].entry.clone();
         self.workers[number].shown = Some(WorkerEntry { address, ..entry });
     }
 
-    /// A worker's life ends, and another begins at its address. The store lists the old one for a time.
+    /// Ends a worker's life and starts another worker at its address. The store goes on listing the old one.
     pub fn replace_worker(&mut self, number: usize) {
         if self.workers[number].ended {
             return;
@@ -39,35 +39,35 @@
         next.entry.address = self.workers[number].entry.address;
         next.entry.life.start = self.keeps_ids.then_some(LifeStart(self.now.0));
         self.workers[number].ended = true;
-        self.lose_all(number);
+        self.lose_runs(number);
         self.workers.push(next);
     }
 
-    /// What a call to a worker meets at the address that the scheduler knows; none if the worker is there.
+    /// Returns the refusal of a call to the address that the scheduler knows for a worker; none if the worker is there.
     pub(super) fn refusal(&self, scheduler: &Scheduler, key: WorkerKey) -> Option<WorkerRefusal> {
         let worker = &self.workers[self.number(scheduler, key)];
         if worker.down {
             return Some(WorkerRefusal::Unreached);
         }
         let address = scheduler.entry(key).address;
-        let others = |other: &&FakeWorker| other.entry.address == address && !other.cut;
+        let answers_there = |other: &&FakeWorker| other.entry.address == address && !other.cut;
         if address == worker.entry.address && !worker.ended {
             None
-        } else if worker.ended || self.workers.iter().any(|other| others(&other)) {
+        } else if worker.ended || self.workers.iter().any(|other| answers_there(&other)) {
             Some(WorkerRefusal::OtherLife)
         } else {
             Some(WorkerRefusal::Unreached)
         }
     }
 
-    /// Workers that are asked for accounts.
+    /// Returns the number of workers that are polled for reports.
     pub fn watched(&self) -> usize {
         self.watched.len()
     }
 
-    /// The handle by which a worker is watched.
+    /// Returns the scheduler's key of a worker that is polled.
     pub fn key_of(&self, scheduler: &Scheduler, number: usize) -> WorkerKey {
         let mut keys = self.watched.iter().copied();
-        keys.find(|key| self.number(scheduler, *key) == number).expect("the worker is watched")
+        keys.find(|key| self.number(scheduler, *key) == number).expect("the worker is polled")
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
@@ -1,5 +1,5 @@
-//! Workers, store and advice service as the scheduler sees them, which obey at once unless told
-//! otherwise, and notice when a rule is broken.
+//! Fake workers, store and advice service for tests of the scheduler. They carry out calls at once unless a test
+//! says otherwise, and assert the rules of the platform.
 
 mod crashes;
 mod ends;
@@ -30,11 +30,12 @@
 pub use self::organisations::owned;
 pub use self::service::{FakeService, HelperFault};
 
-/// A worker's clock is this far ahead of the lead's.
-const CLOCK_AHEAD: u64 = 100_000;
-/// The longest lease that a worker grants, in milliseconds.
-const HOLD_MOST: u64 = 6_000;
+/// How far a worker's clock is ahead of the lead's, in milliseconds.
+const CLOCK_AHEAD_MS: u64 = 100_000;
+/// The longest lease that a worker grants.
+const MAX_LEASE_MS: u64 = 6_000;
 
+/// A run on a worker.
 #[derive(Debug, Clone)]
 struct FakeRun {
     run: RunNumber,
@@ -42,76 +43,80 @@
     since: Moment,
 }
 
-/// One worker.
+/// One life of a worker.
 #[derive(Debug)]
 pub struct FakeWorker {
     pub entry: WorkerEntry,
-    /// What the store lists instead of its entry.
+    /// The entry that the store lists in place of the worker's own.
     pub shown: Option<WorkerEntry>,
-    /// Its entry cannot be read.
+    /// Whether the worker's entry in the store cannot be read.
     pub unreadable: bool,
-    /// It has ended, and another life stands at its address.
+    /// Whether this life has ended and another one listens at its address.
     pub ended: bool,
-    /// It has crashed, and nothing listens at its address.
+    /// Whether the worker has crashed and nothing listens at its address.
     pub down: bool,
-    /// What it said that it has when the list was last read.
+    /// The worker's capacity when the scheduler last read the list.
     listed_as: ResourceSet,
-    /// The store does not list it.
+    /// Whether the store does not list the worker.
     pub unlisted: bool,
-    /// It answers nothing, and does nothing.
+    /// Whether calls to the worker are lost: it neither carries them out nor answers.
     pub cut: bool,
-    /// It does as told, but its answers are lost.
+    /// Whether the worker carries out calls but its answers are lost.
     pub mute: bool,
     runs: BTreeMap<CellTask, FakeRun>,
     ends: Vec<EndRow>,
     next_end: u64,
-    /// Ends up to this number came before the end of a lease.
-    excused: u64,
+    /// The number of the last end before the lease last ended. Acknowledged ends up to this number are not checked.
+    ends_before_lapse: u64,
     token: FencingToken,
+    /// The highest run of each task that ended or was stopped here. Starts of runs up to it are refused.
     floor: HashMap<CellTask, RunNumber>,
+    /// The end of the lease by the worker's clock, in milliseconds.
     lease_until: u64,
-    /// How far its clock is ahead of the lead's.
+    /// How far the worker's clock is ahead of the lead's, in milliseconds.
     clock_ahead: u64,
 }
 
-/// A start that got no answer and is carried out later, under the token of its time.
+/// A start that was delayed on the way. It is carried out later with the token that it was sent with.
 struct LateStart {
     number: usize,
     order: StartOrder,
 }
 
-/// A cell of workers, and what the store holds of its jobs.
+/// The fake workers of a cell and the jobs that the store holds.
 pub struct FakeCell {
     pub now: Moment,
     pub workers: Vec<FakeWorker>,
     pub store: BTreeMap<JobId, (Rc<JobRecord>, JobProgress)>,
     pub token: FencingToken,
     pub roster: WorkerRoster,
-    /// The organisations as the configuration has them.
+    /// The organisations in the current configuration.
     organisations: Vec<OrganisationPolicy>,
-    /// The most cores that each was ever allowed.
+    /// The highest core limit that each organisation ever had.
     highest: HashMap<OrganisationName, CoreCount>,
+    /// The workers that are polled for reports.
     watched: Vec<WorkerKey>,
     late: Vec<LateStart>,
     cancelled: BTreeSet<JobId>,
     pub starts: Vec<(CellTask, RunNumber, WorkerLife)>,
-    /// Tasks that ended done, with or without anybody's notice.
+    /// Tasks that have ended with `Done` on a worker, whether or not a lead has read the end.
     done: BTreeSet<CellTask>,
-    /// Tasks whose end was acknowledged before the worker's lease ended.
-    noted: BTreeSet<CellTask>,
-    /// Tasks that began again after an end that nobody had noticed, with the run that did.
-    begun_again: HashMap<CellTask, RunNumber>,
+    /// Tasks that ended with `Done` and whose end was acknowledged before the worker's lease ended.
+    acknowledged_ends: BTreeSet<CellTask>,
+    /// The first run of each task that started after the task had ended with `Done` and before that end was
+    /// acknowledged.
+    restarted: HashMap<CellTask, RunNumber>,
     crashes: CrashLedger,
-    /// When the list of workers was last shown.
+    /// When the scheduler last read the list of workers.
     listed_at: Moment,
-    /// The list of workers cannot be read.
+    /// Whether the list of workers cannot be read.
     pub list_unreadable: bool,
-    /// Workers that crash start again under their ids.
+    /// Whether workers that crash restart with the same id.
     pub keeps_ids: bool,
 }
 
-/// Time between two readings of the list, as by a box.
-const LIST_EVERY: TimeSpan = TimeSpan(400);
+/// Time between two reads of the list of workers, as on a box.
+const LIST_INTERVAL: TimeSpan = TimeSpan(400);
 
 pub fn cores(count: u64) -> ResourceSet {
     ResourceSet { cores: CoreCount(count * 1000), memory: MemorySize(1 << 30), accelerators: 0 }
@@ -173,20 +178,20 @@
             runs: BTreeMap::new(),
             ends: Vec::new(),
             next_end: 1,
-            excused: 0,
+            ends_before_lapse: 0,
             token: FencingToken(0),
             floor: HashMap::new(),
             lease_until: 0,
-            clock_ahead: CLOCK_AHEAD,
+            clock_ahead: CLOCK_AHEAD_MS,
         }
     }
 
-    /// How many runs there are.
+    /// Returns the number of runs on the worker.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Its lease is over: what ran there is gone.
+    /// Removes all runs without recording their ends, as if the lease had ended.
     pub fn expire_for_test(&mut self) {
         self.runs.clear();
     }
@@ -207,8 +212,8 @@
             cancelled: BTreeSet::new(),
             starts: Vec::new(),
             done: BTreeSet::new(),
-            noted: BTreeSet::new(),
-            begun_again: HashMap::new(),
+            acknowledged_ends: BTreeSet::new(),
+            restarted: HashMap::new(),
             crashes: CrashLedger::default(),
             listed_at: Moment(0),
             list_unreadable: false,
@@ -216,7 +221,7 @@
         }
     }
 
-    /// A new lead that has read the store.
+    /// Starts a new lead that has read the store.
     pub fn lead(&mut self, predecessor: bool) -> Scheduler {
         let earlier = self.token;
         self.token = earlier.next_lead();
@@ -238,7 +243,7 @@
         scheduler
     }
 
-    /// Shows the scheduler what the store lists.
+    /// Passes the store's list of workers to the scheduler.
     pub fn list(&mut self, scheduler: &mut Scheduler) {
         self.listed_at = self.now;
         let listed = self.workers.iter().filter(|worker| !worker.unlisted && !worker.unreadable);
@@ -250,13 +255,15 @@
         let unreadable = self.workers.iter().filter(|worker| worker.unreadable && !worker.unlisted);
         let unreadable: Vec<WorkerId> =
             unreadable.map(|worker| worker.entry.life.id.clone()).collect();
-        for worker in self.workers.iter_mut().filter(|one| !one.unlisted && !one.unreadable) {
+        for worker in
+            self.workers.iter_mut().filter(|worker| !worker.unlisted && !worker.unreadable)
+        {
             worker.listed_as = worker.entry.capacity;
         }
         self.watched.extend(scheduler.update_workers(entries, &unreadable, self.now));
     }
 
-    /// Accepts a job.
+    /// Accepts a job at a box that is not the lead.
     pub fn submit(&mut self, scheduler: &mut Scheduler, id: u64, record: JobRecord) {
         let record = Rc::new(record);
         self.store.insert(JobId(id), (record.clone(), JobProgress::default()));
@@ -264,7 +271,7 @@
         scheduler.add_job(JobId(id), record, &none, TimeSpan(0), self.now);
     }
 
-    /// Accepts a job through the lead.
+    /// Accepts a job at the lead.
     pub fn submit_led(&mut self, scheduler: &mut Scheduler, id: u64, record: JobRecord) {
         let record = Rc::new(record);
         let kept = JobProgress { may_have_started: true, ..JobProgress::default() };
@@ -276,18 +283,18 @@
         &self.store[&JobId(id)].1
     }
 
-    /// The time between two turns passes.
-    fn pass(&mut self, scheduler: &mut Scheduler) {
+    /// Advances time to the next turn: processes crashes that are due and reads the list of workers if that is due.
+    fn advance(&mut self, scheduler: &mut Scheduler) {
         self.now.0 += 20;
-        self.pass_crashes();
-        if !self.list_unreadable && self.now >= self.listed_at.after(LIST_EVERY) {
+        self.process_crashes();
+        if !self.list_unreadable && self.now >= self.listed_at.after(LIST_INTERVAL) {
             self.list(scheduler);
         }
     }
 
-    /// One turn: accounts, decisions, orders, records. Returns the orders.
+    /// Runs one turn: polls workers, records progress, schedules and carries out the orders. Returns the orders.
     pub fn turn(&mut self, scheduler: &mut Scheduler) -> Vec<CellOrder> {
-        self.pass(scheduler);
+        self.advance(scheduler);
         self.poll_workers(scheduler);
         self.record(scheduler);
         scheduler.schedule(self.now);
@@ -298,9 +305,9 @@
         orders
     }
 
-    /// The same, but the answers to all orders are lost: accounts alone are heard.
+    /// Runs one turn in which the answers to all orders are lost, and only reports arrive.
     pub fn turn_losing_answers(&mut self, scheduler: &mut Scheduler) {
-        self.pass(scheduler);
+        self.advance(scheduler);
         self.poll_workers(scheduler);
         self.record(scheduler);
         scheduler.schedule(self.now);
@@ -320,7 +327,7 @@
         }
     }
 
-    /// Asks every worker for its account.
+    /// Polls all watched workers for their reports.
     pub fn poll_workers(&mut self, scheduler: &mut Scheduler) {
         for key in std::mem::take(&mut self.watched) {
             if !scheduler.should_poll(key) {
@@ -332,7 +339,7 @@
         }
     }
 
-    /// Asks one worker for its account.
+    /// Polls one worker for its report.
     pub fn poll_worker(&mut self, scheduler: &mut Scheduler, key: WorkerKey) {
         let number = self.number(scheduler, key);
         let order = scheduler.hold_order(key, true, self.now);
@@ -341,7 +348,7 @@
         self.watched.extend(scheduler.take_new_lives());
     }
 
-    /// Puts what the scheduler wants recorded into the store.
+    /// Writes the scheduler's batches to the store.
     pub fn record(&mut self, scheduler: &mut Scheduler) {
         while let Some(batch) = scheduler.take_batch(self.now) {
             if let Some(roster) = &batch.roster {
@@ -354,13 +361,14 @@
         }
     }
 
-    /// Which worker a scheduler's handle stands for.
+    /// Returns the number of the worker that a scheduler's key stands for.
     pub fn number(&self, scheduler: &Scheduler, key: WorkerKey) -> usize {
         let id = &scheduler.entry(key).life.id;
-        let place = self.workers.iter().position(|worker| worker.entry.life.id == *id);
-        place.expect("the scheduler knows only workers that exist")
+        let number = self.workers.iter().position(|worker| worker.entry.life.id == *id);
+        number.expect("the scheduler knows only workers that exist")
     }
 
+    /// Carries out an order and passes the answer to the scheduler.
     pub fn carry_out(&mut self, scheduler: &mut Scheduler, order: &CellOrder) {
         match order {
             CellOrder::Start(order) => {
@@ -386,9 +394,9 @@
         }
     }
 
-    /// A turn of which nothing is recorded.
+    /// Runs one turn in which nothing is recorded.
     pub fn turn_unrecorded(&mut self, scheduler: &mut Scheduler) {
-        self.pass(scheduler);
+        self.advance(scheduler);
         self.poll_workers(scheduler);
         scheduler.schedule(self.now);
         for order in scheduler.take_orders() {
@@ -396,9 +404,9 @@
         }
     }
 
-    /// A turn in which accounts are taken before orders are carried out and heard after them.
+    /// Runs one turn in which reports are made before orders are carried out and arrive after them.
     pub fn turn_with_stale_reports(&mut self, scheduler: &mut Scheduler) {
-        self.pass(scheduler);
+        self.advance(scheduler);
         let sent = self.now;
         let mut answers = Vec::new();
         for key in self.watched.clone() {
@@ -417,28 +425,28 @@
         }
     }
 
-    /// Drops the starts that are on their way.
+    /// Discards the delayed starts.
     pub fn discard_late_starts(&mut self) {
         self.late.clear();
     }
 
-    /// Carries out the starts that were lost on the way.
+    /// Carries out the delayed starts at workers that can be reached again.
     pub fn carry_out_late_starts(&mut self) {
         for late in std::mem::take(&mut self.late) {
             let FakeWorker { cut, ended, down, .. } = self.workers[late.number];
             if !cut && !ended && !down {
-                self.begin(late.number, &late.order);
+                self.begin_run(late.number, &late.order);
                 self.check_limit(&late.order, true);
             }
         }
     }
 
-    /// Whether a job was cancelled.
+    /// Returns whether a job was cancelled.
     pub fn was_cancelled(&self, id: u64) -> bool {
         self.cancelled.contains(&JobId(id))
     }
 
-    /// The caller cancels a job.
+    /// Cancels a job, as its caller does.
     pub fn cancel(&mut self, scheduler: &mut Scheduler, id: u64) {
         if self.store.contains_key(&JobId(id)) {
             self.cancelled.insert(JobId(id));
@@ -446,18 +454,18 @@
         }
     }
 
-    /// Where a task runs.
+    /// Returns the number of the worker that runs a task.
     pub fn place(&self, task: CellTask) -> Option<usize> {
         self.workers.iter().position(|worker| worker.runs.contains_key(&task))
     }
 
-    /// Ends that a worker still lists.
+    /// Returns the number of ends that a worker still lists.
     pub fn listed_ends(&self, number: usize) -> usize {
         self.workers[number].ends.len()
     }
 }
 
-/// Every worker may run the step.
+/// Returns an answer that allows every worker in the question to run the step.
 pub fn advise_all(question: &AdviceQuestion) -> Vec<(WorkerId, Arc<str>)> {
     question.workers.iter().map(|id| (id.clone(), Arc::from("ticket"))).collect()
 }
--- a/crates/sedgehill-cell/tests/testsuite/fake/organisations.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations of a cell of fakes, and the check that each keeps its limit.
+//! Organisations of a fake cell, and the check of their limits.
 
 use sedgehill_cell::ids::{CellTask, OrganisationName};
 use sedgehill_cell::job::JobRecord;
@@ -8,37 +8,38 @@
 
 use super::FakeCell;
 
-/// What the configuration says of an organisation that may have `most` cores running.
-fn organisation(name: &OrganisationName, most: u64) -> OrganisationPolicy {
-    let maximum = ResourceLimit { cores: Some(CoreCount(most * 1000)), ..ResourceLimit::default() };
+/// Returns the policy of an organisation whose running tasks may use `max_cores` cores.
+fn organisation(name: &OrganisationName, max_cores: u64) -> OrganisationPolicy {
+    let maximum =
+        ResourceLimit { cores: Some(CoreCount(max_cores * 1000)), ..ResourceLimit::default() };
     OrganisationPolicy { name: name.clone(), weight: ShareWeight(2_000), maximum }
 }
 
-/// A job of an organisation that may have `most` cores running when it is accepted.
-pub fn owned(name: &str, most: u64, record: JobRecord) -> JobRecord {
-    let organisation = organisation(&name.into(), most);
+/// Returns the job as one of an organisation whose limit is `max_cores` cores when the job is accepted.
+pub fn owned(name: &str, max_cores: u64, record: JobRecord) -> JobRecord {
+    let organisation = organisation(&name.into(), max_cores);
     let owner = JobOwner { organisation: organisation.name, maximum: organisation.maximum };
     JobRecord { owner: Some(owner), ..record }
 }
 
 impl FakeCell {
-    /// The operators set the limit of an organisation, in cores.
-    pub fn limit(&mut self, scheduler: &mut Scheduler, name: &str, most: u64) {
+    /// Sets the limit of an organisation in the configuration, in cores.
+    pub fn limit(&mut self, scheduler: &mut Scheduler, name: &str, max_cores: u64) {
         let name = OrganisationName::from(name);
         let highest = self.highest.entry(name.clone()).or_default();
-        *highest = (*highest).max(CoreCount(most * 1000));
+        *highest = (*highest).max(CoreCount(max_cores * 1000));
         self.organisations.retain(|policy| policy.name != name);
-        self.organisations.push(organisation(&name, most));
+        self.organisations.push(organisation(&name, max_cores));
         scheduler.set_organisations(&self.organisations, self.now);
     }
 
-    /// The operators drop all organisations.
+    /// Removes all organisations from the configuration.
     pub fn drop_organisations(&mut self, scheduler: &mut Scheduler) {
         self.organisations.clear();
         scheduler.set_organisations(&self.organisations, self.now);
     }
 
-    /// What runs for an organisation on all workers.
+    /// Returns the resources that an organisation's runs use on all workers.
     pub fn running_for(&self, name: &OrganisationName) -> ResourceSet {
         let owned = |task: &CellTask| {
             let owner = &self.store[&task.step.job].0.owner;
@@ -49,15 +50,16 @@
         needs.fold(ResourceSet::default(), |sum, need| sum.plus(&need))
     }
 
-    /// A start that was ordered now keeps the limit in force, and one that comes late the highest that ever was.
+    /// Checks that an organisation is within its limit after a start: the current limit, or the highest that it ever
+    /// had if the start was delayed.
     pub(super) fn check_limit(&self, order: &StartOrder, late: bool) {
         let Some(owner) = &order.record.owner else { return };
         let name = &owner.organisation;
         let mut policies = self.organisations.iter();
         let in_force = policies.find(|policy| policy.name == *name && !late);
         let in_force = in_force.and_then(|policy| policy.maximum.cores);
-        let Some(most) = in_force.or_else(|| self.highest.get(name).copied()) else { return };
+        let Some(max_cores) = in_force.or_else(|| self.highest.get(name).copied()) else { return };
         let running = self.running_for(name);
-        assert!(running.cores <= most, "{name} is over its limit");
+        assert!(running.cores <= max_cores, "{name} uses more cores than its limit");
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/fake/service.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/service.rs
@@ -1,5 +1,5 @@
-//! The advice service as the scheduler meets it: one question at a time for each box that asks, each
-//! with its cost, tickets that end, and boxes or spans of time in which it fails.
+//! A fake advice service. It answers one question at a time for each box, each after a time that depends on the
+//! question, and gives tickets that expire. It can fail for a box, or allow no worker for a time.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,36 +13,36 @@
 
 use super::FakeCell;
 
-/// What becomes of the questions of a box.
+/// A fault of the questions that a box asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HelperFault {
-    /// They fail at once.
+    /// The questions fail at once.
     Fails,
-    /// They are never answered.
+    /// The questions are never answered.
     Silent,
-    /// They take so many times as long as they cost.
+    /// The questions take this many times as long as usual.
     Slow(u64),
 }
 
 type Answer = Option<Vec<(WorkerId, Arc<str>)>>;
 
-/// Whether a worker may run a step.
-type GoodRule = Box<dyn Fn(&StepId, &WorkerId) -> bool>;
+/// Decides whether a worker may run a step.
+type AllowedRule = Box<dyn Fn(&StepId, &WorkerId) -> bool>;
 
-/// The service.
+/// The advice service.
 pub struct FakeService {
     policy: AdvicePolicy,
-    /// Jobs whose questions cost something else.
+    /// The costs of questions about jobs that do not have the usual cost.
     pub own_costs: HashMap<JobId, AdvicePolicy>,
-    good: GoodRule,
-    /// Boxes in fault.
+    allowed: AllowedRule,
+    /// The boxes whose questions have a fault.
     pub faults: HashMap<HelperId, HelperFault>,
-    /// Until then it names nobody.
-    pub nobody_until: Moment,
-    /// Until when it works on the questions of a box.
+    /// Until this time, answers allow no worker.
+    pub none_allowed_until: Moment,
+    /// When the service will have worked off the questions of each box.
     busy: HashMap<HelperId, Moment>,
-    open: Vec<(Moment, AdviceQuestion, Answer)>,
-    /// Who was asked about which step, with when and with how many workers named.
+    pending: Vec<(Moment, AdviceQuestion, Answer)>,
+    /// All questions asked so far, with the time of each.
     pub asked: Vec<(Moment, AdviceQuestion)>,
     tickets: HashMap<(StepId, WorkerId), Moment>,
 }
@@ -50,34 +50,34 @@
 impl FakeService {
     pub fn new(
         policy: AdvicePolicy,
-        good: impl Fn(&StepId, &WorkerId) -> bool + 'static,
+        allowed: impl Fn(&StepId, &WorkerId) -> bool + 'static,
     ) -> FakeService {
         FakeService {
             policy,
             own_costs: HashMap::new(),
-            good: Box::new(good),
+            allowed: Box::new(allowed),
             faults: HashMap::new(),
-            nobody_until: Moment(0),
+            none_allowed_until: Moment(0),
             busy: HashMap::new(),
-            open: Vec::new(),
+            pending: Vec::new(),
             asked: Vec::new(),
             tickets: HashMap::new(),
         }
     }
 
-    /// Questions about a step.
+    /// Returns the questions about a step.
     pub fn asked_about(&self, step: StepId) -> Vec<&(Moment, AdviceQuestion)> {
         self.asked.iter().filter(|(_, question)| question.step == step).collect()
     }
 
-    /// Until when it works on what it was asked.
+    /// Returns when the service will have worked off all questions.
     pub fn busy_until(&self) -> Moment {
         self.busy.values().copied().max().unwrap_or_default()
     }
 
-    /// Whoever asked is gone: nobody hears the answers.
+    /// Discards the unanswered questions, as when the lead that asked them is gone.
     pub fn discard_questions(&mut self) {
-        self.open.clear();
+        self.pending.clear();
     }
 
     fn ask(&mut self, question: &AdviceQuestion, now: Moment) {
@@ -90,39 +90,40 @@
             Some(HelperFault::Slow(times)) => (cost * times, true),
             None => (cost, true),
         };
-        let begins = self.busy.get(&question.helper).copied().unwrap_or_default().max(now);
-        let due = Moment(begins.0 + took);
+        let started_at = self.busy.get(&question.helper).copied().unwrap_or_default().max(now);
+        let due = Moment(started_at.0 + took);
         self.busy.insert(question.helper, due);
-        let names = |life: &&WorkerId| (self.good)(&question.step, life);
-        let good = question.workers.iter().filter(names).cloned();
-        let answer = match due < self.nobody_until {
+        let is_allowed = |id: &&WorkerId| (self.allowed)(&question.step, id);
+        let allowed = question.workers.iter().filter(is_allowed).cloned();
+        let answer = match due < self.none_allowed_until {
             true => Vec::new(),
-            false => good.map(|life| (life, Arc::from("ticket"))).collect(),
+            false => allowed.map(|id| (id, Arc::from("ticket"))).collect(),
         };
-        self.open.push((due, question.clone(), answered.then_some(answer)));
+        self.pending.push((due, question.clone(), answered.then_some(answer)));
     }
 
     fn answer(&mut self, scheduler: &mut Scheduler, now: Moment) {
-        let due: Vec<_> = self.open.extract_if(.., |(due, ..)| *due <= now).collect();
+        let due: Vec<_> = self.pending.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, question, answer) in due {
             let valid = self.policy.valid;
-            for (life, _) in answer.iter().flatten() {
-                self.tickets.insert((question.step, life.clone()), now.after(valid));
+            for (id, _) in answer.iter().flatten() {
+                self.tickets.insert((question.step, id.clone()), now.after(valid));
             }
             scheduler.advice_answered(&question, answer, valid, now);
         }
     }
 
-    fn has_ticket(&self, order: &StartOrder, life: &WorkerId, now: Moment) -> bool {
-        let until = self.tickets.get(&(order.task.step, life.clone()));
+    fn has_ticket(&self, order: &StartOrder, id: &WorkerId, now: Moment) -> bool {
+        let until = self.tickets.get(&(order.task.step, id.clone()));
         order.ticket.is_some() && until.is_some_and(|until| now < *until)
     }
 }
 
 impl FakeCell {
-    /// One turn with a service that takes its time. Starts without a ticket are refused.
+    /// Runs one turn in which the advice service answers questions after their cost. Starts without a valid ticket are
+    /// refused.
     pub fn turn_advised(&mut self, scheduler: &mut Scheduler, service: &mut FakeService) {
-        self.pass(scheduler);
+        self.advance(scheduler);
         service.answer(scheduler, self.now);
         self.poll_workers(scheduler);
         self.record(scheduler);
@@ -131,9 +132,9 @@
             match &order {
                 CellOrder::Ask(question) => service.ask(question, self.now),
                 CellOrder::Start(start) => {
-                    let life = scheduler.entry(start.worker).life.id.clone();
+                    let id = scheduler.entry(start.worker).life.id.clone();
                     let advised = start.record.policy.advice.is_some();
-                    if advised && !service.has_ticket(start, &life, self.now) {
+                    if advised && !service.has_ticket(start, &id, self.now) {
                         let refused = WorkerAnswer::NotDone(WorkerRefusal::Ticket);
                         scheduler.start_answered(start, refused, self.now);
                     } else {
--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -121,7 +121,7 @@
                 };
             }
             Move::Nobody(span) => {
-                self.service.nobody_until = self.cell.now.after(TimeSpan(span));
+                self.service.none_allowed_until = self.cell.now.after(TimeSpan(span));
             }
             Move::Fail(count) => {
                 (0..count).for_each(|pick| self.cell.end_some(pick, RunEnd::Failed));
@@ -155,7 +155,7 @@
             cell.take(taken);
         }
         cell.service.faults.clear();
-        cell.service.nobody_until = Moment(0);
+        cell.service.none_allowed_until = Moment(0);
         // What was asked of a silent box stays unanswered; what a slow one works on has to end first.
         let busy = cell.service.busy_until().0.saturating_sub(cell.cell.now.0);
         let limit = BELIEF_MOST + busy + cell.steps * STEP_MOST;
--- a/crates/sedgehill-cell/tests/testsuite/stalled.rs
+++ b/crates/sedgehill-cell/tests/testsuite/stalled.rs
@@ -176,7 +176,7 @@
 #[test]
 fn a_gang_begins_though_the_service_named_nobody_for_a_time() {
     let mut course = Course::new(|_| 2);
-    course.service.nobody_until = course.cell.now.after(TimeSpan(3_000));
+    course.service.none_allowed_until = course.cell.now.after(TimeSpan(3_000));
     course.submit(1, gang(24, 4));
     course.assert_begins(1, 24, TimeSpan(5_000));
 }
