--- a/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
@@ -207,7 +207,8 @@
         let starts: Vec<_> = self.starts.iter().filter(|(started, ..)| *started == task).collect();
         assert!(
             further < FURTHER_STARTS_LIMIT,
-            "{task} was started {further} times after {UNCOUNTED_CRASHES} workers had crashed while running it: {starts:?}, recorded: {:?}",
+            "{task} was started {further} times after {UNCOUNTED_CRASHES} workers had crashed while running it: \
+             {starts:?}, recorded: {:?}",
             self.progress(task.step.job.0).crash_histories
         );
     }
--- a/crates/sedgehilld/src/controllers/reports.rs
+++ b/crates/sedgehilld/src/controllers/reports.rs
@@ -1,23 +1,23 @@
-//! What operators read back.
+//! Builds the reports that operators read.
 
 use sedgehill_core::ids::{JobId, RequestId, TaskId};
 use sedgehill_core::spec::ConfigKey;
 use sedgehill_platform::admin::{
     BoxStatus, ConfigHistory, ConfigListing, DecisionRecord, ExplainReport, HallStatus, JobListing,
-    PeerStatus, ServiceStatus, TaskPlace,
+    PeerStatus, ServiceStatus, TaskPlacement,
 };
 
 use super::{ControlState, members};
 use crate::clock;
 
 impl ControlState {
-    /// Every version kept under a key.
+    /// Returns all stored versions of a configuration key.
     pub fn history(&self, key: &ConfigKey) -> ConfigHistory {
         let versions = self.cluster().and_then(|cluster| cluster.configs.get(key));
         ConfigHistory { versions: versions.cloned().unwrap_or_default() }
     }
 
-    /// Every key and its version in force.
+    /// Returns all configuration keys with their current versions.
     pub fn listing(&self) -> Vec<ConfigListing> {
         let Some(cluster) = self.cluster() else { return Vec::new() };
         cluster
@@ -30,7 +30,7 @@
             .collect()
     }
 
-    /// Every job, the oldest first.
+    /// Returns all jobs, the oldest first.
     pub fn jobs(&self) -> Vec<JobListing> {
         let Some(cluster) = self.cluster() else { return Vec::new() };
         let mut jobs: Vec<JobListing> =
@@ -39,12 +39,12 @@
         jobs
     }
 
-    /// The box at a glance.
+    /// Returns the status of the box, its peers, halls and services.
     pub fn status(&self) -> BoxStatus {
         let now = clock::now();
         let peers = self.members.states(now).into_iter();
         BoxStatus {
-            id: self.me().clone(),
+            id: self.own_id().clone(),
             hall: self.shared.settings.hall.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             health: (**self.shared.health.load()).clone(),
@@ -88,12 +88,12 @@
             &std::sync::Arc<crate::shared::ServiceQueue>,
         )| {
             let listed = self.list.endpoints.iter().filter(|listing| listing.service == *service);
-            let (gone, working): (Vec<_>, Vec<_>) =
+            let (leaving_listings, active_listings): (Vec<_>, Vec<_>) =
                 listed.partition(|listing| leaving.contains(&listing.id));
             ServiceStatus {
                 service: service.clone(),
-                endpoints: working.len(),
-                leaving: gone.into_iter().map(|listing| listing.id.clone()).collect(),
+                endpoints: active_listings.len(),
+                leaving: leaving_listings.into_iter().map(|listing| listing.id.clone()).collect(),
                 waiting: queue.with(|queue| queue.waiting()),
                 under_way: queue.with(|queue| queue.in_flight()),
             }
@@ -101,7 +101,7 @@
         queues.iter().map(status).collect()
     }
 
-    /// What this box can tell of a job, task or request.
+    /// Returns what this box knows about the job, task or request with this id.
     pub fn explain(&self, subject: &str) -> ExplainReport {
         let mut report = ExplainReport::default();
         let task: Option<TaskId> = subject.parse().ok();
@@ -116,15 +116,15 @@
     }
 
     fn explain_job(&self, report: &mut ExplainReport, id: JobId, task: Option<TaskId>) {
-        let found = self.cluster().and_then(|cluster| cluster.jobs.get(&id));
-        report.job = found.map(|job| JobListing { id, job: job.clone() });
-        let wanted = |subject: &str| match task {
+        let stored_job = self.cluster().and_then(|cluster| cluster.jobs.get(&id));
+        report.job = stored_job.map(|job| JobListing { id, job: job.clone() });
+        let is_relevant = |subject: &str| match task {
             Some(task) => subject == task.to_string(),
             None => subject.starts_with(&id.to_string()),
         };
-        let decisions = self.decisions.iter().filter(|decision| wanted(&decision.subject));
+        let decisions = self.decisions.iter().filter(|decision| is_relevant(&decision.subject));
         report.decisions.extend(decisions.cloned());
-        let Some(job) = found else { return };
+        let Some(job) = stored_job else { return };
         let Some(placer) = self.placers.get(&job.hall) else { return };
         let now = clock::now();
         for index in 0..job.tasks.len() as u32 {
@@ -132,11 +132,11 @@
             if task.is_some_and(|task| task != id) {
                 continue;
             }
-            let place = placer.placement(&id);
-            report.places.push(TaskPlace {
+            let placement = placer.placement(&id);
+            report.places.push(TaskPlacement {
                 task: id.to_string(),
-                worker: place.map(|(worker, _)| worker.clone()),
-                for_ms: place.map(|(_, since)| now.since(since).as_millis()),
+                worker: placement.map(|(worker, _)| worker.clone()),
+                for_ms: placement.map(|(_, since)| now.since(since).as_millis()),
                 waits_for: placer.wait_reason(&id),
                 epoch: placer.epoch(),
             });
@@ -154,8 +154,8 @@
             reason => reason.to_owned(),
         };
         Some(DecisionRecord {
-            at_ms: trace.at_ms,
-            decided_by: self.me().clone(),
+            at_ms: trace.ended_at_ms,
+            decided_by: self.own_id().clone(),
             subject: id.to_string(),
             decision,
             reason,
--- a/crates/sedgehilld/src/controllers/shutdown.rs
+++ b/crates/sedgehilld/src/controllers/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: take no further duties, finish what is in flight, hand over, exit.
+//! Drains the box: hands over its leads, and in a planned stop also finishes the requests in flight before the process
+//! exits.
 
 use std::time::Duration;
 
@@ -11,14 +12,14 @@
 use crate::clock;
 use crate::connection::StopPhase;
 
-const TURN: Duration = Duration::from_millis(50);
-/// Kept of the time for what is in flight, to end the connections that are idle by then.
-const CLOSING_TIME: TimeSpan = TimeSpan(1_200);
-/// How long handing over the leads may take.
-const HAND_OVER_LIMIT: TimeSpan = TimeSpan(3_000);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Part of the drain timeout, at its end, that is reserved for closing the remaining idle connections.
+const FINAL_PHASE_TIME: TimeSpan = TimeSpan(1_200);
+/// Maximum time for handing over the leads.
+const HAND_OVER_TIMEOUT: TimeSpan = TimeSpan(3_000);
 
-/// Hands over the leads when an operator drains this box, and lets it claim again afterwards.
-pub async fn follow_drain(context: ControlContext) {
+/// Hands over the leads when the box begins to leave, and lets it claim leads again when an operator ends the drain.
+pub async fn watch_drain(context: ControlContext) {
     let mut was_leaving = false;
     loop {
         let leaving = context.state.borrow().is_leaving();
@@ -26,33 +27,34 @@
             hand_over(&context).await;
         }
         if !leaving && was_leaving {
-            context.state.borrow_mut().handed_over.clear();
+            context.state.borrow_mut().handed_over_halls.clear();
         }
         was_leaving = leaving;
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits for the signal to stop, then stops as planned.
+/// Waits for SIGTERM or SIGINT, then performs a planned stop.
 pub async fn run(context: ControlContext) {
     wait_for_signal().await;
     info!(context.shared.log.logger, "stopping");
     context.state.borrow_mut().stopping = true;
     publish::publish(&context);
     let connections = &context.shared.connections;
-    connections.begin(StopPhase::Noticing);
+    connections.enter_phase(StopPhase::Announcing);
     hand_over(&context).await;
     let drain = &context.shared.settings.drain;
-    let lag = Duration::from_millis(drain.balancer_lag.as_millis());
-    tokio::time::sleep(lag).await;
-    connections.begin(StopPhase::Ending);
-    let end = clock::now().after(drain.limit);
-    let closing = clock::now().after(TimeSpan(drain.limit.0.saturating_sub(CLOSING_TIME.0)));
-    wait_while(closing, || connections.open() > 0).await;
-    connections.begin(StopPhase::Closing);
-    wait_while(end, || connections.open() > 0).await;
+    let balancer_lag = Duration::from_millis(drain.balancer_lag.as_millis());
+    tokio::time::sleep(balancer_lag).await;
+    connections.enter_phase(StopPhase::ClosingIdle);
+    let deadline = clock::now().after(drain.timeout);
+    let final_phase =
+        clock::now().after(TimeSpan(drain.timeout.0.saturating_sub(FINAL_PHASE_TIME.0)));
+    wait_while(final_phase, || connections.open_count() > 0).await;
+    connections.enter_phase(StopPhase::ClosingAllIdle);
+    wait_while(deadline, || connections.open_count() > 0).await;
     info!(context.shared.log.logger, "stopped"; "cut_off" => context.shared.in_flight(),
-        "connections" => connections.open(), "ended_idle" => connections.ended_idle());
+        "connections" => connections.open_count(), "ended_idle" => connections.ended_idle());
 }
 
 async fn wait_for_signal() {
@@ -64,27 +66,28 @@
     }
 }
 
-async fn wait_while(end: Moment, mut waiting: impl FnMut() -> bool) {
-    while waiting() && clock::now() < end {
-        tokio::time::sleep(TURN).await;
+/// Waits while the condition holds, at most until `deadline`.
+async fn wait_while(deadline: Moment, mut condition: impl FnMut() -> bool) {
+    while condition() && clock::now() < deadline {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Stops placing, lets starts under way end, and gives up the leads.
+/// Stops placing tasks, waits for the answers to start orders in flight, and releases the leads.
 async fn hand_over(context: &ControlContext) {
-    let end = clock::now().after(HAND_OVER_LIMIT);
+    let deadline = clock::now().after(HAND_OVER_TIMEOUT);
     {
         let mut state = context.state.borrow_mut();
         let halls: Vec<_> = state.placers.keys().cloned().collect();
-        state.handed_over.extend(halls);
+        state.handed_over_halls.extend(halls);
     }
-    wait_while(end, || {
+    wait_while(deadline, || {
         let state = context.state.borrow();
         state.placers.values().any(|placer| placer.has_pending_starts())
     })
     .await;
-    release_leads(context, end);
-    wait_while(end, || {
+    release_leads(context, deadline);
+    wait_while(deadline, || {
         let state = context.state.borrow();
         let now = clock::now();
         state.leads.values().any(|timer| timer.held_at(now).is_some())
@@ -92,17 +95,18 @@
     .await;
 }
 
-fn release_leads(context: &ControlContext, end: Moment) {
+/// Submits a release of each lead that the box holds.
+fn release_leads(context: &ControlContext, expires_at: Moment) {
     let mut state = context.state.borrow_mut();
     let now = clock::now();
-    let held: Vec<RecordBody> = state
+    let releases: Vec<RecordBody> = state
         .leads
         .values()
         .filter_map(|timer| Some((timer.hall().clone(), timer.held_at(now)?.epoch)))
         .map(|(hall, epoch)| RecordBody::ReleaseLead { hall, epoch })
         .collect();
-    for body in held {
-        state.writer.submit_until(body, end);
+    for body in releases {
+        state.writer.submit_until(body, expires_at);
     }
-    context.write_wanted.notify_one();
+    context.writer_notify.notify_one();
 }
