--- a/crates/sedgehill-cell/tests/testsuite/overlap/answers.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/answers.rs
@@ -1,4 +1,4 @@
-//! What a box makes of the answers to its calls, and of silence.
+//! How a box handles the answers to its calls, and calls that time out.
 
 use sedgehill_cell::authority::{AuthorityTiming, LeadRecord};
 use sedgehill_cell::ids::FencingToken;
@@ -6,50 +6,50 @@
 use sedgehill_cell::scheduler::{WorkerAnswer, WorkerRoster};
 use sedgehill_core::units::Moment;
 
-use super::host::{Call, Host, Purpose, READ_EVERY, RENEW_RETRY, Reply, Waiting};
+use super::host::{Call, Host, PendingCall, Purpose, READ_INTERVAL, RENEW_RETRY_PAUSE, Reply};
 use super::session::Session;
 use super::store::{LEADS, PROGRESS, Row, StoreReply};
 use super::worker::WorkerReply;
 
 impl Host {
-    /// Takes in what came of a call; none if nothing came in time.
-    pub(super) fn take(
+    /// Handles the answer to a call; none if the call timed out.
+    pub(super) fn handle_reply(
         &mut self,
-        waiting: Waiting,
+        call: PendingCall,
         reply: Option<Reply>,
         out: &mut Vec<(Purpose, Call)>,
         now: Moment,
     ) {
-        let sent = waiting.sent;
+        let sent = call.sent;
         let (store, worker) = match reply {
             Some(Reply::Store(reply)) => (Some(reply), None),
             Some(Reply::Worker(reply)) => (None, Some(reply)),
             None => (None, None),
         };
-        match waiting.purpose {
-            Purpose::Read(topic) => self.take_read(topic, store, sent, now),
+        match call.purpose {
+            Purpose::Read(topic) => self.handle_read(topic, store, sent, now),
             Purpose::Claim(record, predecessor) => {
-                self.busy = false;
-                if self.take_own(&record, &store, sent) {
+                self.lead_append_pending = false;
+                if self.handle_own_record(&record, &store, sent) {
                     let renew_at = now.after(AuthorityTiming::default().renew_interval);
                     self.session = Some(Session::new(record.token, predecessor, renew_at, now));
                 }
             }
             Purpose::Resign(record) => {
-                self.busy = false;
-                self.take_own(&record, &store, sent);
+                self.lead_append_pending = false;
+                self.handle_own_record(&record, &store, sent);
             }
-            Purpose::Renew(record) => self.take_renewal(&record, store, sent, now),
-            Purpose::Record(token) => self.take_recorded(token, store, out, now),
+            Purpose::Renew(record) => self.handle_renewal(&record, store, sent, now),
+            Purpose::Record(token) => self.handle_recorded(token, store, out, now),
             Purpose::List(token) => {
                 let Some(session) = self.session_of(token) else { return };
                 let entries = match store {
                     Some(StoreReply::Workers(entries)) => Some(entries),
                     _ => None,
                 };
-                session.take_list(entries, now);
+                session.handle_list(entries, now);
             }
-            purpose => self.take_worker_answer(purpose, worker, sent, out, now),
+            purpose => self.handle_worker_answer(purpose, worker, sent, out, now),
         }
     }
 
@@ -57,15 +57,20 @@
         self.session.as_mut().filter(|session| session.token == token)
     }
 
-    /// Notes an own record if it stands.
-    fn take_own(&mut self, record: &LeadRecord, reply: &Option<StoreReply>, sent: Moment) -> bool {
+    /// Notes a lead record of this box that the store kept. Returns whether it is still the newest.
+    fn handle_own_record(
+        &mut self,
+        record: &LeadRecord,
+        reply: &Option<StoreReply>,
+        sent: Moment,
+    ) -> bool {
         let timing = AuthorityTiming::default();
         match reply {
-            Some(StoreReply::Kept { end }) => {
+            Some(StoreReply::Appended { end }) => {
                 self.watch.note_own_record(record.clone(), sent, *end, &timing)
             }
             Some(_) => {
-                // Who leads is in doubt, and read at once.
+                // Another record was written: reads the topic at once.
                 self.views[LEADS].read_at = Moment(0);
                 false
             }
@@ -73,7 +78,7 @@
         }
     }
 
-    fn take_renewal(
+    fn handle_renewal(
         &mut self,
         record: &LeadRecord,
         reply: Option<StoreReply>,
@@ -83,9 +88,9 @@
         if self.session_of(record.token).is_none() {
             return;
         }
-        let pause = match self.take_own(record, &reply, sent) {
+        let pause = match self.handle_own_record(record, &reply, sent) {
             true => AuthorityTiming::default().renew_interval,
-            false => RENEW_RETRY,
+            false => RENEW_RETRY_PAUSE,
         };
         let Some(session) = self.session_of(record.token) else { return };
         session.renewing = false;
@@ -95,7 +100,7 @@
         }
     }
 
-    fn take_recorded(
+    fn handle_recorded(
         &mut self,
         token: FencingToken,
         reply: Option<StoreReply>,
@@ -106,12 +111,12 @@
             return;
         };
         let end = match reply {
-            Some(StoreReply::Kept { end }) => end,
+            Some(StoreReply::Appended { end }) => end,
             Some(_) => return self.give_up(out),
-            None => return session.not_answered(now),
+            None => return session.handle_append_unanswered(now),
         };
-        let Some(batch) = session.kept(end, &mut self.watch, now) else { return };
-        session.recorded(&batch, &self.replica, now);
+        let Some(batch) = session.handle_append_kept(end, &mut self.watch, now) else { return };
+        session.add_recorded_jobs(&batch, &self.replica, now);
         let from = end - batch.rows.len() as u64;
         if self.views[PROGRESS].offset == Some(from) {
             self.apply(PROGRESS, &batch.rows, now);
@@ -122,7 +127,7 @@
         }
     }
 
-    fn take_worker_answer(
+    fn handle_worker_answer(
         &mut self,
         purpose: Purpose,
         reply: Option<WorkerReply>,
@@ -131,40 +136,40 @@
         now: Moment,
     ) {
         let may_order = self.may_order(now);
-        let (account, order) = match reply {
-            Some(WorkerReply::Account(answer)) => (answer, WorkerAnswer::Unknown),
+        let (report, order) = match reply {
+            Some(WorkerReply::Report(answer)) => (answer, WorkerAnswer::Unknown),
             Some(WorkerReply::Order(answer)) => (WorkerAnswer::Unknown, answer),
             None => (WorkerAnswer::Unknown, WorkerAnswer::Unknown),
         };
         match purpose {
             Purpose::Hold(token, key) => {
                 let Some(session) = self.session_of(token) else { return };
-                session.take_account(key, account, false, sent, now);
+                session.handle_report(key, report, false, sent, now);
             }
             Purpose::LateHold(token, key) => {
                 let Some(session) = self.session_of(token) else { return };
-                session.take_account(key, account, true, sent, now);
+                session.handle_report(key, report, true, sent, now);
             }
             Purpose::Start(token, start, again) => {
                 let Some(session) = self.session_of(token) else { return };
-                session.take_start(start, again, order, may_order, out, now);
+                session.handle_start_answer(start, again, order, may_order, out, now);
             }
             Purpose::Stop(token, stop) => {
                 let Some(session) = self.session_of(token) else { return };
                 session.scheduler.stop_answered(&stop, order, now);
             }
-            _ => unreachable!("all others are taken before"),
+            _ => unreachable!("the caller handles all other purposes"),
         }
     }
 
-    fn take_read(&mut self, topic: usize, reply: Option<StoreReply>, sent: Moment, now: Moment) {
+    fn handle_read(&mut self, topic: usize, reply: Option<StoreReply>, sent: Moment, now: Moment) {
         let view = &mut self.views[topic];
         view.reading = false;
-        view.read_at = now.after(READ_EVERY);
+        view.read_at = now.after(READ_INTERVAL);
         match reply {
-            Some(StoreReply::Gone) => view.offset = None,
+            Some(StoreReply::HistoryGone) => view.offset = None,
             Some(StoreReply::Rows { rows, end }) => {
-                // Meanwhile the box may have written some of them by itself.
+                // The box may already know some of the rows, since it wrote them after it sent the read.
                 let from = end - rows.len() as u64;
                 let new = match view.offset {
                     Some(known) => rows.get((known.saturating_sub(from)) as usize..),
@@ -187,9 +192,9 @@
                     self.watch.note_record(record, now);
                 }
                 WorkerRoster::KEY => {
-                    let sign = RosterSource { read_at: now, offset: None };
+                    let source = RosterSource { read_at: now, offset: None };
                     let roster = WorkerRoster::decode(&row.value).unwrap();
-                    self.replica.apply_roster(roster, sign);
+                    self.replica.apply_roster(roster, source);
                 }
                 key => self.apply_statement(key, &row.value, now),
             }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
@@ -1,4 +1,4 @@
-//! A box: it follows the store, claims the lead when it should, and leads.
+//! A simulated box: it follows the store's topics, claims the lead when that is due, and acts as lead.
 
 use std::collections::BTreeMap;
 
@@ -12,81 +12,87 @@
 use super::store::{Condition, JOBS, LEADS, PROGRESS, Row, StoreCall, StoreReply, TOPICS};
 use super::worker::{WorkerCall, WorkerReply};
 
-/// How long a box waits for what it appends, for what it reads, and for a worker.
-const APPEND_LIMIT: TimeSpan = TimeSpan(2_500);
-const READ_LIMIT: TimeSpan = TimeSpan(1_200);
-const ORDER_LIMIT: TimeSpan = TimeSpan(300);
-/// Time between two readings of a topic.
-pub(super) const READ_EVERY: TimeSpan = TimeSpan(100);
-/// Who leads is known well enough for a claim if it was read so lately.
-const FRESH: u64 = 1_800;
-/// Pause before a renewal that failed is tried again.
-pub(super) const RENEW_RETRY: TimeSpan = TimeSpan(100);
+/// How long a box waits for the answer to an append.
+const APPEND_TIMEOUT: TimeSpan = TimeSpan(2_500);
+/// How long a box waits for the answer to a read.
+const READ_TIMEOUT: TimeSpan = TimeSpan(1_200);
+/// How long a box waits for the answer of a worker.
+const ORDER_TIMEOUT: TimeSpan = TimeSpan(300);
+/// Time between two reads of a topic.
+pub(super) const READ_INTERVAL: TimeSpan = TimeSpan(100);
+/// The oldest complete read of the lead topic with which a box may claim the lead.
+const MAX_LEAD_VIEW_AGE_MS: u64 = 1_800;
+/// Pause before a failed renewal is repeated.
+pub(super) const RENEW_RETRY_PAUSE: TimeSpan = TimeSpan(100);
 const LEAD_KEY: &str = "lead";
 
-/// What a box asks of others.
+/// A call of a box to the store or to a worker.
 #[derive(Debug, Clone)]
 pub enum Call {
     Store(StoreCall),
     Worker { to: WorkerEntry, token: FencingToken, call: WorkerCall },
 }
 
-/// What it is answered.
+/// The answer to a call.
 #[derive(Debug, Clone)]
 pub enum Reply {
     Store(StoreReply),
     Worker(WorkerReply),
 }
 
-/// What a call is for. Those of a lead carry its token.
+/// The purpose of a call. Calls of a lead carry its token.
 #[derive(Debug, Clone)]
 pub enum Purpose {
     Read(usize),
-    /// With whether an earlier lead may still give orders.
+    /// A claim of the lead, with whether an earlier lead may still give orders.
     Claim(LeadRecord, bool),
     Renew(LeadRecord),
     Resign(LeadRecord),
     Record(FencingToken),
     List(FencingToken),
     Hold(FencingToken, WorkerKey),
-    /// An account for which nobody waits any more.
+    /// A hold that has timed out. Its report is still used if it arrives.
     LateHold(FencingToken, WorkerKey),
+    /// A start, with whether it is sent for the second time.
     Start(FencingToken, StartOrder, bool),
     Stop(FencingToken, StopOrder),
 }
 
-pub(super) struct Waiting {
+/// A call that is not answered yet.
+pub(super) struct PendingCall {
     pub(super) purpose: Purpose,
     pub(super) sent: Moment,
     until: Moment,
 }
 
+/// How far a box has read a topic.
 #[derive(Default)]
-pub(super) struct View {
+pub(super) struct TopicView {
     pub(super) offset: Option<u64>,
-    /// All that was there at that time is known.
+    /// The box knows all records that the topic had at this time.
     pub(super) complete: Option<Moment>,
     pub(super) reading: bool,
     pub(super) read_at: Moment,
 }
 
-/// A box.
+/// A simulated box.
 pub struct Host {
     pub life: u64,
     pub watch: LeadWatch,
     pub replica: CellReplica,
     pub session: Option<Session>,
-    /// Its process is stopped until then, or there is none.
+    /// The process is stopped until this time.
     pub frozen_until: Moment,
+    /// When the next process starts; none while a process is running.
     pub back_at: Option<Moment>,
-    /// It is to give up the lead.
-    pub resigns: bool,
+    /// Whether the box is to resign as the lead.
+    pub resign_requested: bool,
     pub inbox: Vec<(u64, Reply)>,
-    pub(super) views: [View; TOPICS],
-    waiting: BTreeMap<u64, Waiting>,
+    pub(super) views: [TopicView; TOPICS],
+    pending: BTreeMap<u64, PendingCall>,
     calls: u64,
-    /// A claim or a resignation is under way.
-    pub(super) busy: bool,
+    /// Whether a claim or a resignation is not answered yet.
+    pub(super) lead_append_pending: bool,
     rank: u64,
 }
 
@@ -99,64 +105,69 @@
             session: None,
             frozen_until: Moment(0),
             back_at: None,
-            resigns: false,
+            resign_requested: false,
             inbox: Vec::new(),
             views: Default::default(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             calls: life * 1_000_000,
-            busy: false,
+            lead_append_pending: false,
             rank,
         }
     }
 
-    /// Whether it may give orders now.
+    /// Returns whether the box may give orders now.
     pub fn may_order(&self, now: Moment) -> bool {
         let token = self.session.as_ref().map(|session| session.token);
         token.is_some() && self.watch.authority(now) == token
     }
 
-    /// Whether the lead's work is done here.
-    pub fn leads(&self) -> bool {
+    /// Returns whether the box acts as lead.
+    pub fn is_leading(&self) -> bool {
         self.session.as_ref().is_some_and(|session| session.stage == Stage::Leading)
     }
 
-    /// Does all that is due. Returns what is sent.
+    /// Does everything that is due and returns the calls to send.
     pub fn step(&mut self, now: Moment) -> Vec<(u64, Call)> {
         let mut out = Vec::new();
         for (number, reply) in std::mem::take(&mut self.inbox) {
-            if let Some(waiting) = self.waiting.remove(&number) {
-                self.take(waiting, Some(reply), &mut out, now);
+            if let Some(call) = self.pending.remove(&number) {
+                self.handle_reply(call, Some(reply), &mut out, now);
             }
         }
-        self.time_out(&mut out, now);
+        self.expire_calls(&mut out, now);
         self.read_topics(&mut out, now);
         self.claim_if_due(&mut out, now);
         self.lead(&mut out, now);
-        out.into_iter().map(|(purpose, call)| self.post(purpose, call, now)).collect()
+        out.into_iter().map(|(purpose, call)| self.send(purpose, call, now)).collect()
     }
 
-    fn post(&mut self, purpose: Purpose, call: Call, now: Moment) -> (u64, Call) {
-        let limit = match call {
-            Call::Store(StoreCall::Append { .. }) => APPEND_LIMIT,
-            Call::Store(_) => READ_LIMIT,
-            Call::Worker { .. } => ORDER_LIMIT,
+    fn send(&mut self, purpose: Purpose, call: Call, now: Moment) -> (u64, Call) {
+        let timeout = match call {
+            Call::Store(StoreCall::Append { .. }) => APPEND_TIMEOUT,
+            Call::Store(_) => READ_TIMEOUT,
+            Call::Worker { .. } => ORDER_TIMEOUT,
         };
         self.calls += 1;
-        self.waiting.insert(self.calls, Waiting { purpose, sent: now, until: now.after(limit) });
+        self.pending
+            .insert(self.calls, PendingCall { purpose, sent: now, until: now.after(timeout) });
         (self.calls, call)
     }
 
-    fn time_out(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
-        let over: Vec<u64> =
-            self.waiting.iter().filter(|(_, w)| now > w.until).map(|(number, _)| *number).collect();
-        for number in over {
-            let Some(waiting) = self.waiting.remove(&number) else { continue };
-            if let Purpose::Hold(token, key) = waiting.purpose {
+    fn expire_calls(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
+        let expired: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, call)| now > call.until)
+            .map(|(number, _)| *number)
+            .collect();
+        for number in expired {
+            let Some(call) = self.pending.remove(&number) else { continue };
+            if let Purpose::Hold(token, key) = call.purpose {
                 let purpose = Purpose::LateHold(token, key);
-                let late = Waiting { purpose, until: Moment(u64::MAX), ..waiting };
-                self.waiting.insert(number, late);
+                let late = PendingCall { purpose, until: Moment(u64::MAX), ..call };
+                self.pending.insert(number, late);
             }
-            self.take(waiting, None, out, now);
+            self.handle_reply(call, None, out, now);
         }
     }
 
@@ -174,14 +185,14 @@
 
     fn claim_if_due(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
         let complete = self.views[LEADS].complete;
-        let fresh = complete.is_some_and(|at| now.since(at).0 <= FRESH);
+        let fresh = complete.is_some_and(|at| now.since(at).0 <= MAX_LEAD_VIEW_AGE_MS);
         let knows_jobs = self.views.iter().all(|view| view.offset.is_some());
-        if self.session.is_some() || self.busy || !fresh || !knows_jobs {
+        if self.session.is_some() || self.lead_append_pending || !fresh || !knows_jobs {
             return;
         }
         let due = self.watch.should_claim(now, self.rank, &AuthorityTiming::default());
         if self.watch.is_holder() || due {
-            self.busy = true;
+            self.lead_append_pending = true;
             let record = self.watch.next_claim("127.0.0.1:7000");
             let call = self.lead_append(&record);
             let predecessor = self.watch.has_predecessor();
@@ -199,7 +210,7 @@
         self.renew_if_due(out, now);
         let may_order = self.may_order(now);
         let Some(session) = &mut self.session else { return };
-        if let Stage::Catching { end, since } = session.stage {
+        if let Stage::CatchingUp { end, since } = session.stage {
             let known = self.views[PROGRESS].offset.is_some_and(|offset| offset >= end);
             if known && self.views[JOBS].complete >= Some(since) {
                 session.begin(&self.replica, now);
@@ -217,15 +228,15 @@
     fn renew_if_due(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
         let Some(session) = &mut self.session else { return };
         let due = !session.renewing && now >= session.renew_at;
-        if !due && !self.resigns {
+        if !due && !self.resign_requested {
             return;
         }
-        if self.resigns || !self.watch.is_holder() || session.scheduler.is_fenced_out() {
+        if self.resign_requested || !self.watch.is_holder() || session.scheduler.is_fenced_out() {
             return self.give_up(out);
         }
         let Some(record) = self.watch.newest().cloned() else { return };
         if record.token != session.token {
-            session.renew_at = now.after(RENEW_RETRY);
+            session.renew_at = now.after(RENEW_RETRY_PAUSE);
             return;
         }
         session.renewing = true;
@@ -235,16 +246,16 @@
         out.push((Purpose::Renew(record), call));
     }
 
-    /// Gives up the lead, and says so if it resigns.
+    /// Ends the session as lead, and records a resignation if one was requested.
     pub(super) fn give_up(&mut self, out: &mut Vec<(Purpose, Call)>) {
         let Some(session) = self.session.take() else { return };
         let own = self.watch.newest().filter(|newest| newest.token == session.token).cloned();
-        if std::mem::take(&mut self.resigns)
+        if std::mem::take(&mut self.resign_requested)
             && let Some(own) = own
         {
             let record = LeadRecord { resigned: true, ..own };
             let call = self.lead_append(&record);
-            self.busy = true;
+            self.lead_append_pending = true;
             out.push((Purpose::Resign(record), call));
         }
         self.watch.step_down();
--- a/crates/sedgehill-cell/tests/testsuite/overlap/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/mod.rs
@@ -1,6 +1,6 @@
-//! Several boxes beside each other, with the real watch, replica and scheduler, over one store and
-//! workers that keep the rules of the platform. Time runs in small steps. The checks look at workers
-//! alone: what runs there, and what they were told.
+//! A simulation of several boxes with the real `LeadWatch`, `CellReplica` and `Scheduler`, a fake store, and fake
+//! workers that keep the rules of the platform. Time advances in small steps. The checks use the state of the workers
+//! only: their runs and the ends that were acknowledged.
 
 mod answers;
 mod crashes;
@@ -21,71 +21,79 @@
 use sedgehill_core::units::{Moment, ResourceSet, TimeSpan};
 
 use self::host::{Call, Host, Reply};
-use self::paths::Mail;
-pub use self::paths::{Path, Way};
+use self::paths::Channel;
+pub use self::paths::{Delivery, Path};
 use self::store::{JOBS, PROGRESS, Row, SimStore};
 use self::worker::{SimWorker, WorkerCall};
 use crate::fake::worker_entry;
 
-/// What a box sent, with its life and the number of the call.
-struct Asked {
+/// A call on its way, with the life of the box that sent it and the number of the call.
+struct Request {
     host: usize,
     life: u64,
     number: u64,
     call: Call,
 }
 
-struct Answered {
+/// The answer to a call on its way back to a box.
+struct Response {
     host: usize,
     life: u64,
     number: u64,
     reply: Reply,
 }
 
-/// The paths of one box.
+/// The paths from one box to workers and to the store.
 #[derive(Debug, Clone, Default)]
 pub struct HostPaths {
     pub workers: Vec<Path>,
-    /// To the topic of leads.
+    /// The path to the topic of lead records.
     pub leads: Path,
-    /// To all else in the store.
+    /// The path to the rest of the store.
     pub store: Path,
 }
 
-/// All of it.
+/// The simulated boxes, workers and store, and the paths between them.
 pub struct World {
     pub now: Moment,
     pub paths: Vec<HostPaths>,
     hosts: Vec<Host>,
     pub workers: Vec<SimWorker>,
     store: SimStore,
-    asked: Mail<Asked>,
-    answered: Mail<Answered>,
-    lives: u64,
+    requests: Channel<Request>,
+    responses: Channel<Response>,
+    /// Number of lives of boxes so far.
+    life_count: u64,
     jobs: BTreeMap<JobId, JobRecord>,
-    /// Runs that began, with where.
+    /// The runs that started, with the index of the worker of each.
     pub starts: Vec<(CellTask, RunNumber, usize)>,
+    /// Tasks that have ended with `Done` on a worker, whether or not a lead has read the end.
     done: BTreeSet<CellTask>,
-    noted: BTreeSet<CellTask>,
-    begun_again: HashMap<CellTask, RunNumber>,
-    /// Tasks that crash the workers that start them, with how long after the start.
-    crashing: HashMap<CellTask, TimeSpan>,
-    /// Workers that are about to crash under a run.
-    doomed: Vec<(Moment, usize, CellTask, RunNumber)>,
-    /// Workers that crashed under each such task, and starts since the third by boxes in touch.
+    /// Tasks that ended with `Done` and whose end was acknowledged before the worker's lease ended.
+    acknowledged_ends: BTreeSet<CellTask>,
+    /// The first run of each task that started after the task had ended with `Done` and before that end was
+    /// acknowledged.
+    restarted: HashMap<CellTask, RunNumber>,
+    /// Tasks that crash the workers that start them, with the time from the start to the crash.
+    crash_delays: HashMap<CellTask, TimeSpan>,
+    /// Crashes to come: the time, the index of the worker, and the run that causes the crash.
+    pending_crashes: Vec<(Moment, usize, CellTask, RunNumber)>,
+    /// Number of workers that each of these tasks crashed.
     crashes: HashMap<CellTask, usize>,
-    further: HashMap<CellTask, usize>,
-    /// When something last befell each box.
-    disturbed: Vec<Moment>,
-    /// What each worker has at first.
+    /// Number of starts of each of these tasks by undisturbed boxes after `UNCOUNTED_CRASHES` crashes.
+    further_starts: HashMap<CellTask, usize>,
+    /// The time of the last fault of each box.
+    last_fault_at: Vec<Moment>,
+    /// The capacity of each worker at first.
     capacity: ResourceSet,
-    /// Workers that a task crashes start again under their ids.
+    /// Whether workers that a task crashes restart with the same id.
     keeps_ids: bool,
-    /// Single tasks run until they fail.
+    /// Whether the tasks of steps that are no gangs are long-running.
     pub long_running: bool,
 }
 
 impl World {
+    /// Returns a world with a worker for each entry of `slow`, the slowness of its clock in thousandths.
     pub fn new(hosts: usize, slow: &[u64], capacity: u64) -> World {
         let now = Moment(1_000_000);
         let worker =
@@ -98,19 +106,19 @@
             hosts: Vec::new(),
             workers: slow.iter().enumerate().map(worker).collect(),
             store: SimStore::default(),
-            asked: Mail::default(),
-            answered: Mail::default(),
-            lives: 0,
+            requests: Channel::default(),
+            responses: Channel::default(),
+            life_count: 0,
             jobs: BTreeMap::new(),
             starts: Vec::new(),
             done: BTreeSet::new(),
-            noted: BTreeSet::new(),
-            begun_again: HashMap::new(),
-            crashing: HashMap::new(),
-            doomed: Vec::new(),
+            acknowledged_ends: BTreeSet::new(),
+            restarted: HashMap::new(),
+            crash_delays: HashMap::new(),
+            pending_crashes: Vec::new(),
             crashes: HashMap::new(),
-            further: HashMap::new(),
-            disturbed: vec![Moment(0); hosts],
+            further_starts: HashMap::new(),
+            last_fault_at: vec![Moment(0); hosts],
             capacity: worker_entry(0, capacity).capacity,
             keeps_ids: false,
             long_running: false,
@@ -122,18 +130,18 @@
         world
     }
 
-    /// All workers tell when their lives began, and may keep their ids.
-    pub fn keep_ids(&mut self) {
+    /// Makes all workers report when their lives started, and restart with the same id.
+    pub fn reuse_ids(&mut self) {
         self.keeps_ids = true;
-        self.workers.iter_mut().for_each(SimWorker::tell_start);
+        self.workers.iter_mut().for_each(SimWorker::report_start);
     }
 
     fn new_life(&mut self, number: usize) -> Host {
-        self.lives += 1;
-        Host::new(&format!("box {number}"), self.lives, number as u64, self.now)
+        self.life_count += 1;
+        Host::new(&format!("box {number}"), self.life_count, number as u64, self.now)
     }
 
-    /// Time goes on.
+    /// Advances time by `span` in steps of `step`.
     pub fn run(&mut self, span: TimeSpan, step: TimeSpan) {
         let end = self.now.after(span);
         while self.now < end {
@@ -143,17 +151,17 @@
     }
 
     fn tick(&mut self) {
-        self.crash_doomed();
+        self.crash_due_workers();
         for worker in &mut self.workers {
-            worker.live(self.now);
+            worker.start_due_life(self.now);
         }
-        for asked in self.asked.arrived(self.now) {
-            self.carry_out(asked);
+        for request in self.requests.take_arrived(self.now) {
+            self.carry_out(request);
         }
-        for answered in self.answered.arrived(self.now) {
-            let host = &mut self.hosts[answered.host];
-            if host.life == answered.life && host.back_at.is_none() {
-                host.inbox.push((answered.number, answered.reply));
+        for response in self.responses.take_arrived(self.now) {
+            let host = &mut self.hosts[response.host];
+            if host.life == response.life && host.back_at.is_none() {
+                host.inbox.push((response.number, response.reply));
             }
         }
         for number in 0..self.hosts.len() {
@@ -171,24 +179,24 @@
         }
         let life = host.life;
         for (call_number, call) in host.step(self.now) {
-            let way = self.path(number, &call).there;
-            let asked = Asked { host: number, life, number: call_number, call };
-            self.asked.send(way, asked, self.now);
+            let delivery = self.path(number, &call).request;
+            let request = Request { host: number, life, number: call_number, call };
+            self.requests.send(delivery, request, self.now);
         }
     }
 
     fn path(&self, host: usize, call: &Call) -> Path {
         let paths = &self.paths[host];
         match call {
-            Call::Store(call) if call.is_of_leads() => paths.leads,
+            Call::Store(call) if call.is_on_lead_topic() => paths.leads,
             Call::Store(_) => paths.store,
-            Call::Worker { to, .. } => paths.workers[place_of(to)],
+            Call::Worker { to, .. } => paths.workers[worker_index(to)],
         }
     }
 
-    fn carry_out(&mut self, asked: Asked) {
-        let back = self.path(asked.host, &asked.call).back;
-        let Asked { host, life, number, call } = asked;
+    fn carry_out(&mut self, request: Request) {
+        let delivery = self.path(request.host, &request.call).reply;
+        let Request { host, life, number, call } = request;
         let reply = match call {
             Call::Store(call) => {
                 let now = self.now;
@@ -197,16 +205,17 @@
                 Reply::Store(self.store.call(call, &listed))
             }
             Call::Worker { to, token, call } => {
-                let place = place_of(&to);
-                let before = self.workers[place].runs.clone();
-                let reply = self.workers[place].call(&to.life, token, &call, self.now);
-                self.check_noted(place);
+                let index = worker_index(&to);
+                let before = self.workers[index].runs.clone();
+                let reply = self.workers[index].call(&to.life, token, &call, self.now);
+                self.check_acknowledged(index);
                 if let WorkerCall::Start(order) = &call {
-                    let known = before.get(&order.task).is_some_and(|run| run.run == order.run);
-                    let there = self.workers[place].runs.get(&order.task);
-                    if !known && there.is_some_and(|run| run.run == order.run) {
-                        self.check_start(place, order.task, order.run);
-                        self.note_crashing_start(host, place, order.task, order.run);
+                    let was_running =
+                        before.get(&order.task).is_some_and(|run| run.run == order.run);
+                    let running = self.workers[index].runs.get(&order.task);
+                    if !was_running && running.is_some_and(|run| run.run == order.run) {
+                        self.check_start(index, order.task, order.run);
+                        self.schedule_crash(host, index, order.task, order.run);
                     }
                 }
                 match reply {
@@ -215,35 +224,44 @@
                 }
             }
         };
-        self.answered.send(back, Answered { host, life, number, reply }, self.now);
+        self.responses.send(delivery, Response { host, life, number, reply }, self.now);
     }
 
-    /// Looks at a run that has just begun.
-    fn check_start(&mut self, place: usize, task: CellTask, run: RunNumber) {
-        self.lapse_all();
-        let worker = &self.workers[place];
-        assert!(worker.fits(self.now), "{} is over size", worker.entry.life);
+    /// Checks that a run that has just started breaks no rule.
+    fn check_start(&mut self, index: usize, task: CellTask, run: RunNumber) {
+        self.expire_leases();
+        let worker = &self.workers[index];
+        assert!(worker.fits(self.now), "{} runs more than its capacity", worker.entry.life);
         let runs = self.workers.iter().filter(|worker| worker.runs.contains_key(&task));
-        assert_eq!(runs.count(), 1, "{task} runs twice");
-        assert!(!self.noted.contains(&task), "{task} starts after its end");
+        assert_eq!(runs.count(), 1, "{task} does not run on exactly one worker");
+        assert!(
+            !self.acknowledged_ends.contains(&task),
+            "{task} starts after its end was acknowledged"
+        );
         if self.done.contains(&task) {
-            self.begun_again.entry(task).or_insert(run);
+            self.restarted.entry(task).or_insert(run);
         }
-        let again = self.starts.iter().any(|(began, number, _)| (*began, *number) == (task, run));
-        assert!(!again, "run {run} of {task} begins twice");
-        self.starts.push((task, run, place));
+        let started_before =
+            self.starts.iter().any(|(started, number, _)| (*started, *number) == (task, run));
+        assert!(!started_before, "run {run} of {task} starts twice");
+        self.starts.push((task, run, index));
     }
 
-    /// Looks at the ends that a worker was told are recorded.
-    fn check_noted(&mut self, place: usize) {
-        for end in std::mem::take(&mut self.workers[place].noted) {
-            let again = self.begun_again.get(&end.task).is_some_and(|again| end.run < *again);
-            assert!(!again, "{} began again, and its end is noted now", end.task);
-            self.noted.insert(end.task);
+    /// Checks the ends that were acknowledged to a worker.
+    fn check_acknowledged(&mut self, index: usize) {
+        for end in std::mem::take(&mut self.workers[index].acknowledged_ends) {
+            let restarted = self.restarted.get(&end.task).is_some_and(|later| end.run < *later);
+            assert!(
+                !restarted,
+                "the end of {} is acknowledged after a later run started",
+                end.task
+            );
+            self.acknowledged_ends.insert(end.task);
         }
     }
 
-    /// A caller hands in a job at some box: by way of the lead if that box leads.
+    /// Submits a job at a box. If the box has a session as lead, the session accepts the job; otherwise the job is
+    /// written to the store directly.
     pub fn submit(&mut self, host: usize, record: JobRecord) {
         let id = JobId(self.jobs.len() as u64);
         self.jobs.insert(id, record.clone());
@@ -258,28 +276,28 @@
         }
     }
 
-    /// Ends some run.
+    /// Ends a run, chosen by any number.
     pub fn end_some(&mut self, pick: usize, end: RunEnd) {
-        self.lapse_all();
+        self.expire_leases();
         let runs = self.all_runs();
-        if let Some((place, task)) = runs.get(pick % runs.len().max(1)) {
-            self.end(*place, *task, end);
+        if let Some((index, task)) = runs.get(pick % runs.len().max(1)) {
+            self.end(*index, *task, end);
         }
     }
 
-    fn lapse_all(&mut self) {
+    fn expire_leases(&mut self) {
         for worker in &mut self.workers {
-            worker.lapse(self.now);
+            worker.expire_lease(self.now);
         }
     }
 
-    /// Ends a run. The members of a gang end together: all done, or the others broken; a gang that is not
-    /// whole does no work.
-    fn end(&mut self, place: usize, task: CellTask, end: RunEnd) {
+    /// Ends a run, and with it the other members of its gang: with `Done`, or with `Broken` for any other end. If the
+    /// gang is incomplete, it cannot work, and the run ends with `Alone`. Long-running tasks always fail.
+    fn end(&mut self, index: usize, task: CellTask, end: RunEnd) {
         let spec = &self.jobs[&task.step.job].spec.steps[usize::from(task.step.step)];
         let (gang, count) = (spec.gang, usize::from(spec.count));
         let end = if spec.long_running { RunEnd::Failed } else { end };
-        let run = self.workers[place].runs[&task].run;
+        let run = self.workers[index].runs[&task].run;
         let mut members = self.all_runs();
         members.retain(|(at, member)| match gang {
             true => member.step == task.step && self.workers[*at].runs[member].run == run,
@@ -287,13 +305,13 @@
         });
         let end = if gang && members.len() < count { RunEnd::Alone } else { end };
         for (at, member) in members {
-            let own = match end {
+            let member_end = match end {
                 RunEnd::Done => RunEnd::Done,
                 end if member == task => end,
                 _ => RunEnd::Broken,
             };
-            self.workers[at].end(member, own);
-            if own == RunEnd::Done {
+            self.workers[at].end(member, member_end);
+            if member_end == RunEnd::Done {
                 self.done.insert(member);
             }
         }
@@ -302,65 +320,65 @@
     fn all_runs(&self) -> Vec<(usize, CellTask)> {
         let workers = self.workers.iter().enumerate();
         workers
-            .flat_map(|(place, worker)| worker.runs.keys().map(move |task| (place, *task)))
+            .flat_map(|(index, worker)| worker.runs.keys().map(move |task| (index, *task)))
             .collect()
     }
 
-    /// The process of a box stands still; what is sent to it waits.
+    /// Stops the process of a box for `span`. Answers to it wait.
     pub fn freeze(&mut self, host: usize, span: TimeSpan) {
         self.hosts[host].frozen_until = self.now.after(span);
     }
 
-    /// The process of a box ends, and a new one begins after `span`.
+    /// Ends the process of a box, and starts a new one after `span`.
     pub fn kill(&mut self, host: usize, span: TimeSpan) {
         let back = self.now.after(span);
         let host = &mut self.hosts[host];
         host.back_at = host.back_at.or(Some(back));
     }
 
-    /// A box gives up the lead, if it has it.
+    /// Makes a box resign as the lead, if it is the lead.
     pub fn resign(&mut self, host: usize) {
         let host = &mut self.hosts[host];
-        host.resigns = host.session.is_some();
+        host.resign_requested = host.session.is_some();
     }
 
-    /// A box finds that nothing listens at the lead's address.
-    pub fn take_as_gone(&mut self, host: usize) {
+    /// Makes a box find that nothing listens at the lead's address.
+    pub fn refuse_connection(&mut self, host: usize) {
         self.hosts[host].watch.note_connection_refused();
     }
 
-    /// A box has a link to the lead, or none.
-    pub fn link(&mut self, host: usize, reachable: bool) {
+    /// Sets whether a box has a connection to the lead.
+    pub fn set_reachable(&mut self, host: usize, reachable: bool) {
         self.hosts[host].watch.note_reachable(reachable);
     }
 
-    /// The store removes the history of its topics.
-    pub fn forget_history(&mut self) {
+    /// Makes the store discard the history of its topics.
+    pub fn discard_history(&mut self) {
         for topic in 0..store::TOPICS {
-            self.store.forget(topic);
+            self.store.discard_history(topic);
         }
     }
 
-    /// Which boxes do the work of a lead.
+    /// Returns the boxes that act as lead.
     pub fn leads(&self) -> Vec<usize> {
-        (0..self.hosts.len()).filter(|host| self.hosts[*host].leads()).collect()
+        (0..self.hosts.len()).filter(|host| self.hosts[*host].is_leading()).collect()
     }
 
-    /// A box, counted from the newest lead.
+    /// Returns a box, counted from the newest lead.
     pub fn host(&self, pick: usize) -> usize {
         let token = |host: &usize| self.hosts[*host].session.as_ref().map(|lead| lead.token);
         let newest = self.leads().into_iter().max_by_key(token).unwrap_or(0);
         (newest + pick) % self.hosts.len()
     }
 
-    /// A worker, counted from those that run something.
+    /// Returns a worker, counted from those that run something.
     pub fn worker(&self, pick: usize) -> usize {
-        let mut places: Vec<usize> = (0..self.workers.len()).collect();
-        places.sort_by_key(|place| self.workers[*place].runs.is_empty());
-        places[pick % places.len()]
+        let mut indices: Vec<usize> = (0..self.workers.len()).collect();
+        indices.sort_by_key(|index| self.workers[*index].runs.is_empty());
+        indices[pick % indices.len()]
     }
 
-    /// All faults are over.
+    /// Ends all faults.
     pub fn heal(&mut self) {
         let workers = self.workers.len();
         for paths in &mut self.paths {
@@ -375,22 +393,23 @@
             worker.resize(self.capacity, self.now);
         }
         for host in 0..self.hosts.len() {
-            self.disturb(host);
+            self.note_fault(host);
         }
     }
 
-    /// Runs on, each run ending well, until all jobs that are kept are over. Returns those that are not.
+    /// Runs until all recorded jobs have ended or `limit` has passed, and ends all runs that can complete with `Done`.
+    /// Returns the jobs that have not ended.
     pub fn settle(&mut self, limit: TimeSpan) -> Vec<JobId> {
         let end = self.now.after(limit);
         while self.now < end && !self.open_jobs().is_empty() {
             self.run(TimeSpan(600), TimeSpan(30));
-            self.lapse_all();
-            let end_well = |world: &World| {
+            self.expire_leases();
+            let next_run = |world: &World| {
                 let mut runs = world.all_runs().into_iter();
-                runs.find(|(_, task)| world.ends_well(task))
+                runs.find(|(_, task)| world.can_complete(task))
             };
-            while let Some((place, task)) = end_well(self) {
-                self.end(place, task, RunEnd::Done);
+            while let Some((index, task)) = next_run(self) {
+                self.end(index, task, RunEnd::Done);
             }
         }
         self.open_jobs()
@@ -398,24 +417,28 @@
 
     fn open_jobs(&self) -> Vec<JobId> {
         let mut open = BTreeSet::new();
-        let mut over = BTreeSet::new();
+        let mut ended = BTreeSet::new();
         let rows = self.store.newest(PROGRESS).into_iter().chain(self.store.newest(JOBS));
         for row in rows {
             let Ok((id, record)) = CellRecord::decode(&row.key, &row.value) else { continue };
             match record {
-                CellRecord::Progress(kept) if kept.state.is_final() => {
-                    assert!(kept.state != JobState::Cancelled, "{id} was not cancelled");
-                    over.insert(id);
+                CellRecord::Progress(progress) if progress.state.is_final() => {
+                    assert!(
+                        progress.state != JobState::Cancelled,
+                        "{id} ends as cancelled, but nobody cancelled it"
+                    );
+                    ended.insert(id);
                 }
                 _ => {
                     open.insert(id);
                 }
             }
         }
-        open.difference(&over).copied().collect()
+        open.difference(&ended).copied().collect()
     }
 }
 
-fn place_of(entry: &WorkerEntry) -> usize {
+/// Returns the index of the worker whose address an entry has.
+fn worker_index(entry: &WorkerEntry) -> usize {
     usize::from(entry.address.port()) - 1_000
 }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/paths.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/paths.rs
@@ -1,60 +1,60 @@
-//! Paths between boxes, workers and the store, each way by itself, and what is under way on them.
+//! Paths between boxes, workers and the store, with separate faults of each direction, and the messages on them.
 
 use sedgehill_core::units::{Moment, TimeSpan};
 
-/// What becomes of what is sent one way.
+/// How messages in one direction of a path are delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Way {
-    /// It arrives at once.
+pub enum Delivery {
+    /// Messages arrive at once.
     #[default]
-    Open,
-    /// It never arrives.
+    Immediate,
+    /// Messages never arrive.
     Lost,
-    /// It arrives so much later, after what is sent when the way is open again.
-    Late(TimeSpan),
+    /// Messages arrive later by this time, and so after those that are sent when delivery is immediate again.
+    Delayed(TimeSpan),
 }
 
-impl Way {
+impl Delivery {
     fn arrival(self, now: Moment) -> Option<Moment> {
         match self {
-            Way::Open => Some(now),
-            Way::Lost => None,
-            Way::Late(by) => Some(now.after(by)),
+            Delivery::Immediate => Some(now),
+            Delivery::Lost => None,
+            Delivery::Delayed(by) => Some(now.after(by)),
         }
     }
 }
 
-/// Both ways between two places.
+/// Both directions between a box and a worker or the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Path {
-    /// For what is asked.
-    pub there: Way,
-    /// For answers.
-    pub back: Way,
+    /// The direction of calls.
+    pub request: Delivery,
+    /// The direction of answers.
+    pub reply: Delivery,
 }
 
-/// What is under way, in the order of sending.
+/// Messages on their way, in the order in which they were sent.
 #[derive(Debug)]
-pub struct Mail<T> {
+pub struct Channel<T> {
     items: Vec<(Moment, T)>,
 }
 
-impl<T> Default for Mail<T> {
-    fn default() -> Mail<T> {
-        Mail { items: Vec::new() }
+impl<T> Default for Channel<T> {
+    fn default() -> Channel<T> {
+        Channel { items: Vec::new() }
     }
 }
 
-impl<T> Mail<T> {
-    /// Sends something.
-    pub fn send(&mut self, way: Way, item: T, now: Moment) {
-        if let Some(at) = way.arrival(now) {
+impl<T> Channel<T> {
+    /// Sends a message, which is dropped if delivery is `Lost`.
+    pub fn send(&mut self, delivery: Delivery, item: T, now: Moment) {
+        if let Some(at) = delivery.arrival(now) {
             self.items.push((at, item));
         }
     }
 
-    /// What has arrived by now.
-    pub fn arrived(&mut self, now: Moment) -> Vec<T> {
+    /// Removes and returns the messages that have arrived by now.
+    pub fn take_arrived(&mut self, now: Moment) -> Vec<T> {
         let (arrived, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.items).into_iter().partition(|(at, _)| *at <= now);
         self.items = rest;
--- a/crates/sedgehill-cell/tests/testsuite/overlap/scenario.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/scenario.rs
@@ -1,18 +1,18 @@
-//! Random courses.
+//! Random scenarios of events for the simulated boxes.
 
 use proptest::prelude::*;
 use sedgehill_cell::job::StepSpec;
 use sedgehill_cell::scheduler::RunEnd;
 use sedgehill_core::units::{CoreCount, ResourceSet, TimeSpan};
 
-use super::{Path, Way, World};
+use super::{Delivery, Path, World};
 use crate::fake::{job, step};
 
 pub const HOSTS: usize = 3;
 pub const WORKERS: usize = 3;
-const CORES: u64 = 4;
+const WORKER_CORES: u64 = 4;
 
-/// Something that happens. Boxes are counted from the newest lead, workers from those that run something.
+/// An event of a scenario. Boxes are counted from the newest lead, workers from those that run something.
 #[derive(Debug, Clone)]
 pub enum Event {
     Submit {
@@ -20,10 +20,10 @@
         count: u16,
         need: u64,
         gang: bool,
-        /// Its first task crashes the workers that start it, so long after the start.
+        /// The time in milliseconds after which the first task crashes its worker; none if it does not.
         crashes: Option<u64>,
     },
-    /// A worker has so many cores from now on.
+    /// The capacity of a worker changes to `cores`.
     Resize {
         worker: usize,
         cores: u64,
@@ -32,13 +32,13 @@
         pick: usize,
         end: RunEnd,
     },
-    /// The path between a box and a worker.
+    /// The path between a box and a worker changes.
     WorkerPath {
         host: usize,
         worker: usize,
         path: Path,
     },
-    /// The path of a box to the topic of leads, to the rest of the store, or to both.
+    /// The path of a box to the topic of lead records, to the rest of the store, or to both changes.
     StorePath {
         host: usize,
         leads: Option<Path>,
@@ -53,48 +53,49 @@
         span: u64,
     },
     Resign(usize),
-    /// A box takes the lead as gone.
-    Gone(usize),
-    /// A box has a link to the lead, or none.
+    /// A box finds that nothing listens at the lead's address.
+    ConnectionRefused(usize),
+    /// A box gets or loses its connection to the lead.
     Link {
         host: usize,
         reachable: bool,
     },
-    /// A worker ends; its entry is listed for a time, and a new life comes.
-    WorkerDies {
+    /// The life of a worker ends. Its entry stays listed for `listed` ms, and the next life starts after `back` ms.
+    WorkerEnds {
         worker: usize,
         listed: u64,
         back: u64,
-        /// The next life has the same id, where workers tell when they began.
+        /// Whether the next life has the same id, if workers report when their lives start.
         keeps_id: bool,
     },
+    /// The store stops listing a worker, or lists it again.
     Unlist {
         worker: usize,
         unlisted: bool,
     },
-    /// The store removes its history.
-    Forget,
-    /// All paths are whole.
+    /// The store discards the history of its topics.
+    DiscardHistory,
+    /// All faults end.
     Heal,
-    /// Time goes on in small steps.
+    /// Time advances by this many milliseconds, in small steps.
     Run(u64),
-    /// Many seconds in larger steps.
-    Quiet(u64),
+    /// Time advances by this many milliseconds, in larger steps.
+    RunLong(u64),
 }
 
-fn way() -> impl Strategy<Value = Way> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        3 => Just(Way::Open),
-        2 => Just(Way::Lost),
-        1 => (100u64..9_000).prop_map(|by| Way::Late(TimeSpan(by))),
+        3 => Just(Delivery::Immediate),
+        2 => Just(Delivery::Lost),
+        1 => (100u64..9_000).prop_map(|by| Delivery::Delayed(TimeSpan(by))),
     ]
 }
 
 fn path() -> impl Strategy<Value = Path> {
     prop_oneof![
         2 => Just(Path::default()),
-        3 => Just(Path { there: Way::Lost, back: Way::Lost }),
-        3 => (way(), way()).prop_map(|(there, back)| Path { there, back }),
+        3 => Just(Path { request: Delivery::Lost, reply: Delivery::Lost }),
+        3 => (delivery(), delivery()).prop_map(|(request, reply)| Path { request, reply }),
     ]
 }
 
@@ -112,14 +113,14 @@
         2 => (host.clone(), 100u64..5_000).prop_map(|(host, span)| Event::Freeze { host, span }),
         3 => (host.clone(), 0u64..1_500).prop_map(|(host, span)| Event::Kill { host, span }),
         2 => host.clone().prop_map(Event::Resign),
-        2 => host.clone().prop_map(Event::Gone),
+        2 => host.clone().prop_map(Event::ConnectionRefused),
         1 => (host, any::<bool>()).prop_map(|(host, reachable)| Event::Link { host, reachable }),
         2 => (worker.clone(), 0u64..4_000, 0u64..3_000, prop::bool::weighted(0.7)).prop_map(
-            |(worker, listed, back, keeps_id)| Event::WorkerDies { worker, listed, back, keeps_id }
+            |(worker, listed, back, keeps_id)| Event::WorkerEnds { worker, listed, back, keeps_id }
         ),
         1 => (worker, any::<bool>())
             .prop_map(|(worker, unlisted)| Event::Unlist { worker, unlisted }),
-        1 => Just(Event::Forget),
+        1 => Just(Event::DiscardHistory),
         1 => Just(Event::Heal),
     ]
 }
@@ -136,23 +137,23 @@
         9 => fault(),
         8 => (20u64..1_500).prop_map(Event::Run),
         2 => (1_500u64..8_000).prop_map(Event::Run),
-        1 => (10_000u64..150_000).prop_map(Event::Quiet),
+        1 => (10_000u64..150_000).prop_map(Event::RunLong),
     ]
 }
 
-/// Paths by which a lead loses touch with the store and goes on giving orders.
-fn isolating() -> impl Strategy<Value = Path> {
-    let cut = Path { there: Way::Lost, back: Way::Lost };
+/// Returns a path to the store that isolates a lead while it goes on giving orders.
+fn isolating_path() -> impl Strategy<Value = Path> {
+    let cut = Path { request: Delivery::Lost, reply: Delivery::Lost };
     prop_oneof![
         3 => Just(cut),
         1 => (100u64..1_500)
-            .prop_map(|by| Path { there: Way::Open, back: Way::Late(TimeSpan(by)) }),
+            .prop_map(|by| Path { request: Delivery::Immediate, reply: Delivery::Delayed(TimeSpan(by)) }),
         1 => path(),
     ]
 }
 
-/// What befalls a box that has just followed a lead.
-fn upset() -> impl Strategy<Value = Option<Event>> {
+/// Returns an event that disturbs the box that has just succeeded a lead, or none.
+fn follower_fault() -> impl Strategy<Value = Option<Event>> {
     prop_oneof![
         2 => Just(None),
         2 => (0usize..2, 0u64..400).prop_map(|(host, span)| Some(Event::Kill { host, span })),
@@ -163,68 +164,68 @@
     ]
 }
 
-/// A worker that runs something is reached by the lead alone, perhaps late; the lead loses touch with the
-/// store and is followed, something befalls its followers, and a job comes.
+/// Returns a take-over: only the lead can reach a worker that runs something, perhaps with delay. The lead is isolated
+/// from the store and succeeded by another box, its successors may have a fault, and a job may be submitted.
 fn take_over() -> impl Strategy<Value = Vec<Event>> {
     let apart = prop::option::weighted(0.8, path());
-    let late = prop::option::of((100u64..4_000).prop_map(|by| Way::Late(TimeSpan(by))));
-    let rest = prop::option::weighted(0.7, isolating());
+    let late = prop::option::of((100u64..4_000).prop_map(|by| Delivery::Delayed(TimeSpan(by))));
+    let rest = prop::option::weighted(0.7, isolating_path());
     let spans = (20u64..1_400, 20u64..600, 2_000u64..9_500);
-    let followers = (0usize..3, upset(), prop::option::of(comes()));
-    (out_of_touch(), apart, late, isolating(), rest, spans, followers).prop_map(
+    let followers = (0usize..3, follower_fault(), prop::option::of(late_submission()));
+    (earlier_isolation(), apart, late, isolating_path(), rest, spans, followers).prop_map(
         |(mut events, apart, late, leads, rest, (before, between, after), followers)| {
-            let (gone, upset, comes) = followers;
-            let cut = Path { there: Way::Lost, back: Way::Lost };
+            let (refused, fault, submission) = followers;
+            let cut = Path { request: Delivery::Lost, reply: Delivery::Lost };
             events.push(Event::WorkerPath { host: 1, worker: 0, path: cut });
             events.extend(apart.map(|path| Event::WorkerPath { host: 2, worker: 0, path }));
-            let late = late.map(|there| Path { there, back: Way::Open });
+            let late = late.map(|request| Path { request, reply: Delivery::Immediate });
             events.push(Event::StorePath { host: 0, leads: Some(leads), rest });
             events.push(Event::Run(before));
             events.extend(late.map(|path| Event::WorkerPath { host: 0, worker: 0, path }));
-            events.extend((gone > 0).then_some(Event::Gone(gone)));
+            events.extend((refused > 0).then_some(Event::ConnectionRefused(refused)));
             events.push(Event::Run(between));
-            events.extend(upset);
-            events.extend(comes.into_iter().flatten());
+            events.extend(fault);
+            events.extend(submission.into_iter().flatten());
             events.push(Event::Run(after));
             events
         },
     )
 }
 
-/// Perhaps the lead has been out of touch with another worker that runs something.
-fn out_of_touch() -> impl Strategy<Value = Vec<Event>> {
-    let cut = Path { there: Way::Lost, back: Way::Lost };
+/// Returns events that may isolate the lead from another worker that runs something, before the take-over.
+fn earlier_isolation() -> impl Strategy<Value = Vec<Event>> {
+    let cut = Path { request: Delivery::Lost, reply: Delivery::Lost };
     let some = (0..WORKERS, 500u64..4_500).prop_map(move |(worker, span)| {
         vec![Event::WorkerPath { host: 0, worker, path: cut }, Event::Run(span)]
     });
     prop_oneof![2 => Just(Vec::new()), 1 => some]
 }
 
-/// A job that some box takes, a moment later.
-fn comes() -> impl Strategy<Value = [Event; 2]> {
+/// Returns a job that is submitted at some box a little later.
+fn late_submission() -> impl Strategy<Value = [Event; 2]> {
     (20u64..900, 0..HOSTS, 1u16..3).prop_map(|(span, host, count)| {
         [Event::Run(span), Event::Submit { host, count, need: 1, gang: false, crashes: None }]
     })
 }
 
-/// A course: a job or two at work, often for long, and what happens then.
+/// Returns a scenario: a job runs, often for a long time, and up to 39 events or take-overs follow.
 pub fn scenario() -> impl Strategy<Value = Vec<Event>> {
     let some = prop_oneof![6 => event().prop_map(|event| vec![event]), 1 => take_over()];
-    let begin = (1u16..4, 1u64..4, prop::option::of(10_000u64..180_000)).prop_map(
+    let start = (1u16..4, 1u64..4, prop::option::of(10_000u64..180_000)).prop_map(
         |(count, need, quiet)| {
             let mut events = vec![
                 Event::Submit { host: 0, count, need, gang: false, crashes: None },
                 Event::Run(400),
             ];
-            events.extend(quiet.map(Event::Quiet));
+            events.extend(quiet.map(Event::RunLong));
             events
         },
     );
     let rest = prop::collection::vec(some, 1..40);
-    (begin, rest).prop_map(|(begin, rest)| begin.into_iter().chain(rest.concat()).collect())
+    (start, rest).prop_map(|(start, rest)| start.into_iter().chain(rest.concat()).collect())
 }
 
-/// Lets an event happen.
+/// Applies an event to the world.
 pub fn apply_event(world: &mut World, event: Event) {
     match event {
         Event::Submit { host, count, need, gang, crashes } => {
@@ -238,12 +239,12 @@
         Event::End { pick, end } => world.end_some(pick, end),
         Event::WorkerPath { host, worker, path } => {
             let (host, worker) = (world.host(host), world.worker(worker));
-            world.disturb(host);
+            world.note_fault(host);
             world.paths[host].workers[worker] = path;
         }
         Event::StorePath { host, leads, rest } => {
             let host = world.host(host);
-            world.disturb(host);
+            world.note_fault(host);
             let paths = &mut world.paths[host];
             paths.leads = leads.unwrap_or(paths.leads);
             paths.store = rest.unwrap_or(paths.store);
@@ -256,39 +257,39 @@
         }
         Event::Freeze { host, span } => {
             let host = world.host(host);
-            world.disturb(host);
+            world.note_fault(host);
             world.freeze(host, TimeSpan(span));
         }
         Event::Kill { host, span } => {
             let host = world.host(host);
-            world.disturb(host);
+            world.note_fault(host);
             world.kill(host, TimeSpan(span));
         }
         Event::Resign(host) => world.resign(world.host(host)),
-        Event::Gone(host) => world.take_as_gone(world.host(host)),
-        Event::Link { host, reachable } => world.link(world.host(host), reachable),
-        Event::WorkerDies { worker, listed, back, keeps_id } => {
+        Event::ConnectionRefused(host) => world.refuse_connection(world.host(host)),
+        Event::Link { host, reachable } => world.set_reachable(world.host(host), reachable),
+        Event::WorkerEnds { worker, listed, back, keeps_id } => {
             let at = |span| world.now.after(TimeSpan(span));
             let (listed, back, worker) = (at(listed), at(back), world.worker(worker));
-            world.die(worker, listed, back, keeps_id);
+            world.end_life(worker, listed, back, keeps_id);
         }
         Event::Unlist { worker, unlisted } => {
             let worker = world.worker(worker);
             world.workers[worker].unlisted = unlisted;
         }
-        Event::Forget => world.forget_history(),
+        Event::DiscardHistory => world.discard_history(),
         Event::Heal => world.heal(),
         Event::Run(span) => world.run(TimeSpan(span), TimeSpan(20)),
-        Event::Quiet(span) => world.run(TimeSpan(span), TimeSpan(100)),
+        Event::RunLong(span) => world.run(TimeSpan(span), TimeSpan(100)),
     }
 }
 
-/// A world before a course: a lead, and workers some of whose clocks are slow.
+/// Returns a world with a lead, in which the workers marked in `slow` have slow clocks.
 pub fn start_world(slow: &[bool], keeps_ids: bool) -> World {
     let slow: Vec<u64> = slow.iter().map(|slow| if *slow { 20 } else { 0 }).collect();
-    let mut world = World::new(HOSTS, &slow, CORES);
+    let mut world = World::new(HOSTS, &slow, WORKER_CORES);
     if keeps_ids {
-        world.keep_ids();
+        world.reuse_ids();
     }
     world.run(TimeSpan(1_000), TimeSpan(20));
     world
--- a/crates/sedgehill-cell/tests/testsuite/overlap/session.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/session.rs
@@ -1,4 +1,4 @@
-//! What a box does while it leads: the scheduler, what is to be recorded, accounts of workers.
+//! The session of a box as lead: the scheduler, the batches to record, and the polling of workers.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,54 +17,55 @@
 use super::store::{Condition, PROGRESS, Row, StoreCall};
 use super::worker::WorkerCall;
 
-/// A lead gives up that has not fenced and caught up after so long.
-const FENCE_LIMIT: u64 = 3_000;
-/// Time between two readings of the list of workers, and between two accounts of a worker.
-const LIST_EVERY: TimeSpan = TimeSpan(400);
-const HOLD_EVERY: TimeSpan = TimeSpan(100);
-/// Pause before an append is tried again.
+/// How long a new lead may take to fence earlier leads and to catch up before it gives up.
+const FENCE_TIMEOUT_MS: u64 = 3_000;
+/// Time between two reads of the list of workers.
+const LIST_INTERVAL: TimeSpan = TimeSpan(400);
+/// Time from the report of a worker to the next hold.
+const HOLD_INTERVAL: TimeSpan = TimeSpan(100);
+/// Pause before an append is repeated.
 const RETRY_PAUSE: TimeSpan = TimeSpan(50);
-/// The store is taken as not answering after so long.
-const STORE_SILENT: u64 = 900;
+/// How long after its last answer the store counts as answering.
+const STORE_SILENCE_MS: u64 = 900;
 
-/// How far a lead has come.
+/// The stage of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The store does not refuse earlier leads yet.
+    /// The store does not yet refuse appends of earlier leads.
     Fencing,
-    /// It does since the given moment; what they recorded up to the offset is not all known.
-    Catching { end: u64, since: Moment },
-    /// It gives orders.
+    /// The store has refused them since `since`, but the box has not yet read all their records up to `end`.
+    CatchingUp { end: u64, since: Moment },
+    /// The lead gives orders.
     Leading,
 }
 
-/// A batch on its way into the store.
+/// An append that the store has not confirmed yet.
 #[derive(Debug, Clone)]
 pub struct Batch {
     progress: Option<ProgressBatch>,
-    led: Vec<(JobId, JobRecord)>,
+    lead_jobs: Vec<(JobId, JobRecord)>,
     pub rows: Vec<Row>,
 }
 
-/// One time of leading.
+/// The session of a box as lead under one token.
 pub struct Session {
     pub token: FencingToken,
     pub scheduler: Scheduler,
     pub stage: Stage,
     pub renew_at: Moment,
     pub renewing: bool,
-    /// What callers handed in here.
+    /// Jobs that callers submitted at this box and that are not recorded yet.
     pub submitted: Vec<(JobId, JobRecord)>,
-    began: Moment,
+    began_at: Moment,
     sequence: u64,
     first_sent: Option<Moment>,
     appending: bool,
     retry_at: Moment,
     batch: Option<Batch>,
     list_at: Moment,
-    answered: Moment,
-    /// When each watched worker is asked next; none while it is being asked.
-    watched: BTreeMap<WorkerKey, Option<Moment>>,
+    store_answered_at: Moment,
+    /// When each worker is polled next; none while a hold is not answered.
+    next_polls: BTreeMap<WorkerKey, Option<Moment>>,
 }
 
 impl Session {
@@ -78,24 +79,24 @@
             renew_at,
             renewing: false,
             submitted: Vec::new(),
-            began: now,
+            began_at: now,
             sequence: 0,
             first_sent: None,
             appending: false,
             retry_at: now,
             batch: None,
             list_at: now,
-            answered: now,
-            watched: BTreeMap::new(),
+            store_answered_at: now,
+            next_polls: BTreeMap::new(),
         }
     }
 
-    /// Whether it did not fence and catch up in time.
+    /// Returns whether the lead failed to fence earlier leads and to catch up in time.
     pub fn is_too_late(&self, now: Moment) -> bool {
-        self.stage != Stage::Leading && now.since(self.began).0 > FENCE_LIMIT
+        self.stage != Stage::Leading && now.since(self.began_at).0 > FENCE_TIMEOUT_MS
     }
 
-    /// All that earlier leads recorded is known: begins to lead.
+    /// Starts to lead, once all records of earlier leads are known.
     pub fn begin(&mut self, replica: &CellReplica, now: Moment) {
         self.stage = Stage::Leading;
         self.scheduler.note_fenced(now);
@@ -108,10 +109,10 @@
         self.scheduler.note_caught_up();
         let roster = replica.roster().clone();
         let keys = self.scheduler.add_roster(&roster, now);
-        self.watch(keys, now);
+        self.schedule_polls(keys, now);
     }
 
-    /// Takes in a job that was accepted just now.
+    /// Adds a newly accepted job to the scheduler.
     pub fn add_new_job(&mut self, replica: &CellReplica, id: JobId, now: Moment) {
         if self.stage == Stage::Leading {
             self.add_job(replica, id, now);
@@ -124,20 +125,20 @@
         self.scheduler.add_job(id, record, &job.progress_for_lead(), TimeSpan(0), now);
     }
 
-    fn watch(&mut self, keys: Vec<WorkerKey>, now: Moment) {
-        self.watched.extend(keys.into_iter().map(|key| (key, Some(now))));
+    fn schedule_polls(&mut self, keys: Vec<WorkerKey>, now: Moment) {
+        self.next_polls.extend(keys.into_iter().map(|key| (key, Some(now))));
     }
 
-    /// The list of workers was read.
-    pub fn take_list(&mut self, entries: Option<Vec<WorkerEntry>>, now: Moment) {
-        self.list_at = now.after(LIST_EVERY);
+    /// Handles a read of the list of workers; none if it failed.
+    pub fn handle_list(&mut self, entries: Option<Vec<WorkerEntry>>, now: Moment) {
+        self.list_at = now.after(LIST_INTERVAL);
         if let Some(entries) = entries {
             let keys = self.scheduler.update_workers(entries, &[], now);
-            self.watch(keys, now);
+            self.schedule_polls(keys, now);
         }
     }
 
-    /// Sends the append that is due, if any.
+    /// Sends the next append if one is due.
     pub fn record(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
         if self.appending || now < self.retry_at {
             return;
@@ -163,44 +164,53 @@
             return None;
         }
         let progress = self.scheduler.take_batch(now);
-        let led = std::mem::take(&mut self.submitted);
+        let lead_jobs = std::mem::take(&mut self.submitted);
         let row =
             |id: JobId, record: CellRecord| Row { key: record.key(id), value: record.encode() };
         let mut rows = Vec::new();
         if let Some(batch) = &progress {
             let jobs = batch.jobs.iter();
-            rows.extend(jobs.map(|(id, kept)| row(*id, CellRecord::Progress(kept.clone()))));
+            rows.extend(
+                jobs.map(|(id, progress)| row(*id, CellRecord::Progress(progress.clone()))),
+            );
             let roster = batch.roster.iter();
             let key = || WorkerRoster::KEY.to_owned();
             rows.extend(roster.map(|roster| Row { key: key(), value: roster.encode() }));
         }
-        rows.extend(led.iter().map(|(id, record)| row(*id, CellRecord::LeadJob(record.clone()))));
-        (progress.is_some() || !rows.is_empty()).then_some(Batch { progress, led, rows })
+        rows.extend(
+            lead_jobs.iter().map(|(id, record)| row(*id, CellRecord::LeadJob(record.clone()))),
+        );
+        (progress.is_some() || !rows.is_empty()).then_some(Batch { progress, lead_jobs, rows })
     }
 
-    /// The append was kept, and the topic ended at `end` after it. Returns what was recorded.
-    pub fn kept(&mut self, end: u64, watch: &mut LeadWatch, now: Moment) -> Option<Batch> {
+    /// Handles an append that the store kept, after which the topic ended at `end`. Returns the recorded batch.
+    pub fn handle_append_kept(
+        &mut self,
+        end: u64,
+        watch: &mut LeadWatch,
+        now: Moment,
+    ) -> Option<Batch> {
         self.appending = false;
-        self.answered = now;
+        self.store_answered_at = now;
         self.sequence += 1;
         if let Some(sent) = self.first_sent.take() {
             watch.note_fenced_append(self.token, sent, &Default::default());
         }
         if self.stage == Stage::Fencing {
-            self.stage = Stage::Catching { end, since: now };
+            self.stage = Stage::CatchingUp { end, since: now };
         }
         self.batch.take()
     }
 
-    /// Nobody knows what became of the append.
-    pub fn not_answered(&mut self, now: Moment) {
+    /// Handles an append whose outcome is unknown.
+    pub fn handle_append_unanswered(&mut self, now: Moment) {
         self.appending = false;
         self.retry_at = now.after(RETRY_PAUSE);
     }
 
-    /// Takes in what a batch that is in the store holds.
-    pub fn recorded(&mut self, batch: &Batch, replica: &CellReplica, now: Moment) {
-        for (id, record) in &batch.led {
+    /// Adds the jobs of a recorded batch to the scheduler.
+    pub fn add_recorded_jobs(&mut self, batch: &Batch, replica: &CellReplica, now: Moment) {
+        for (id, record) in &batch.lead_jobs {
             let known = replica.job(*id).is_some();
             if !known || self.scheduler.has_job(*id) {
                 self.scheduler.add_own_job(*id, Rc::new(record.clone()), now);
@@ -208,7 +218,7 @@
         }
     }
 
-    /// The scheduler hears that a batch is in the store.
+    /// Tells the scheduler that a batch is recorded.
     pub fn batch_recorded(&mut self, batch: &Batch) {
         if let Some(progress) = &batch.progress {
             self.scheduler.batch_recorded(progress);
@@ -217,13 +227,13 @@
 
     /// Notes that the store answered an append.
     pub fn store_answered(&mut self, now: Moment) {
-        self.answered = now;
+        self.store_answered_at = now;
     }
 
-    /// Reads the list, and gives orders if `may_order`.
+    /// Reads the list of workers if that is due, and schedules, sends orders and polls workers if `may_order`.
     pub fn turn(&mut self, may_order: bool, out: &mut Vec<(Purpose, Call)>, now: Moment) {
         if now >= self.list_at {
-            // Set anew when it was read.
+            // `handle_list` sets the time of the next read.
             self.list_at = Moment(u64::MAX);
             out.push((Purpose::List(self.token), Call::Store(StoreCall::List)));
         }
@@ -242,12 +252,12 @@
             }
         }
         self.scheduler.take_events();
-        self.ask_accounts(out, now);
+        self.poll_workers(out, now);
     }
 
-    fn send_start(&self, order: StartOrder, again: bool, out: &mut Vec<(Purpose, Call)>) {
+    fn send_start(&self, order: StartOrder, is_resend: bool, out: &mut Vec<(Purpose, Call)>) {
         let call = self.to_worker(order.worker, WorkerCall::Start(order.clone()));
-        out.push((Purpose::Start(self.token, order, again), call));
+        out.push((Purpose::Start(self.token, order, is_resend), call));
     }
 
     fn to_worker(&self, key: WorkerKey, call: WorkerCall) -> Call {
@@ -259,29 +269,29 @@
         Call::Worker { to: self.scheduler.entry(key).clone(), token, call }
     }
 
-    fn ask_accounts(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
+    fn poll_workers(&mut self, out: &mut Vec<(Purpose, Call)>, now: Moment) {
         let due: Vec<WorkerKey> = self
-            .watched
+            .next_polls
             .iter()
             .filter(|(_, at)| at.is_some_and(|at| now >= at))
             .map(|(key, _)| *key)
             .collect();
-        let store_answers = now.since(self.answered).0 < STORE_SILENT;
+        let store_answers = now.since(self.store_answered_at).0 < STORE_SILENCE_MS;
         for key in due {
             if !self.scheduler.should_poll(key) {
-                self.watched.remove(&key);
+                self.next_polls.remove(&key);
                 self.scheduler.stop_polling(key);
                 continue;
             }
-            self.watched.insert(key, None);
+            self.next_polls.insert(key, None);
             let order = self.scheduler.hold_order(key, store_answers, now);
             let call = self.to_worker(key, WorkerCall::Hold(order));
             out.push((Purpose::Hold(self.token, key), call));
         }
     }
 
-    /// An account came, or did not come in time. One that comes later is taken in too.
-    pub fn take_account(
+    /// Handles the answer to a hold, or its timeout. A report that arrives after the timeout is used too.
+    pub fn handle_report(
         &mut self,
         key: WorkerKey,
         answer: WorkerAnswer<HoldReport>,
@@ -289,33 +299,33 @@
         sent: Moment,
         now: Moment,
     ) {
-        if !late && let Some(at) = self.watched.get_mut(&key) {
-            *at = Some(now.after(HOLD_EVERY));
+        if !late && let Some(at) = self.next_polls.get_mut(&key) {
+            *at = Some(now.after(HOLD_INTERVAL));
         }
         if !late || matches!(answer, WorkerAnswer::Done(_)) {
             self.scheduler.hold_answered(key, answer, sent, now);
             let next = self.scheduler.take_new_lives();
-            self.watch(next, now);
+            self.schedule_polls(next, now);
         }
     }
 
-    /// A start was answered, or not in time. It is sent a second time then.
-    pub fn take_start(
+    /// Handles the answer to a start. After a timeout the start is sent once more.
+    pub fn handle_start_answer(
         &mut self,
         order: StartOrder,
-        again: bool,
+        is_resend: bool,
         answer: WorkerAnswer<WorkerTime>,
         may_order: bool,
         out: &mut Vec<(Purpose, Call)>,
         now: Moment,
     ) {
         let answer = match answer {
-            WorkerAnswer::Unknown if !again && may_order => {
+            WorkerAnswer::Unknown if !is_resend && may_order => {
                 return self.send_start(order, true, out);
             }
-            // The first copy may still be carried out, whatever the second meets.
+            // The first copy may still be carried out, whatever the answer to the second is.
             WorkerAnswer::NotDone(WorkerRefusal::Withheld) => WorkerAnswer::Unknown,
-            WorkerAnswer::NotDone(_) if again => WorkerAnswer::Unknown,
+            WorkerAnswer::NotDone(_) if is_resend => WorkerAnswer::Unknown,
             answer => answer,
         };
         self.scheduler.start_answered(&order, answer, now);
--- a/crates/sedgehill-cell/tests/testsuite/overlap/store.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/store.rs
@@ -1,31 +1,31 @@
-//! The store: topics that may be read behind and forget their oldest records, appends on conditions.
+//! A fake store: topics whose history can be discarded, with conditional appends.
 
 use std::collections::BTreeMap;
 
 use sedgehill_cell::scheduler::WorkerEntry;
 
-/// The topics, by their place.
+/// The indices of the topics.
 pub const LEADS: usize = 0;
 pub const PROGRESS: usize = 1;
 pub const JOBS: usize = 2;
 pub const TOPICS: usize = 3;
 
-/// The store gives its first answer again to so many earlier appends of a sender.
-const REPEATED: usize = 5;
+/// Number of earlier appends of an epoch for which the store repeats its first answer.
+const REMEMBERED_APPENDS: usize = 5;
 
-/// A record with its key.
+/// An encoded record with its key.
 #[derive(Debug, Clone)]
 pub struct Row {
     pub key: String,
     pub value: Vec<u8>,
 }
 
-/// What an append asks for.
+/// The condition of an append.
 #[derive(Debug, Clone, Copy)]
 pub enum Condition {
-    /// The topic ends there.
+    /// The topic ends at this offset.
     At(u64),
-    /// No later epoch was seen, and nothing is missing before it.
+    /// The store has seen no higher epoch, and the append follows the last one of its epoch.
     Sequence { epoch: u64, sequence: u64 },
 }
 
@@ -36,7 +36,7 @@
         rows: Vec<Row>,
         condition: Condition,
     },
-    /// Reads on from an offset, or the newest record of each key.
+    /// Reads the records from an offset on, or the newest record of each key.
     Read {
         topic: usize,
         from: Option<u64>,
@@ -46,8 +46,8 @@
 }
 
 impl StoreCall {
-    /// The topic of leads can be out of reach by itself.
-    pub fn is_of_leads(&self) -> bool {
+    /// Returns whether the call is about the topic of lead records, which has a path of its own.
+    pub fn is_on_lead_topic(&self) -> bool {
         match self {
             StoreCall::Append { topic, .. } | StoreCall::Read { topic, .. } => *topic == LEADS,
             StoreCall::List => false,
@@ -57,16 +57,17 @@
 
 #[derive(Debug, Clone)]
 pub enum StoreReply {
-    Kept { end: u64 },
-    NotKept,
+    Appended { end: u64 },
+    Rejected,
     Rows { rows: Vec<Row>, end: u64 },
-    Gone,
+    HistoryGone,
     Workers(Vec<WorkerEntry>),
 }
 
 #[derive(Debug, Default)]
 struct Topic {
     rows: Vec<Row>,
+    /// The offset before which the history was discarded.
     first: usize,
 }
 
@@ -78,17 +79,17 @@
     }
 }
 
-/// The store.
+/// A store with one epoch for all sequenced appends.
 #[derive(Debug, Default)]
 pub struct SimStore {
     topics: [Topic; TOPICS],
     epoch: u64,
-    /// The appends of the newest epoch: where the topic ended after each.
-    kept: Vec<(u64, u64)>,
+    /// The sequence numbers of the newest epoch's appends, with the end of the topic after each.
+    appended: Vec<(u64, u64)>,
 }
 
 impl SimStore {
-    /// Carries out a call. `listed` is what the list of workers holds now.
+    /// Carries out a call. `listed` holds the current entries of the list of workers.
     pub fn call(&mut self, call: StoreCall, listed: &[WorkerEntry]) -> StoreReply {
         match call {
             StoreCall::Append { topic, rows, condition } => self.append(topic, rows, condition),
@@ -97,17 +98,17 @@
         }
     }
 
-    /// A caller's job is put there by some box.
+    /// Appends the record of a job that a box accepted without the lead.
     pub fn put_job(&mut self, row: Row) {
         self.topics[JOBS].rows.push(row);
     }
 
-    /// The history of a topic is removed.
-    pub fn forget(&mut self, topic: usize) {
+    /// Discards the history of a topic.
+    pub fn discard_history(&mut self, topic: usize) {
         self.topics[topic].first = self.topics[topic].rows.len();
     }
 
-    /// The newest records of a topic.
+    /// Returns the newest record of each key of a topic.
     pub fn newest(&self, topic: usize) -> Vec<Row> {
         self.topics[topic].newest()
     }
@@ -118,43 +119,45 @@
 
     fn append(&mut self, topic: usize, rows: Vec<Row>, condition: Condition) -> StoreReply {
         match condition {
-            Condition::At(at) if at != self.end(topic) => StoreReply::NotKept,
-            Condition::At(_) => self.keep(topic, rows),
+            Condition::At(at) if at != self.end(topic) => StoreReply::Rejected,
+            Condition::At(_) => self.push_rows(topic, rows),
             Condition::Sequence { epoch, sequence } => {
                 if epoch > self.epoch {
                     self.epoch = epoch;
-                    self.kept.clear();
+                    self.appended.clear();
                 } else if epoch < self.epoch {
-                    return StoreReply::NotKept;
-                } else if let Some(again) = self.answered_before(sequence) {
-                    return again;
-                } else if self.kept.last().is_some_and(|(last, _)| sequence != last + 1) {
-                    return StoreReply::NotKept;
+                    return StoreReply::Rejected;
+                } else if let Some(answer) = self.earlier_answer(sequence) {
+                    return answer;
+                } else if self.appended.last().is_some_and(|(last, _)| sequence != last + 1) {
+                    return StoreReply::Rejected;
                 }
-                let reply = self.keep(topic, rows);
-                self.kept.push((sequence, self.end(topic)));
+                let reply = self.push_rows(topic, rows);
+                self.appended.push((sequence, self.end(topic)));
                 reply
             }
         }
     }
 
-    fn answered_before(&self, sequence: u64) -> Option<StoreReply> {
-        let mut recent = self.kept.iter().rev().take(REPEATED);
-        recent.find(|(kept, _)| *kept == sequence).map(|(_, end)| StoreReply::Kept { end: *end })
+    fn earlier_answer(&self, sequence: u64) -> Option<StoreReply> {
+        let mut recent = self.appended.iter().rev().take(REMEMBERED_APPENDS);
+        recent
+            .find(|(appended, _)| *appended == sequence)
+            .map(|(_, end)| StoreReply::Appended { end: *end })
     }
 
-    fn keep(&mut self, topic: usize, rows: Vec<Row>) -> StoreReply {
+    fn push_rows(&mut self, topic: usize, rows: Vec<Row>) -> StoreReply {
         self.topics[topic].rows.extend(rows);
-        StoreReply::Kept { end: self.end(topic) }
+        StoreReply::Appended { end: self.end(topic) }
     }
 
     fn read(&self, topic: usize, from: Option<u64>) -> StoreReply {
-        let held = &self.topics[topic];
+        let stored = &self.topics[topic];
         let end = self.end(topic);
         match from {
-            None => StoreReply::Rows { rows: held.newest(), end },
-            Some(from) if (from as usize) < held.first => StoreReply::Gone,
-            Some(from) => StoreReply::Rows { rows: held.rows[from as usize..].to_vec(), end },
+            None => StoreReply::Rows { rows: stored.newest(), end },
+            Some(from) if (from as usize) < stored.first => StoreReply::HistoryGone,
+            Some(from) => StoreReply::Rows { rows: stored.rows[from as usize..].to_vec(), end },
         }
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/overlap/worker.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/worker.rs
@@ -1,5 +1,5 @@
-//! A worker that keeps to the rules of the platform: tokens, leases on a clock of its own, ends that
-//! are listed until they are acknowledged.
+//! A fake worker that keeps the rules of the platform: fencing tokens, leases by its own clock, and ends that it
+//! reports until they are acknowledged.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,14 +13,14 @@
 use crate::fake::worker_entry;
 
 /// The longest lease that a worker grants.
-const HOLD_MOST: u64 = 6_000;
-/// Clocks of different lives differ by this much.
-const CLOCKS_APART: u64 = 10_000_000;
+const MAX_LEASE_MS: u64 = 6_000;
+/// Difference between the clocks of different lives.
+const CLOCK_OFFSET_MS: u64 = 10_000_000;
 
-/// Within so many milliseconds a lead has to know that a worker shrank: the users allow 3 s and a beat of 1.5 s.
-const KNOWN_WITHIN: u64 = 4_500;
+/// How soon a lead has to know that a worker shrank. The users allow 3 s and a heartbeat of 1.5 s.
+const MAX_SHRINK_NOTICE_MS: u64 = 4_500;
 
-/// What a worker is asked.
+/// A call to a worker.
 #[derive(Debug, Clone)]
 pub enum WorkerCall {
     Hold(HoldOrder),
@@ -28,137 +28,142 @@
     Stop(StopOrder),
 }
 
-/// What it answers.
+/// The answer of a worker.
 #[derive(Debug, Clone)]
 pub enum WorkerReply {
-    Account(WorkerAnswer<HoldReport>),
+    Report(WorkerAnswer<HoldReport>),
     Order(WorkerAnswer<WorkerTime>),
 }
 
-/// What runs there.
+/// A run on a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct SimRun {
     pub run: RunNumber,
     pub need: ResourceSet,
 }
 
-/// A place for workers: one life after the other.
+/// A worker address with the successive lives of the worker there.
 #[derive(Debug)]
 pub struct SimWorker {
     pub entry: WorkerEntry,
-    /// How much slower than true its clock runs, in thousandths.
-    pub slow: u64,
-    /// When the next life begins, if none is there.
+    /// How much slower than the simulated time the worker's clock runs, in thousandths.
+    pub clock_slow_permille: u64,
+    /// When the next life starts; none while a life is running.
     pub back_at: Option<Moment>,
-    /// An earlier life that is still listed, and until when.
-    pub ghost: Option<(WorkerEntry, Moment)>,
-    /// The store does not list it though it lives.
+    /// The entry of the life before this one, and until when the store lists it.
+    pub earlier_entry: Option<(WorkerEntry, Moment)>,
+    /// Whether the store does not list the running life.
     pub unlisted: bool,
     pub runs: BTreeMap<CellTask, SimRun>,
-    /// What it had before it shrank, and until when a lead may go by that.
-    pub earlier_sizes: Vec<(ResourceSet, Moment)>,
-    /// Ends that were acknowledged before a lease lapsed, not yet looked at by the checks.
-    pub noted: Vec<EndRow>,
+    /// Earlier capacities, and until when a lead may still use each.
+    pub earlier_capacities: Vec<(ResourceSet, Moment)>,
+    /// Ends with `Done` that were acknowledged before a lease ended and are not checked yet.
+    pub acknowledged_ends: Vec<EndRow>,
     ends: Vec<EndRow>,
     next_end: u64,
-    excused: u64,
+    /// The number of the last end before the lease last ended. Acknowledged ends up to this number are not checked.
+    ends_before_lapse: u64,
     token: FencingToken,
+    /// The highest run of each task that ended or was stopped here. Starts of runs up to it are refused.
     floor: HashMap<CellTask, RunNumber>,
+    /// The end of the lease by the worker's clock, in milliseconds.
     lease_until: u64,
     number: u16,
-    lives: u64,
-    born: Moment,
-    /// The next life has the id of this one.
+    life_count: u64,
+    life_started_at: Moment,
+    /// Whether the next life has the same id.
     keeps_id: bool,
 }
 
 impl SimWorker {
-    pub fn new(number: u16, capacity: u64, slow: u64, now: Moment) -> SimWorker {
+    pub fn new(number: u16, capacity: u64, clock_slow_permille: u64, now: Moment) -> SimWorker {
         SimWorker {
             entry: worker_entry(number, capacity),
-            slow,
+            clock_slow_permille,
             back_at: None,
-            ghost: None,
+            earlier_entry: None,
             unlisted: false,
             runs: BTreeMap::new(),
-            earlier_sizes: Vec::new(),
-            noted: Vec::new(),
+            earlier_capacities: Vec::new(),
+            acknowledged_ends: Vec::new(),
             ends: Vec::new(),
             next_end: 1,
-            excused: 0,
+            ends_before_lapse: 0,
             token: FencingToken(0),
             floor: HashMap::new(),
             lease_until: 0,
             number,
-            lives: 1,
-            born: now,
+            life_count: 1,
+            life_started_at: now,
             keeps_id: false,
         }
     }
 
-    /// It tells when its life began.
-    pub fn tell_start(&mut self) {
-        self.entry.life.start = Some(LifeStart(self.born.0));
+    /// Makes the worker report when its life started.
+    pub fn report_start(&mut self) {
+        self.entry.life.start = Some(LifeStart(self.life_started_at.0));
     }
 
-    /// The life ends. Its entry stays in the list until `listed`, and a new one begins at `back`.
-    pub fn die(&mut self, listed: Moment, back: Moment, keeps_id: bool) {
+    /// Ends the life. The store lists its entry until `listed`, and the next life starts at `back`.
+    pub fn end_life(&mut self, listed: Moment, back: Moment, keeps_id: bool) {
         if self.back_at.is_none() {
-            self.ghost = Some((self.entry.clone(), listed));
+            self.earlier_entry = Some((self.entry.clone(), listed));
             self.back_at = Some(back);
             self.runs.clear();
-            // Only who tells when its life began may have the same id.
+            // Only a worker that reports when its lives start may keep its id.
             self.keeps_id = keeps_id && self.entry.life.start.is_some();
         }
     }
 
-    /// Begins the next life if its time has come.
-    pub fn live(&mut self, now: Moment) {
+    /// Starts the next life if it is due.
+    pub fn start_due_life(&mut self, now: Moment) {
         if self.back_at.is_none_or(|back| now < back) {
             return;
         }
-        let (number, lives, slow) = (self.number, self.lives, self.slow);
+        let (number, life_count, clock_slow_permille) =
+            (self.number, self.life_count, self.clock_slow_permille);
         let life = match self.keeps_id {
             true => self.entry.life.clone(),
-            false => WorkerLife::from(format!("w{number}-{lives}").as_str()),
+            false => WorkerLife::from(format!("w{number}-{life_count}").as_str()),
         };
-        let tells = self.entry.life.start.is_some();
+        let reports_start = self.entry.life.start.is_some();
         let entry = WorkerEntry { life, ..self.entry.clone() };
-        let ghost = self.ghost.take();
-        let fresh = SimWorker::new(number, 0, slow, now);
-        *self = SimWorker { entry, ghost, lives: lives + 1, ..fresh };
-        if tells {
-            self.tell_start();
+        let earlier_entry = self.earlier_entry.take();
+        let next = SimWorker::new(number, 0, clock_slow_permille, now);
+        *self = SimWorker { entry, earlier_entry, life_count: life_count + 1, ..next };
+        if reports_start {
+            self.report_start();
         }
     }
 
-    /// What the store lists of this place.
+    /// Returns the entries that the store lists for this address.
     pub fn listed(&self, now: Moment) -> Vec<WorkerEntry> {
-        let living = (self.back_at.is_none() && !self.unlisted).then(|| self.entry.clone());
-        let ghost = self.ghost.iter().filter(|(_, until)| now < *until);
-        let ghost = ghost.map(|(entry, _)| entry.clone());
-        // There is one entry to an id. That of an earlier life may stand for a time after the next began.
-        let hidden = |one: &WorkerEntry| {
-            self.ghost
+        let current = (self.back_at.is_none() && !self.unlisted).then(|| self.entry.clone());
+        let earlier = self.earlier_entry.iter().filter(|(_, until)| now < *until);
+        let earlier = earlier.map(|(entry, _)| entry.clone());
+        // The store lists one entry for each id. The entry of the earlier life may stay after the next life started.
+        let hidden = |entry: &WorkerEntry| {
+            self.earlier_entry
                 .as_ref()
-                .is_some_and(|(ghost, until)| ghost.life.id == one.life.id && now < *until)
+                .is_some_and(|(earlier, until)| earlier.life.id == entry.life.id && now < *until)
         };
-        ghost.chain(living.filter(|one| !hidden(one))).collect()
+        earlier.chain(current.filter(|entry| !hidden(entry))).collect()
     }
 
+    /// Returns the time by the worker's clock.
     fn clock(&self, now: Moment) -> WorkerTime {
-        let since = now.since(self.born).0;
-        // Each life's clock begins anew, every other one behind that of the life before.
-        let begins = if self.lives.is_multiple_of(2) { 1 } else { self.lives + 1 };
-        WorkerTime(begins * CLOCKS_APART + since - since * self.slow / 1000)
+        let elapsed = now.since(self.life_started_at).0;
+        // Each life has its own clock. The clock of every second life is behind that of the life before.
+        let offset = if self.life_count.is_multiple_of(2) { 1 } else { self.life_count + 1 };
+        WorkerTime(offset * CLOCK_OFFSET_MS + elapsed - elapsed * self.clock_slow_permille / 1000)
     }
 
-    /// Ends what runs if the lease is over.
-    pub fn lapse(&mut self, now: Moment) {
+    /// Ends all runs if the lease has ended.
+    pub fn expire_lease(&mut self, now: Moment) {
         if self.clock(now).0 <= self.lease_until {
             return;
         }
-        self.excused = self.next_end - 1;
+        self.ends_before_lapse = self.next_end - 1;
         let tasks: Vec<CellTask> = self.runs.keys().copied().collect();
         for task in tasks {
             self.end(task, RunEnd::Lapsed);
@@ -167,14 +172,14 @@
 
     /// Ends a run.
     pub fn end(&mut self, task: CellTask, end: RunEnd) {
-        let run = self.runs.remove(&task).expect("the task runs there").run;
+        let run = self.runs.remove(&task).expect("the task runs on the worker").run;
         self.floor.insert(task, run);
         let row = EndRow { number: self.next_end, task, run, end, checkpoint: String::new() };
         self.next_end += 1;
         self.ends.push(row);
     }
 
-    /// Does what it is asked, unless that is meant for another life. None if there is no life.
+    /// Carries out a call unless it is for another life or its token is fenced. Returns none if no life is running.
     pub fn call(
         &mut self,
         life: &WorkerLife,
@@ -185,7 +190,7 @@
         if self.back_at.is_some() {
             return None;
         }
-        self.lapse(now);
+        self.expire_lease(now);
         let refusal = match () {
             () if life.id != self.entry.life.id => Some(WorkerRefusal::OtherLife),
             () if token < self.token => Some(WorkerRefusal::Fenced),
@@ -193,20 +198,20 @@
         };
         if let Some(refusal) = refusal {
             return Some(match call {
-                WorkerCall::Hold(_) => WorkerReply::Account(WorkerAnswer::NotDone(refusal)),
+                WorkerCall::Hold(_) => WorkerReply::Report(WorkerAnswer::NotDone(refusal)),
                 _ => WorkerReply::Order(WorkerAnswer::NotDone(refusal)),
             });
         }
         self.token = token;
         Some(match call {
-            WorkerCall::Hold(order) => WorkerReply::Account(self.hold(order, now)),
+            WorkerCall::Hold(order) => WorkerReply::Report(self.hold(order, now)),
             WorkerCall::Start(order) => WorkerReply::Order(self.start(order, now)),
             WorkerCall::Stop(order) => WorkerReply::Order(self.stop(order, now)),
         })
     }
 
-    fn extend(&mut self, until: WorkerTime, now: Moment) {
-        let until = until.0.min(self.clock(now).0 + HOLD_MOST);
+    fn extend_lease(&mut self, until: WorkerTime, now: Moment) {
+        let until = until.0.min(self.clock(now).0 + MAX_LEASE_MS);
         self.lease_until = self.lease_until.max(until);
     }
 
@@ -215,11 +220,11 @@
         if order.lease_until.0 < clock.0 {
             return WorkerAnswer::NotDone(WorkerRefusal::Late);
         }
-        self.extend(order.lease_until, now);
+        self.extend_lease(order.lease_until, now);
         if self.floor.get(&order.task).is_some_and(|floor| order.run <= *floor) {
             return WorkerAnswer::NotDone(WorkerRefusal::OldRun);
         }
-        if self.runs.get(&order.task).is_none_or(|there| there.run != order.run) {
+        if self.runs.get(&order.task).is_none_or(|running| running.run != order.run) {
             let need = order.record.spec.steps[usize::from(order.task.step.step)].need;
             let previous = self.runs.insert(order.task, SimRun { run: order.run, need });
             assert!(previous.is_none(), "{} runs twice on one worker", order.task);
@@ -230,7 +235,7 @@
     fn stop(&mut self, order: &StopOrder, now: Moment) -> WorkerAnswer<WorkerTime> {
         let floor = self.floor.entry(order.task).or_insert(order.run);
         *floor = order.run.max(*floor);
-        if self.runs.get(&order.task).is_some_and(|there| there.run == order.run) {
+        if self.runs.get(&order.task).is_some_and(|running| running.run == order.run) {
             self.end(order.task, RunEnd::Stopped);
         }
         WorkerAnswer::Done(self.clock(now))
@@ -238,18 +243,18 @@
 
     fn hold(&mut self, order: &HoldOrder, now: Moment) -> WorkerAnswer<HoldReport> {
         if let Some(until) = order.lease_until {
-            self.extend(until, now);
+            self.extend_lease(until, now);
         }
-        let (forgotten, ended): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
+        let (acknowledged, ended): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
             .into_iter()
-            .partition(|e| e.number <= order.acknowledged);
+            .partition(|end| end.number <= order.acknowledged);
         self.ends = ended.clone();
-        let excused = self.excused;
-        let counts = |end: &EndRow| end.end == RunEnd::Done && end.number > excused;
-        self.noted.extend(forgotten.into_iter().filter(counts));
-        let row = |(task, there): (&CellTask, &SimRun)| RunningRow {
+        let ends_before_lapse = self.ends_before_lapse;
+        let is_checked = |end: &EndRow| end.end == RunEnd::Done && end.number > ends_before_lapse;
+        self.acknowledged_ends.extend(acknowledged.into_iter().filter(is_checked));
+        let row = |(task, running): (&CellTask, &SimRun)| RunningRow {
             task: *task,
-            run: there.run,
+            run: running.run,
             checkpoint: String::new(),
         };
         let running = self.runs.iter().map(row).collect();
@@ -261,20 +266,20 @@
         })
     }
 
-    /// It has so much from now on.
+    /// Changes the capacity.
     pub fn resize(&mut self, capacity: ResourceSet, now: Moment) {
         let earlier = std::mem::replace(&mut self.entry.capacity, capacity);
-        self.earlier_sizes.push((earlier, now.after(TimeSpan(KNOWN_WITHIN))));
+        self.earlier_capacities.push((earlier, now.after(TimeSpan(MAX_SHRINK_NOTICE_MS))));
     }
 
-    /// Whether what runs there fits into what a lead has to know that it has.
+    /// Returns whether the runs fit into the capacity, or into one that a lead may still use.
     pub fn fits(&self, now: Moment) -> bool {
         let used = self.used();
-        let mut earlier = self.earlier_sizes.iter().filter(|(_, until)| now < *until);
+        let mut earlier = self.earlier_capacities.iter().filter(|(_, until)| now < *until);
         self.entry.capacity.fits(&used) || earlier.any(|(capacity, _)| capacity.fits(&used))
     }
 
-    /// What all that runs there needs.
+    /// Returns the resources that all runs use.
     pub fn used(&self) -> ResourceSet {
         self.runs.values().fold(ResourceSet::default(), |sum, run| sum.plus(&run.need))
     }
