--- a/crates/sedgehill-cell/tests/testsuite/fake/ends.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/ends.rs
@@ -92,7 +92,7 @@
 
     /// Ends the run of a task on whichever worker it is.
     pub fn end_anywhere(&mut self, task: CellTask, end: RunEnd) {
-        let number = self.place(task).expect("the task runs somewhere");
+        let number = self.place(task).expect("the task runs on a worker");
         self.end(number, task, end);
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/mod.rs
@@ -274,8 +274,8 @@
     /// Accepts a job at the lead.
     pub fn submit_led(&mut self, scheduler: &mut Scheduler, id: u64, record: JobRecord) {
         let record = Rc::new(record);
-        let kept = JobProgress { may_have_started: true, ..JobProgress::default() };
-        self.store.entry(JobId(id)).or_insert((record.clone(), kept));
+        let progress = JobProgress { may_have_started: true, ..JobProgress::default() };
+        self.store.entry(JobId(id)).or_insert((record.clone(), progress));
         scheduler.add_own_job(JobId(id), record, self.now);
     }
 
--- a/crates/sedgehill-cell/tests/testsuite/overlap/crashes.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/crashes.rs
@@ -32,10 +32,10 @@
     /// Returns whether a box has had no fault for `FAULT_RECOVERY` and all its paths work.
     fn is_undisturbed(&self, host: usize) -> bool {
         let paths = &self.paths[host];
-        let mut paths = paths.workers.iter().chain([&paths.leads, &paths.store]);
+        let all_paths = paths.workers.iter().chain([&paths.leads, &paths.store]);
         let frozen = self.now < self.hosts[host].frozen_until.after(FAULT_RECOVERY);
         let recovered = self.now >= self.last_fault_at[host].after(FAULT_RECOVERY);
-        recovered && !frozen && paths.all(|path| *path == Path::default())
+        recovered && !frozen && all_paths.into_iter().all(|path| *path == Path::default())
     }
 
     /// Schedules the crash of a worker if the task that it has started crashes its workers, and checks that an
--- a/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
@@ -211,9 +211,9 @@
         let may_order = self.may_order(now);
         let Some(session) = &mut self.session else { return };
         if let Stage::CatchingUp { end, since } = session.stage {
-            let known = self.views[PROGRESS].offset.is_some_and(|offset| offset >= end);
-            if known && self.views[JOBS].complete >= Some(since) {
-                session.begin(&self.replica, now);
+            let caught_up = self.views[PROGRESS].offset.is_some_and(|offset| offset >= end);
+            if caught_up && self.views[JOBS].complete >= Some(since) {
+                session.start_leading(&self.replica, now);
             }
         }
         if session.is_too_late(now) {
--- a/crates/sedgehill-cell/tests/testsuite/overlap/scenario.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/scenario.rs
@@ -143,9 +143,9 @@
 
 /// Returns a path to the store that isolates a lead while it goes on giving orders.
 fn isolating_path() -> impl Strategy<Value = Path> {
-    let cut = Path { request: Delivery::Lost, reply: Delivery::Lost };
+    let lost_both_ways = Path { request: Delivery::Lost, reply: Delivery::Lost };
     prop_oneof![
-        3 => Just(cut),
+        3 => Just(lost_both_ways),
         1 => (100u64..1_500)
             .prop_map(|by| Path { request: Delivery::Immediate, reply: Delivery::Delayed(TimeSpan(by)) }),
         1 => path(),
@@ -167,17 +167,17 @@
 /// Returns a take-over: only the lead can reach a worker that runs something, perhaps with delay. The lead is isolated
 /// from the store and succeeded by another box, its successors may have a fault, and a job may be submitted.
 fn take_over() -> impl Strategy<Value = Vec<Event>> {
-    let apart = prop::option::weighted(0.8, path());
+    let other_path = prop::option::weighted(0.8, path());
     let late = prop::option::of((100u64..4_000).prop_map(|by| Delivery::Delayed(TimeSpan(by))));
     let rest = prop::option::weighted(0.7, isolating_path());
     let spans = (20u64..1_400, 20u64..600, 2_000u64..9_500);
     let followers = (0usize..3, follower_fault(), prop::option::of(late_submission()));
-    (earlier_isolation(), apart, late, isolating_path(), rest, spans, followers).prop_map(
-        |(mut events, apart, late, leads, rest, (before, between, after), followers)| {
+    (earlier_isolation(), other_path, late, isolating_path(), rest, spans, followers).prop_map(
+        |(mut events, other_path, late, leads, rest, (before, between, after), followers)| {
             let (refused, fault, submission) = followers;
-            let cut = Path { request: Delivery::Lost, reply: Delivery::Lost };
-            events.push(Event::WorkerPath { host: 1, worker: 0, path: cut });
-            events.extend(apart.map(|path| Event::WorkerPath { host: 2, worker: 0, path }));
+            let lost_both_ways = Path { request: Delivery::Lost, reply: Delivery::Lost };
+            events.push(Event::WorkerPath { host: 1, worker: 0, path: lost_both_ways });
+            events.extend(other_path.map(|path| Event::WorkerPath { host: 2, worker: 0, path }));
             let late = late.map(|request| Path { request, reply: Delivery::Immediate });
             events.push(Event::StorePath { host: 0, leads: Some(leads), rest });
             events.push(Event::Run(before));
@@ -194,9 +194,9 @@
 
 /// Returns events that may isolate the lead from another worker that runs something, before the take-over.
 fn earlier_isolation() -> impl Strategy<Value = Vec<Event>> {
-    let cut = Path { request: Delivery::Lost, reply: Delivery::Lost };
+    let lost_both_ways = Path { request: Delivery::Lost, reply: Delivery::Lost };
     let some = (0..WORKERS, 500u64..4_500).prop_map(move |(worker, span)| {
-        vec![Event::WorkerPath { host: 0, worker, path: cut }, Event::Run(span)]
+        vec![Event::WorkerPath { host: 0, worker, path: lost_both_ways }, Event::Run(span)]
     });
     prop_oneof![2 => Just(Vec::new()), 1 => some]
 }
@@ -212,12 +212,12 @@
 pub fn scenario() -> impl Strategy<Value = Vec<Event>> {
     let some = prop_oneof![6 => event().prop_map(|event| vec![event]), 1 => take_over()];
     let start = (1u16..4, 1u64..4, prop::option::of(10_000u64..180_000)).prop_map(
-        |(count, need, quiet)| {
+        |(count, need, long_run)| {
             let mut events = vec![
                 Event::Submit { host: 0, count, need, gang: false, crashes: None },
                 Event::Run(400),
             ];
-            events.extend(quiet.map(Event::RunLong));
+            events.extend(long_run.map(Event::RunLong));
             events
         },
     );
--- a/crates/sedgehill-cell/tests/testsuite/overlap/session.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/session.rs
@@ -97,13 +97,13 @@
     }
 
     /// Starts to lead, once all records of earlier leads are known.
-    pub fn begin(&mut self, replica: &CellReplica, now: Moment) {
+    pub fn start_leading(&mut self, replica: &CellReplica, now: Moment) {
         self.stage = Stage::Leading;
         self.scheduler.note_fenced(now);
         self.scheduler.add_helper(OWN_BOX);
-        let mut known: Vec<JobId> = replica.jobs().map(|(id, _)| id).collect();
-        known.sort();
-        for id in known {
+        let mut ids: Vec<JobId> = replica.jobs().map(|(id, _)| id).collect();
+        ids.sort();
+        for id in ids {
             self.add_job(replica, id, now);
         }
         self.scheduler.note_caught_up();
@@ -211,8 +211,8 @@
     /// Adds the jobs of a recorded batch to the scheduler.
     pub fn add_recorded_jobs(&mut self, batch: &Batch, replica: &CellReplica, now: Moment) {
         for (id, record) in &batch.lead_jobs {
-            let known = replica.job(*id).is_some();
-            if !known || self.scheduler.has_job(*id) {
+            let in_replica = replica.job(*id).is_some();
+            if !in_replica || self.scheduler.has_job(*id) {
                 self.scheduler.add_own_job(*id, Rc::new(record.clone()), now);
             }
         }
