--- a/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
+++ b/crates/sedgehill-cell/tests/testsuite/fake/crashes.rs
@@ -56,7 +56,8 @@
     further_starts: HashMap<CellTask, usize>,
     /// Failed runs of each task.
     failed: HashMap<CellTask, HashSet<RunNumber>>,
-    /// Number of workers that crashed while they ran a task or listed its end, whatever the cause.
+    /// Number of worker lives that ended while they ran a task, listed its end, or had a start of it on the way,
+    /// whatever the cause.
     lost_workers: HashMap<CellTask, usize>,
     /// Whether all members of a gang's run have ever run at the same time.
     complete_gangs: HashMap<(StepId, RunNumber), bool>,
