--- a/crates/sedgehill-standin/src/soak/mod.rs
+++ b/crates/sedgehill-standin/src/soak/mod.rs
@@ -27,15 +27,15 @@
 /// How long tasks run, in milliseconds: many outlive their lead.
 pub(crate) const RUN_MS: std::ops::Range<u64> = 150..2_000;
 /// How long everything accepted may take to end once all is well again.
-const SETTLE_LIMIT: Duration = Duration::from_secs(45);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
 /// From its acceptance until every box has to know a job, as callers are told.
-const VISIBLE: Duration = Duration::from_secs(3);
+const MAX_VISIBILITY_DELAY: Duration = Duration::from_secs(3);
 /// Time between two looks.
-const TURN: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a cell of a soak is like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SoakWorld {
+pub enum SoakProfile {
     /// Workers of four cores, an organisation with keys and limits, jobs of a few tasks, an advice service that likes
     /// every worker at once.
     Narrow,
@@ -52,38 +52,38 @@
 pub struct SoakSize {
     /// Boxes.
     pub boxes: usize,
-    /// Workers; there are as many callers in a narrow world.
+    /// Workers; there are as many callers in a narrow profile.
     pub workers: usize,
     /// What it is like.
-    pub world: SoakWorld,
+    pub profile: SoakProfile,
     /// Boxes, paths, workers and the store are broken. Otherwise only questions to the advice service are.
     pub faults: bool,
 }
 
 impl Default for SoakSize {
     fn default() -> SoakSize {
-        SoakSize { boxes: 3, workers: 6, world: SoakWorld::Narrow, faults: true }
+        SoakSize { boxes: 3, workers: 6, profile: SoakProfile::Narrow, faults: true }
     }
 }
 
-/// Callers of a wide world.
+/// Callers of a wide profile.
 const WIDE_CALLERS: u64 = 12;
-/// How long the load of a wide world goes on once all is well again.
+/// How long the load of a wide profile goes on once all is well again.
 const CALM_LOAD: Duration = Duration::from_secs(12);
 
 impl SoakSize {
     /// Cores of a worker.
     pub fn cores(&self) -> usize {
-        match self.world {
-            SoakWorld::Narrow => CORES,
-            SoakWorld::Wide | SoakWorld::Full => wide::WIDE_CORES,
+        match self.profile {
+            SoakProfile::Narrow => CORES,
+            SoakProfile::Wide | SoakProfile::Full => wide::WIDE_CORES,
         }
     }
 
     fn callers(&self) -> u64 {
-        match self.world {
-            SoakWorld::Narrow => self.workers as u64,
-            SoakWorld::Wide | SoakWorld::Full => WIDE_CALLERS,
+        match self.profile {
+            SoakProfile::Narrow => self.workers as u64,
+            SoakProfile::Wide | SoakProfile::Full => WIDE_CALLERS,
         }
     }
 }
@@ -113,13 +113,13 @@
 
 /// A box, running or not.
 struct SoakBox {
-    site: CellBoxConfig,
+    config: CellBoxConfig,
     path: FaultyPath,
     process: Option<CellProcess>,
 }
 
 /// In one run of so many, each life of a worker has an id of its own and tells nothing of its start.
-const OTHER_IDS_ONE_IN: u64 = 4;
+const NEW_IDS_ONE_IN: u64 = 4;
 
 /// A running soak.
 struct Soak<'a> {
@@ -144,27 +144,28 @@
     let mut soak = Soak::start(seed, size, directory).await?;
     soak.platform.workers.seed(seed);
     soak.platform.store.seed(seed);
-    let callers = CallerPool::new(soak.boxes.iter().map(|one| one.site.callers).collect(), size);
+    let callers =
+        CallerPool::new(soak.boxes.iter().map(|soak_box| soak_box.config.callers).collect(), size);
     let mut report = SoakReport { faults: plan.len(), ..SoakReport::default() };
     let platform = soak.platform.clone();
-    let load = futures_all((0..size.callers()).map(|caller| {
+    let load = drive_all((0..size.callers()).map(|caller| {
         let (callers, platform) = (&callers, &platform);
         async move {
-            match size.world {
-                SoakWorld::Full => full::load(callers, platform, seed, caller + 1).await,
-                SoakWorld::Narrow | SoakWorld::Wide => callers.run(seed, caller + 1).await,
+            match size.profile {
+                SoakProfile::Full => full::run_caller(callers, platform, seed, caller + 1).await,
+                SoakProfile::Narrow | SoakProfile::Wide => callers.run(seed, caller + 1).await,
             }
         }
     }));
     let keys = soak.keys.clone();
-    let addresses: Vec<_> = soak.boxes.iter().map(|one| one.site.callers).collect();
+    let addresses: Vec<_> = soak.boxes.iter().map(|soak_box| soak_box.config.callers).collect();
     let probing = keys.probe(&addresses, seed);
     let (progress, restarts) = (soak.progress.clone(), soak.restarts.clone());
     let watching = async {
-        match size.world {
-            SoakWorld::Narrow => std::future::pending().await,
-            SoakWorld::Wide => progress.run(&platform, callers.told()).await,
-            SoakWorld::Full => restarts.run(&platform).await,
+        match size.profile {
+            SoakProfile::Narrow => std::future::pending().await,
+            SoakProfile::Wide => progress.run(&platform, callers.jobs()).await,
+            SoakProfile::Full => restarts.run(&platform).await,
         }
     };
     tokio::select! {
@@ -175,22 +176,22 @@
     }
     soak.check_long_running(&callers, &mut report).await;
     soak.check(&callers, &mut report).await;
-    report.stalled = soak.progress.longest();
-    report.without_run = soak.restarts.longest();
-    report.long_running = soak.restarts.seen();
+    report.stalled = soak.progress.max_stall();
+    report.without_run = soak.restarts.max_time_without_run();
+    report.long_running = soak.restarts.seen_count();
     let watched = [
-        (soak.progress.broken(), "\"step stalled\""),
-        (soak.restarts.broken(), "\"task without a run\""),
+        (soak.progress.violations(), "\"step stalled\""),
+        (soak.restarts.violations(), "\"task without a run\""),
     ];
     for (broken, line) in watched.into_iter().filter(|(broken, _)| !broken.is_empty()) {
         report.broken.extend(broken);
-        report.broken.extend(soak.told_lines(line));
+        report.broken.extend(soak.log_lines(line));
     }
     Ok(report)
 }
 
 /// Drives all futures, which do not end by themselves.
-async fn futures_all<F: Future<Output = ()>>(futures: impl Iterator<Item = F>) {
+async fn drive_all<F: Future<Output = ()>>(futures: impl Iterator<Item = F>) {
     let mut pending: Vec<std::pin::Pin<Box<F>>> = futures.map(Box::pin).collect();
     std::future::poll_fn(|context| {
         pending.retain_mut(|future| future.as_mut().poll(context).is_pending());
@@ -205,29 +206,29 @@
 impl<'a> Soak<'a> {
     async fn start(seed: u64, size: SoakSize, directory: &'a Path) -> std::io::Result<Soak<'a>> {
         let mut platform = CellPlatform::start_with_cores(size.workers, size.cores()).await?;
-        platform.workers.set_run_ms(match size.world {
-            SoakWorld::Narrow | SoakWorld::Wide => RUN_MS,
-            SoakWorld::Full => FULL_RUN_MS,
+        platform.workers.set_run_ms(match size.profile {
+            SoakProfile::Narrow | SoakProfile::Wide => RUN_MS,
+            SoakProfile::Full => FULL_RUN_MS,
         });
-        if !seed.is_multiple_of(OTHER_IDS_ONE_IN) {
+        if !seed.is_multiple_of(NEW_IDS_ONE_IN) {
             platform.reuse_worker_ids(seed);
         }
         platform.put_foreign_entries();
         let keys = SoakKeys::new(size.workers);
-        match size.world {
-            SoakWorld::Narrow => keys.configure(&platform),
-            SoakWorld::Wide => wide::configure(&platform, 1),
-            SoakWorld::Full => full::configure(&platform, 1),
+        match size.profile {
+            SoakProfile::Narrow => keys.configure(&platform),
+            SoakProfile::Wide => wide::configure(&platform, 1),
+            SoakProfile::Full => full::configure(&platform, 1),
         }
         let mut boxes = Vec::new();
         for number in 0..size.boxes {
             let path = FaultyPath::open(platform.store_address).await?;
             let advice = platform.add_advice_address().await?;
-            let site =
+            let config =
                 CellBoxConfig::new(&format!("box-{number}"), &platform, path.address, "0.25");
-            let site = site.with_advice(advice);
-            let process = Some(site.start(directory)?);
-            boxes.push(SoakBox { site, path, process });
+            let config = config.with_advice(advice);
+            let process = Some(config.start(directory)?);
+            boxes.push(SoakBox { config, path, process });
         }
         let (platform, progress) = (Rc::new(platform), Rc::new(ProgressWatch::new()));
         let restarts = Rc::new(RestartWatch::new());
@@ -237,8 +238,8 @@
     }
 
     /// Lines of a kind that boxes wrote: the reasons, where the logs are not kept.
-    fn told_lines(&self, kind: &str) -> Vec<String> {
-        let logs = self.boxes.iter().map(|one| one.site.log_path(self.directory));
+    fn log_lines(&self, kind: &str) -> Vec<String> {
+        let logs = self.boxes.iter().map(|soak_box| soak_box.config.log_path(self.directory));
         let texts = logs.filter_map(|log| std::fs::read_to_string(log).ok());
         let told = |text: String| {
             let lines = text.lines().filter(|line| line.contains(kind));
@@ -248,58 +249,61 @@
     }
 
     async fn wait_ready(&mut self) -> std::io::Result<()> {
-        let deadline = Instant::now() + SETTLE_LIMIT;
-        for one in &self.boxes {
-            while !is_ready(one).await {
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
+        for soak_box in &self.boxes {
+            while !is_ready(soak_box).await {
                 if Instant::now() > deadline {
-                    return Err(std::io::Error::other(format!("{} is not ready", one.site.name)));
+                    return Err(std::io::Error::other(format!(
+                        "{} is not ready",
+                        soak_box.config.name
+                    )));
                 }
-                tokio::time::sleep(TURN).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Carries out the plan and heals. In a wide world the load goes on for a calm time after that.
+    /// Carries out the plan and heals. In a wide profile the load goes on for a calm time after that.
     async fn run(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
-        self.carry_out(plan, seconds).await?;
-        self.heal()?;
+        self.execute_plan(plan, seconds).await?;
+        self.repair_all()?;
         if self.size.faults {
-            self.note_fault();
+            self.record_fault();
         }
-        if self.size.world != SoakWorld::Narrow {
-            self.carry_out(&SoakPlan::new(), CALM_LOAD.as_secs()).await?;
+        if self.size.profile != SoakProfile::Narrow {
+            self.execute_plan(&SoakPlan::new(), CALM_LOAD.as_secs()).await?;
         }
         Ok(())
     }
 
-    async fn carry_out(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
-        let begun = Instant::now();
+    async fn execute_plan(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
+        let started = Instant::now();
         let mut faults = plan.iter().peekable();
         let mut repairs: Vec<(Instant, Repair)> = Vec::new();
-        while begun.elapsed() < Duration::from_secs(seconds) {
-            while let Some((_, fault)) = faults.next_if(|(at, _)| begun.elapsed() >= *at) {
-                self.cause(*fault, &mut repairs)?;
+        while started.elapsed() < Duration::from_secs(seconds) {
+            while let Some((_, fault)) = faults.next_if(|(at, _)| started.elapsed() >= *at) {
+                self.inject(*fault, &mut repairs)?;
             }
             let now = Instant::now();
             let due: Vec<_> = repairs.extract_if(.., |(at, _)| *at <= now).collect();
             for (_, repair) in due {
                 self.repair(repair, &mut repairs)?;
             }
-            self.restart_ended()?;
-            tokio::time::sleep(TURN / 5).await;
+            self.restart_stopped_boxes()?;
+            tokio::time::sleep(POLL_INTERVAL / 5).await;
         }
         Ok(())
     }
 
     /// A fault has begun or ended.
-    fn note_fault(&self) {
-        self.progress.note_fault();
-        self.restarts.note_fault();
+    fn record_fault(&self) {
+        self.progress.record_fault();
+        self.restarts.record_fault();
     }
 
     /// Boxes that ended after a planned stop start again.
-    fn restart_ended(&mut self) -> std::io::Result<()> {
+    fn restart_stopped_boxes(&mut self) -> std::io::Result<()> {
         for number in 0..self.boxes.len() {
             let ended = self.boxes[number].process.as_mut().is_some_and(CellProcess::has_ended);
             if ended {
@@ -312,18 +316,18 @@
 
     /// Long-running jobs are known as running, and end once they are cancelled.
     async fn check_long_running(&mut self, callers: &CallerPool, report: &mut SoakReport) {
-        let ids = callers.told().lock().long_running.clone();
-        let deadline = Instant::now() + SETTLE_LIMIT;
+        let ids = callers.jobs().lock().long_running.clone();
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         for id in ids {
-            if let Some(state) = self.wait_until(id, "running", deadline).await {
+            if let Some(state) = self.wait_for_state(id, "running", deadline).await {
                 report.broken.push(format!("{id:016x} was accepted and is {state}"));
                 continue;
             }
-            let path = wide::path_of(id);
-            for one in &self.boxes {
-                call_with_key(one.site.callers, "DELETE", &path, "", Some(SOAK_KEY)).await;
+            let path = wide::job_path(id);
+            for soak_box in &self.boxes {
+                call_with_key(soak_box.config.callers, "DELETE", &path, "", Some(SOAK_KEY)).await;
             }
-            if let Some(state) = self.wait_until(id, "cancelled", deadline).await {
+            if let Some(state) = self.wait_for_state(id, "cancelled", deadline).await {
                 report.broken.push(format!("{id:016x} was cancelled and is {state}"));
             }
         }
@@ -331,17 +335,17 @@
 
     /// Checks what must hold once all is well again.
     async fn check(&mut self, callers: &CallerPool, report: &mut SoakReport) {
-        let accepted = callers.told().lock().accepted.clone();
-        let refused = callers.told().lock().refused.clone();
-        let crashing = callers.told().lock().crashing.clone();
+        let accepted = callers.jobs().lock().accepted.clone();
+        let refused = callers.jobs().lock().refused.clone();
+        let crashing = callers.jobs().lock().crashing.clone();
         report.crashing = crashing.intersection(&accepted).count();
         report.accepted = accepted.len();
         report.refused = refused.len();
-        tokio::time::sleep(VISIBLE).await;
-        let deadline = Instant::now() + SETTLE_LIMIT;
+        tokio::time::sleep(MAX_VISIBILITY_DELAY).await;
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         for id in accepted {
             let wanted = if crashing.contains(&id) { "failed" } else { "completed" };
-            let Some(state) = self.wait_until(id, wanted, deadline).await else { continue };
+            let Some(state) = self.wait_for_state(id, wanted, deadline).await else { continue };
             let job = format!("{id:016x}");
             match state.contains("failed") && self.platform.workers.may_give_up(&job) {
                 true => report.given_up += 1,
@@ -351,30 +355,30 @@
         report.broken.extend(self.platform.workers.violations());
         report.broken.extend(self.keys.violations());
         report.broken.extend(self.platform.shared_tokens());
-        let begun = self.platform.workers.started_jobs();
-        let ran = refused.iter().map(|id| format!("{id:016x}")).filter(|id| begun.contains(id));
+        let started = self.platform.workers.started_jobs();
+        let ran = refused.iter().map(|id| format!("{id:016x}")).filter(|id| started.contains(id));
         report.broken.extend(ran.map(|id| format!("{id} was refused each time and ran")));
-        for one in &self.boxes {
-            let log = std::fs::read_to_string(one.site.log_path(self.directory));
+        for soak_box in &self.boxes {
+            let log = std::fs::read_to_string(soak_box.config.log_path(self.directory));
             // A panic ends the process, which is started again: only the log tells.
             if log.is_ok_and(|log| log.contains("panicked")) {
-                report.broken.push(format!("{} panicked", one.site.name));
+                report.broken.push(format!("{} panicked", soak_box.config.name));
             }
         }
     }
 
     /// Waits until a job is told as `wanted`. Tells what it is instead.
-    async fn wait_until(&mut self, id: u64, wanted: &str, deadline: Instant) -> Option<String> {
-        let path = wide::path_of(id);
+    async fn wait_for_state(&mut self, id: u64, wanted: &str, deadline: Instant) -> Option<String> {
+        let path = wide::job_path(id);
         let mut last = String::from("not known");
         loop {
             let is_last = Instant::now() >= deadline;
-            if let Err(error) = self.restart_ended() {
+            if let Err(error) = self.restart_stopped_boxes() {
                 return Some(format!("not to be asked for: {error}"));
             }
-            for one in &self.boxes {
+            for soak_box in &self.boxes {
                 let key = Some(SOAK_KEY);
-                match call_with_key(one.site.callers, "GET", &path, "", key).await {
+                match call_with_key(soak_box.config.callers, "GET", &path, "", key).await {
                     Some((200, body)) if body.contains(wanted) => return None,
                     // It is over, and will not be anything else.
                     Some((200, body)) if body.contains("failed") => return Some(body),
@@ -386,12 +390,12 @@
             if is_last {
                 return Some(last);
             }
-            tokio::time::sleep(TURN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn is_ready(one: &SoakBox) -> bool {
-    let answer = call(one.site.ready, "GET", "/sedgehill/readyz", "").await;
+async fn is_ready(soak_box: &SoakBox) -> bool {
+    let answer = call(soak_box.config.ready, "GET", "/sedgehill/readyz", "").await;
     answer.is_some_and(|(status, _)| status == 200)
 }
--- a/crates/sedgehill-standin/src/soak/plan.rs
+++ b/crates/sedgehill-standin/src/soak/plan.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::proxy::PathState;
-use super::{SoakSize, SoakWorld};
+use super::{SoakProfile, SoakSize};
 use crate::cell_platform::{AdviceFault, AffectedLeads, CORES, CallFault, PathFault};
 
 /// One thing that happens from outside.
@@ -57,7 +57,7 @@
 
 impl SoakFault {
     /// Whether it only troubles the questions of one box, so that all jobs have to go on meanwhile.
-    pub fn is_of_advice(self) -> bool {
+    pub fn affects_advice_only(self) -> bool {
         matches!(self, SoakFault::Advice(..))
     }
 }
@@ -66,12 +66,12 @@
 pub type SoakPlan = Vec<(Duration, SoakFault)>;
 
 /// Faults begin on the average so far apart, which is less than most of them last.
-const GAP_MS: std::ops::Range<u64> = 200..1_600;
+const FAULT_GAP_MS: std::ops::Range<u64> = 200..1_600;
 
 /// Connections of some box fall silent once in so many seconds.
-const SILENCE_EVERY_S: u64 = 3;
+const SILENCE_PERIOD_S: u64 = 3;
 /// Questions of some box meet trouble for so long, with so much time between.
-const ADVICE_SPAN_MS: std::ops::Range<u64> = 2_000..9_000;
+const ADVICE_FAULT_MS: std::ops::Range<u64> = 2_000..9_000;
 const ADVICE_GAP_MS: std::ops::Range<u64> = 200..3_000;
 /// Tells the generator of these faults from the others.
 const ADVICE_SALT: u64 = 0x6164_7669;
@@ -85,9 +85,9 @@
 const SILENCE_SALT: u64 = 0x5113_7ce5;
 
 /// Each worker shrinks once in so many seconds.
-const SIZE_EVERY_S: u64 = 12;
+const RESIZE_PERIOD_S: u64 = 12;
 /// Tells the generator of these faults from the others.
-const SIZE_SALT: u64 = 0x7369_7a65;
+const RESIZE_SALT: u64 = 0x7369_7a65;
 
 /// Faults of a worker or of the store begin on the average so far apart with six workers, and as much
 /// closer as there are more.
@@ -99,20 +99,20 @@
 /// Tells the generator of these faults from the others.
 const LEAD_SALT: u64 = 0x6c65_6164;
 /// A second lead may be lost so soon after the first one: within a lease of 4 s.
-const SECOND_LEAD_MS: std::ops::Range<u64> = 400..3_000;
+const SECOND_LEAD_FAULT_DELAY_MS: std::ops::Range<u64> = 400..3_000;
 
 /// Many workers die together so far apart.
-const MANY_GAP_MS: std::ops::Range<u64> = 6_000..14_000;
+const MASS_DEATH_GAP_MS: std::ops::Range<u64> = 6_000..14_000;
 /// Tells the generator of these faults from the others.
-const MANY_SALT: u64 = 0x6d61_6e79;
+const MASS_DEATH_SALT: u64 = 0x6d61_6e79;
 
 /// Draws the faults of a run of `seconds` seconds.
 pub fn draw_plan(seed: u64, seconds: u64, size: SoakSize) -> SoakPlan {
     let boxes = size.boxes;
-    if size.world == SoakWorld::Full {
-        let mut plan = draw_advice(seed, seconds, boxes);
+    if size.profile == SoakProfile::Full {
+        let mut plan = draw_advice_faults(seed, seconds, boxes);
         if size.faults {
-            plan.extend(draw_sparse(seed, seconds, size));
+            plan.extend(draw_sparse_faults(seed, seconds, size));
         }
         plan.sort_by_key(|(at, _)| *at);
         return plan;
@@ -122,59 +122,59 @@
     let mut at = 500;
     while at < seconds * 1_000 {
         plan.push((Duration::from_millis(at), draw_fault(&mut rng, boxes)));
-        at += rng.random_range(GAP_MS);
+        at += rng.random_range(FAULT_GAP_MS);
     }
     plan.extend(draw_silences(seed, seconds, boxes));
     plan.extend(draw_worker_faults(seed, seconds, size.workers));
     plan.extend(draw_lead_faults(seed, seconds));
-    plan.extend(draw_sizes(seed, seconds, size.workers));
-    plan.extend(draw_losses(seed, seconds, size.workers));
+    plan.extend(draw_resizes(seed, seconds, size.workers));
+    plan.extend(draw_mass_deaths(seed, seconds, size.workers));
     if !size.faults {
         plan.clear();
     }
-    if size.world == SoakWorld::Wide {
-        plan.extend(draw_advice(seed, seconds, boxes));
+    if size.profile == SoakProfile::Wide {
+        plan.extend(draw_advice_faults(seed, seconds, boxes));
     }
     plan.sort_by_key(|(at, _)| *at);
     plan
 }
 
 /// Draws trouble of the questions of one box after the other: all others can ask meanwhile.
-fn draw_advice(seed: u64, seconds: u64, boxes: usize) -> SoakPlan {
+fn draw_advice_faults(seed: u64, seconds: u64, boxes: usize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ ADVICE_SALT);
     let mut plan = Vec::new();
     let mut at = rng.random_range(ADVICE_GAP_MS);
     while at < seconds * 1_000 {
         let kinds = [AdviceFault::Fails, AdviceFault::Silent, AdviceFault::Slow(8)];
-        let trouble = kinds[rng.random_range(0..kinds.len())];
-        let span = rng.random_range(ADVICE_SPAN_MS);
+        let fault = kinds[rng.random_range(0..kinds.len())];
+        let span = rng.random_range(ADVICE_FAULT_MS);
         let number = rng.random_range(0..boxes);
         let (begins, span) = (Duration::from_millis(at), Duration::from_millis(span));
-        plan.push((begins, SoakFault::Advice(number, trouble, span)));
+        plan.push((begins, SoakFault::Advice(number, fault, span)));
         at += span.as_millis() as u64 + rng.random_range(ADVICE_GAP_MS);
     }
     plan
 }
 
 /// Draws faults, some of them two at once, with calm between them in which long-running tasks have to run again.
-fn draw_sparse(seed: u64, seconds: u64, size: SoakSize) -> SoakPlan {
+fn draw_sparse_faults(seed: u64, seconds: u64, size: SoakSize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SPARSE_SALT);
     let mut plan = Vec::new();
     let mut at = SPARSE_GAP_MS.start;
     while at < seconds * 1_000 {
         let begins = Duration::from_millis(at);
         let mut span = |range: std::ops::Range<u64>| Duration::from_millis(rng.random_range(range));
-        let (pause, down, cut) = (span(20..1_500), span(20..3_000), span(500..4_500));
+        let (pause, down, path_span) = (span(20..1_500), span(20..3_000), span(500..4_500));
         let number = rng.random_range(0..size.workers);
-        let trouble = draw_trouble(&mut rng);
+        let fault = draw_path_fault(&mut rng);
         let lead = match rng.random_range(0..3) {
             0 => SoakFault::KillLead(pause),
-            1 => SoakFault::PauseLead(cut),
+            1 => SoakFault::PauseLead(path_span),
             _ => SoakFault::Stop(rng.random_range(0..size.boxes)),
         };
         let worker = match rng.random_range(0..3) {
             0 => SoakFault::WorkerDies(number, down, down),
-            1 => SoakFault::WorkerPath(number, trouble, cut),
+            1 => SoakFault::WorkerPath(number, fault, path_span),
             _ => SoakFault::ManyDie(number, down),
         };
         match rng.random_range(0..3) {
@@ -190,7 +190,7 @@
 /// Draws when connections fall silent: from a generator of its own, so that a seed keeps its other faults.
 fn draw_silences(seed: u64, seconds: u64, boxes: usize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SILENCE_SALT);
-    let count = seconds / SILENCE_EVERY_S;
+    let count = seconds / SILENCE_PERIOD_S;
     let draw = |_| {
         let at = Duration::from_millis(rng.random_range(500..seconds * 1_000));
         (at, SoakFault::SilenceOpen(rng.random_range(0..boxes)))
@@ -199,9 +199,9 @@
 }
 
 /// Draws when workers shrink and grow, down to nothing.
-fn draw_sizes(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
-    let mut rng = StdRng::seed_from_u64(seed ^ SIZE_SALT);
-    let count = seconds * workers as u64 / SIZE_EVERY_S;
+fn draw_resizes(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
+    let mut rng = StdRng::seed_from_u64(seed ^ RESIZE_SALT);
+    let count = seconds * workers as u64 / RESIZE_PERIOD_S;
     let draw = |_| {
         let at = Duration::from_millis(rng.random_range(500..seconds * 1_000));
         let (number, cores) = (rng.random_range(0..workers), rng.random_range(0..CORES));
@@ -212,15 +212,15 @@
 }
 
 /// Draws when many workers die together.
-fn draw_losses(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
-    let mut rng = StdRng::seed_from_u64(seed ^ MANY_SALT);
+fn draw_mass_deaths(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
+    let mut rng = StdRng::seed_from_u64(seed ^ MASS_DEATH_SALT);
     let mut plan = Vec::new();
-    let mut at = rng.random_range(MANY_GAP_MS) / 2;
+    let mut at = rng.random_range(MASS_DEATH_GAP_MS) / 2;
     while at < seconds * 1_000 {
         let down = Duration::from_millis(rng.random_range(100..3_000));
         let fault = SoakFault::ManyDie(rng.random_range(0..workers), down);
         plan.push((Duration::from_millis(at), fault));
-        at += rng.random_range(MANY_GAP_MS);
+        at += rng.random_range(MASS_DEATH_GAP_MS);
     }
     plan
 }
@@ -250,8 +250,8 @@
     while at < seconds * 1_000 {
         let begins = Duration::from_millis(at);
         let pause = Duration::from_millis(rng.random_range(20..1_500));
-        let second = Duration::from_millis(rng.random_range(SECOND_LEAD_MS));
-        let frozen = Duration::from_millis(rng.random_range(200..6_000));
+        let second = Duration::from_millis(rng.random_range(SECOND_LEAD_FAULT_DELAY_MS));
+        let lead_pause = Duration::from_millis(rng.random_range(200..6_000));
         match rng.random_range(0..5) {
             0 => plan.push((begins, SoakFault::KillLead(pause))),
             4 => {
@@ -265,10 +265,10 @@
                 plan.push((begins + second, SoakFault::KillLead(pause)));
             }
             2 => {
-                plan.push((begins, SoakFault::PauseLead(frozen)));
+                plan.push((begins, SoakFault::PauseLead(lead_pause)));
                 plan.push((begins + second, SoakFault::KillLead(pause)));
             }
-            _ => plan.push((begins, SoakFault::PauseLead(frozen))),
+            _ => plan.push((begins, SoakFault::PauseLead(lead_pause))),
         }
         at += rng.random_range(LEAD_GAP_MS);
     }
@@ -291,21 +291,22 @@
     let number = rng.random_range(0..workers);
     let mut span = |range: std::ops::Range<u64>| Duration::from_millis(rng.random_range(range));
     let (down, listed) = (span(20..1_500), span(300..4_000));
-    let (cut, away, stored) = (span(500..10_000), span(500..6_000), span(300..2_500));
+    let (path_span, unlisted_span, store_span) =
+        (span(500..10_000), span(500..6_000), span(300..2_500));
     match rng.random_range(0..100) {
-        0..50 => SoakFault::WorkerPath(number, draw_trouble(rng), cut),
+        0..50 => SoakFault::WorkerPath(number, draw_path_fault(rng), path_span),
         50..68 => SoakFault::WorkerDies(number, down, listed),
-        68..84 => SoakFault::Unlisted(number, away),
+        68..84 => SoakFault::Unlisted(number, unlisted_span),
         84..92 => {
             let leads = AffectedLeads::All;
-            SoakFault::Appends(PathFault { leads, ..draw_trouble(rng) }, stored)
+            SoakFault::Appends(PathFault { leads, ..draw_path_fault(rng) }, store_span)
         }
         92..95 => SoakFault::Forget,
-        _ => SoakFault::ForgetAtFence(stored),
+        _ => SoakFault::ForgetAtFence(store_span),
     }
 }
 
-fn draw_trouble(rng: &mut StdRng) -> PathFault {
+fn draw_path_fault(rng: &mut StdRng) -> PathFault {
     let kinds = [CallFault::Lost, CallFault::Unanswered, CallFault::Late, CallFault::AnsweredLate];
     // Counted from the lead of that moment.
     let leads = [AffectedLeads::All, AffectedLeads::UpTo(0), AffectedLeads::After(0)];
--- a/crates/sedgehill-standin/src/soak/proxy.rs
+++ b/crates/sedgehill-standin/src/soak/proxy.rs
@@ -11,9 +11,9 @@
 use tokio::sync::watch;
 
 /// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Time between two looks whether a silent path speaks again.
-const SILENT_TURN: Duration = Duration::from_millis(20);
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a path does.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
                     continue;
                 }
                 let events = (resetting.clone(), silencing.clone());
-                connections.spawn(pass(stream, target, shared.clone(), events));
+                connections.spawn(forward(stream, target, shared.clone(), events));
                 while connections.try_join_next().is_some() {}
             }
         });
@@ -90,20 +90,20 @@
     }
 }
 
-async fn pass(
+async fn forward(
     stream: TcpStream,
     target: SocketAddr,
     state: Arc<Mutex<PathState>>,
     (mut resetting, mut silencing): (watch::Receiver<u64>, watch::Receiver<u64>),
 ) {
-    let Ok(onward) = TcpStream::connect(target).await else { return };
-    let (near_read, near_write) = stream.into_split();
-    let (far_read, far_write) = onward.into_split();
+    let Ok(store_stream) = TcpStream::connect(target).await else { return };
+    let (client_read, client_write) = stream.into_split();
+    let (store_read, store_write) = store_stream.into_split();
     resetting.mark_unchanged();
     silencing.mark_unchanged();
     tokio::select! {
-        _ = copy(near_read, far_write, (&state, &silencing), PathState::SilentForth) => {}
-        _ = copy(far_read, near_write, (&state, &silencing), PathState::SilentBack) => {}
+        _ = copy(client_read, store_write, (&state, &silencing), PathState::SilentForth) => {}
+        _ = copy(store_read, client_write, (&state, &silencing), PathState::SilentBack) => {}
         // An error means that the path is gone.
         _ = resetting.changed() => {}
     }
@@ -113,9 +113,9 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     (state, silencing): (&Mutex<PathState>, &watch::Receiver<u64>),
-    silent: PathState,
+    silent_state: PathState,
 ) -> std::io::Result<()> {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut chunk).await?;
         if length == 0 {
@@ -124,8 +124,8 @@
         if silencing.has_changed().unwrap_or(true) {
             continue;
         }
-        while *state.lock() == silent {
-            tokio::time::sleep(SILENT_TURN).await;
+        while *state.lock() == silent_state {
+            tokio::time::sleep(SILENCE_POLL_INTERVAL).await;
         }
         let delay = match *state.lock() {
             PathState::Slow(delay) => delay,
--- a/crates/sedgehill-standin/src/soak/wide.rs
+++ b/crates/sedgehill-standin/src/soak/wide.rs
@@ -19,17 +19,17 @@
 /// Tells the generator that chooses them from that of their gangs.
 const WIDE_SALT: u64 = 0x7769_6465;
 /// One gang in so many is wider than a few members.
-const WIDEST_ONE_IN: u32 = 4;
+const LARGE_GANG_ONE_IN: u32 = 4;
 /// Members of the narrower gangs, and the most of any.
-const NARROW_MEMBERS: std::ops::Range<u16> = 2..13;
-const MEMBERS_MOST: u16 = 48;
+const SMALL_GANG_MEMBERS: std::ops::Range<u16> = 2..13;
+const MAX_MEMBERS: u16 = 48;
 /// Cores of a member.
 const MEMBER_CORES: std::ops::Range<usize> = 2..8;
 /// Of the workers so many hundredths are good for a step with a wide gang, unless it needs more, and for others.
-const WIDE_GOOD_PERCENT: usize = 30;
-const NARROW_GOOD_PERCENT: usize = 70;
+const WIDE_ALLOWED_PERCENT: usize = 30;
+const NARROW_ALLOWED_PERCENT: usize = 70;
 /// The workers that are good for a gang have room for it so many times over while they are empty.
-const ROOM_TIMES: usize = 2;
+const ROOM_FACTOR: usize = 2;
 
 /// One gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,14 +39,14 @@
 }
 
 /// The id of a job, by its number.
-pub fn id_of(caller: u64, number: u64) -> u64 {
+pub fn job_id(caller: u64, number: u64) -> u64 {
     let id = (caller << 48) | number;
     let mut rng = StdRng::seed_from_u64(id ^ WIDE_SALT);
     if rng.random_ratio(1, WIDE_ONE_IN) { id | WIDE_BIT } else { id }
 }
 
 /// The id of a job that is marked as one with wide gangs, by its number.
-pub fn wide_id(caller: u64, number: u64) -> u64 {
+pub fn wide_job_id(caller: u64, number: u64) -> u64 {
     (caller << 48) | number | WIDE_BIT
 }
 
@@ -62,18 +62,18 @@
     let mut gangs = Vec::new();
     for _ in 0..steps {
         let cores = rng.random_range(MEMBER_CORES);
-        let wanted = match rng.random_ratio(1, WIDEST_ONE_IN) {
-            true => rng.random_range(NARROW_MEMBERS.end..=MEMBERS_MOST),
-            false => rng.random_range(NARROW_MEMBERS),
+        let wanted = match rng.random_ratio(1, LARGE_GANG_ONE_IN) {
+            true => rng.random_range(SMALL_GANG_MEMBERS.end..=MAX_MEMBERS),
+            false => rng.random_range(SMALL_GANG_MEMBERS),
         };
-        let most = workers * (WIDE_CORES / cores) / ROOM_TIMES;
-        gangs.push(WideGang { members: wanted.min(most as u16), cores });
+        let max_members = workers * (WIDE_CORES / cores) / ROOM_FACTOR;
+        gangs.push(WideGang { members: wanted.min(max_members as u16), cores });
     }
     gangs
 }
 
 /// What a caller hands in for a job with wide gangs.
-pub fn draw_wide(id: u64, workers: usize) -> Value {
+pub fn wide_job_body(id: u64, workers: usize) -> Value {
     let gangs = gangs_of(id, workers);
     // All members of a job carry the same work.
     let cores = gangs.iter().map(|gang| gang.cores).max().unwrap_or(1);
@@ -93,28 +93,36 @@
 }
 
 /// How many workers are good for a step, and what a question about it costs: the figures of the users' small site.
-fn habit_of(step: &str, workers: usize) -> StepAdvice {
+fn advice_for(step: &str, workers: usize) -> StepAdvice {
     let mut parts = step.split('.');
     let id = parts.next().and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or_default();
     let number: usize = parts.nth(1).and_then(|number| number.parse().ok()).unwrap_or_default();
     if !is_wide(id) {
-        let good = (workers * NARROW_GOOD_PERCENT).div_ceil(100);
-        let (decide, each) = (Duration::from_micros(5_600), Duration::from_micros(80));
-        return StepAdvice { per_question: decide, per_worker: each, allowed_count: Some(good) };
+        let allowed_count = (workers * NARROW_ALLOWED_PERCENT).div_ceil(100);
+        let (per_question, per_worker) = (Duration::from_micros(5_600), Duration::from_micros(80));
+        return StepAdvice {
+            per_question: per_question,
+            per_worker: per_worker,
+            allowed_count: Some(allowed_count),
+        };
     }
     let gangs = gangs_of(id, workers);
     let cores = gangs.iter().map(|gang| gang.cores).max().unwrap_or(1);
     let members = gangs.get(number).map_or(0, |gang| usize::from(gang.members));
-    let needed = (ROOM_TIMES * members).div_ceil(WIDE_CORES / cores);
-    let good = needed.max(workers * WIDE_GOOD_PERCENT / 100).min(workers);
-    let (decide, each) = (Duration::from_millis(480), Duration::from_micros(6_800));
-    StepAdvice { per_question: decide, per_worker: each, allowed_count: Some(good) }
+    let needed = (ROOM_FACTOR * members).div_ceil(WIDE_CORES / cores);
+    let allowed_count = needed.max(workers * WIDE_ALLOWED_PERCENT / 100).min(workers);
+    let (per_question, per_worker) = (Duration::from_millis(480), Duration::from_micros(6_800));
+    StepAdvice {
+        per_question: per_question,
+        per_worker: per_worker,
+        allowed_count: Some(allowed_count),
+    }
 }
 
 /// Sets the service and the configuration up: one queue for narrow jobs, one for wide gangs.
 pub fn configure(platform: &CellPlatform, version: u64) {
     let workers = platform.worker_addresses.len();
-    platform.advice.set_rule(move |step| habit_of(step, workers));
+    platform.advice.set_rule(move |step| advice_for(step, workers));
     let queue = |name: &str, prefix: &str, priority: u32, advice: Value| {
         json!({
             "name": name, "host": "cell.example", "path_prefix": prefix, "service": "pool",
@@ -131,7 +139,7 @@
 }
 
 /// The path under which a job is known.
-pub fn path_of(id: u64) -> String {
+pub fn job_path(id: u64) -> String {
     let prefix = if is_wide(id) { "courts" } else { "checks" };
     format!("/{prefix}/{id:016x}")
 }
--- a/crates/sedgehill-standin/src/soak_command.rs
+++ b/crates/sedgehill-standin/src/soak_command.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use pico_args::Arguments;
-use sedgehill_standin::soak::{SoakSize, SoakWorld, run_soak};
+use sedgehill_standin::soak::{SoakProfile, SoakSize, run_soak};
 
 use crate::commands::{CommandResult, finish};
 
@@ -23,10 +23,10 @@
     size.boxes = args.opt_value_from_str("--boxes").map_err(text)?.unwrap_or(size.boxes);
     size.workers = args.opt_value_from_str("--workers").map_err(text)?.unwrap_or(size.workers);
     if args.contains("--wide") {
-        size.world = SoakWorld::Wide;
+        size.profile = SoakProfile::Wide;
     }
     if args.contains("--full") {
-        size.world = SoakWorld::Full;
+        size.profile = SoakProfile::Full;
     }
     size.faults = !args.contains("--calm");
     finish(args)?;
--- a/crates/sedgehill-standin/tests/testsuite/soak.rs
+++ b/crates/sedgehill-standin/tests/testsuite/soak.rs
@@ -1,6 +1,6 @@
 //! Short soaks: one fixed seed, and each seed that ever broke a promise, with its cause.
 
-use sedgehill_standin::soak::{SoakSize, SoakWorld, draw_plan, run_soak};
+use sedgehill_standin::soak::{SoakProfile, SoakSize, draw_plan, run_soak};
 
 /// Seeds that broke a promise once, each with its cause.
 const REGRESSIONS: &[(u64, &str)] = &[
@@ -39,7 +39,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_job_stalls_beside_wide_gangs_and_dear_advice() {
     let directory = tempfile::tempdir().unwrap();
-    let size = SoakSize { boxes: 4, workers: 24, world: SoakWorld::Wide, faults: false };
+    let size = SoakSize { boxes: 4, workers: 24, profile: SoakProfile::Wide, faults: false };
     let report = run_soak(20_261_203, SECONDS, size, directory.path()).await.unwrap();
     assert!(report.accepted > 100, "{report:?}");
     assert!(report.broken.is_empty(), "{report:?}");
@@ -51,7 +51,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn long_running_tasks_run_again_in_a_full_cell() {
     let directory = tempfile::tempdir().unwrap();
-    let size = SoakSize { boxes: 4, workers: 12, world: SoakWorld::Full, faults: false };
+    let size = SoakSize { boxes: 4, workers: 12, profile: SoakProfile::Full, faults: false };
     let report = run_soak(20_261_204, 2 * SECONDS, size, directory.path()).await.unwrap();
     assert!(report.long_running >= 6, "{report:?}");
     assert!(report.accepted > 50, "{report:?}");
@@ -63,7 +63,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn wide_gangs_find_a_box_to_ask_after_a_lost_lead_seed_205() {
     let directory = tempfile::tempdir().unwrap();
-    let size = SoakSize { boxes: 6, workers: 48, world: SoakWorld::Wide, faults: true };
+    let size = SoakSize { boxes: 6, workers: 48, profile: SoakProfile::Wide, faults: true };
     let report = run_soak(205, 10, size, directory.path()).await.unwrap();
     assert!(report.accepted > 100, "{report:?}");
     assert!(report.broken.is_empty(), "{report:?}");
