--- a/crates/sedgehill-standin/src/soak/callers.rs
+++ b/crates/sedgehill-standin/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak, who remember what they were told.
+//! The callers of a soak. They submit random jobs and record how these were answered.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,48 +19,49 @@
 use super::{RUN_MS, SoakProfile, SoakSize, wide};
 use crate::cell_platform::{CRASH_SPEC, GANG_SPEC, run_duration_ms};
 
-/// How often a caller tries one job before it gives up.
+/// Attempts to submit one job before a caller gives up.
 const MAX_SUBMIT_ATTEMPTS: usize = 10;
-/// Pause before the next try.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Pause between two jobs of one caller: shorter ones only make the queue longer that is worked off at the end.
+/// Pause between two jobs of one caller. A shorter one would only lengthen the queue that remains at the end of the load.
 const JOB_PAUSE: Duration = Duration::from_millis(300);
-/// How long a caller waits for an answer.
+/// Maximum time that a caller waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// A caller hands in again, one time in so many, one of the jobs that were accepted last.
+/// After one in this many jobs, a caller submits one of its recently accepted jobs once more.
 const RESUBMIT_ONE_IN: u32 = 4;
-/// How many such jobs it remembers: those of some seconds.
+/// Number of recently accepted jobs that a caller may submit once more. They cover some seconds.
 const RESUBMIT_WINDOW_JOBS: usize = 12;
-/// Tells the generator of these from that of jobs.
+/// Separates the generator of repeated submissions from that of jobs.
 const RESUBMIT_SALT: u64 = 0x6167_6169;
-/// One job in so many has a task that crashes its workers, so long after its start in milliseconds.
+/// One in this many jobs has a task that crashes its workers.
 const CRASH_ONE_IN: u32 = 20;
+/// Time from the start of such a task to the crash.
 const CRASH_AFTER_MS: std::ops::Range<u64> = 0..140;
-/// Tells the generator of these from that of jobs.
+/// Separates the generator of crashes from that of jobs.
 const CRASH_SALT: u64 = 0x6372_6173;
-/// One job in so many is cancelled soon after it was accepted.
+/// One in this many jobs is cancelled as soon as it is accepted.
 const CANCEL_ONE_IN: u32 = 12;
 
-/// What callers were told of their jobs.
+/// The jobs of all callers, by the answers that the callers received.
 #[derive(Debug, Default)]
 pub struct SubmittedJobs {
-    /// Accepted, and not cancelled by their caller.
+    /// Accepted jobs that their callers have not cancelled, except long-running ones.
     pub accepted: BTreeSet<u64>,
-    /// Those of them whose first task crashes its workers.
+    /// Jobs, accepted or not, whose first task crashes its workers.
     pub crashing: BTreeSet<u64>,
-    /// Accepted, and then cancelled.
+    /// Accepted jobs that their callers then cancelled.
     pub cancelled: BTreeSet<u64>,
-    /// Accepted, with tasks that run until the job is cancelled.
+    /// Accepted jobs whose tasks run until the job is cancelled.
     pub long_running: BTreeSet<u64>,
-    /// Each answer said that the job was not taken.
+    /// Jobs of which every attempt was answered with status 503: they were not accepted and must not run.
     pub refused: BTreeSet<u64>,
-    /// What was handed in for those that were accepted.
+    /// The request bodies of jobs in `accepted` and `cancelled`.
     pub bodies: BTreeMap<u64, String>,
-    /// Answers by status; 0 for none.
+    /// Number of answers by status. Calls without an answer count as status 0.
     pub answers: BTreeMap<u16, u64>,
 }
 
-/// What callers share.
+/// The state that all callers of a soak share.
 pub struct CallerPool {
     boxes: Vec<SocketAddr>,
     size: SoakSize,
@@ -68,23 +69,23 @@
 }
 
 impl CallerPool {
-    /// Callers of these boxes.
+    /// Creates callers of the given addresses, one for each box.
     pub fn new(boxes: Vec<SocketAddr>, size: SoakSize) -> CallerPool {
         CallerPool { boxes, size, jobs: Arc::default() }
     }
 
-    /// What they were told.
+    /// Returns the jobs that were submitted so far.
     pub fn jobs(&self) -> &Mutex<SubmittedJobs> {
         &self.jobs
     }
 
-    /// A client of its own for each caller.
+    /// Creates an HTTP client. Each caller has its own, which does not retry calls.
     pub fn build_client() -> Client<HttpConnector, Full<Bytes>> {
         Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build_http()
     }
 
-    /// One caller that hands in jobs until it is dropped. Its connections are kept for as long as boxes
-    /// keep them.
+    /// Runs one caller, which submits jobs until the future is dropped. The caller keeps its connections until boxes close
+    /// them.
     pub async fn run(&self, seed: u64, caller: u64) {
         let client = CallerPool::build_client();
         let mut rng = StdRng::seed_from_u64(seed ^ (caller << 32));
@@ -104,14 +105,14 @@
             if resubmit_rng.random_ratio(1, RESUBMIT_ONE_IN) && !accepted.is_empty() {
                 let (id, body) = &accepted[resubmit_rng.random_range(0..accepted.len())];
                 let address = self.boxes[resubmit_rng.random_range(0..self.boxes.len())];
-                // It remains one job, whatever is answered.
+                // A repeated submission must not create a second job. The answer does not matter.
                 self.call(&client, address, Method::POST, *id, body).await;
             }
             tokio::time::sleep(JOB_PAUSE).await;
         }
     }
 
-    /// Draws a job and hands it in. Returns what was, unless it was cancelled then.
+    /// Draws a job and submits it. Returns its body if the job was accepted and not cancelled.
     async fn submit_drawn(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -119,7 +120,8 @@
         id: u64,
     ) -> Option<String> {
         let body = draw_body(rng, id);
-        // A crash a second takes a wide cell's room away in no calm that could be judged.
+        // Crashes occur only in the narrow profile: about one a second would take room from a wide cell all the time, and
+        // no period would be calm enough to detect stalled jobs.
         let crash_after_ms =
             draw_crash_delay_ms(id).filter(|_| self.size.profile == SoakProfile::Narrow);
         let body = match crash_after_ms {
@@ -133,7 +135,8 @@
         self.submit_job(client, rng, id, &body).await.then_some(body)
     }
 
-    /// Hands a job in until it is accepted. Returns whether it was, and was not cancelled then.
+    /// Submits a job until it is accepted, and cancels some of the accepted jobs. Returns whether the job was accepted
+    /// and not cancelled.
     pub async fn submit_job(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -153,7 +156,7 @@
         !cancels
     }
 
-    /// Hands a long-running job in until it is accepted.
+    /// Submits a long-running job until it is accepted.
     pub async fn submit_long_running(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -166,7 +169,8 @@
         }
     }
 
-    /// Tries until a box accepts a job, and returns its address.
+    /// Submits a job to random boxes until one accepts it, and returns the address of that box. Returns `None` after
+    /// [`MAX_SUBMIT_ATTEMPTS`] attempts.
     async fn submit_until_accepted(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -196,7 +200,7 @@
         address: SocketAddr,
         id: u64,
     ) {
-        // It may be cancelled from now on, whatever is answered.
+        // The call may take effect from now on even if it fails.
         {
             let mut jobs = self.jobs.lock();
             jobs.accepted.remove(&id);
@@ -234,7 +238,8 @@
     }
 }
 
-/// How long after its start the first task of a job crashes its worker, by the id of the job; mostly none.
+/// Draws from the id of a job how many milliseconds after its start the first task crashes its worker. Most jobs crash
+/// none.
 fn draw_crash_delay_ms(id: u64) -> Option<u64> {
     let mut rng = StdRng::seed_from_u64(id ^ CRASH_SALT);
     let crashes = rng.random_ratio(1, CRASH_ONE_IN);
--- a/crates/sedgehill-standin/src/soak/faults.rs
+++ b/crates/sedgehill-standin/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Causes the faults of a plan and ends them.
+//! Injects the faults of a plan and repairs them.
 
 use std::time::{Duration, Instant};
 
@@ -11,12 +11,14 @@
 use super::{full, wide};
 use crate::cell_platform::{PROGRESS_TOPIC, PathFault};
 
-/// One in so many workers dies where many do at once, and they are back so far apart.
+/// Of the workers, every one at this distance in number dies where many die at once.
 const MASS_DEATH_STRIDE: usize = 3;
+/// Time between the revivals of two such workers.
 const REVIVAL_INTERVAL: Duration = Duration::from_millis(40);
-/// A worker that starts again under its id says so in the store after some of these: its entry is that of the earlier
-/// life meanwhile.
+/// Unit of the delay after which a worker that restarted under its id updates its entry in the store. Until then the entry
+/// describes the earlier life.
 const LISTING_DELAY_STEP: Duration = Duration::from_millis(400);
+/// Number of different delays: 0 to 3 units, by the number of the worker.
 const LISTING_DELAY_STEPS: usize = 4;
 
 /// A step that ends a fault.
@@ -49,14 +51,14 @@
 }
 
 impl Soak<'_> {
-    /// The box that leads, as far as the store knows.
+    /// Returns the number of the box that holds the lead according to the store.
     fn lead(&self) -> Option<usize> {
         let holder = self.platform.lead()?.holder;
         self.boxes.iter().position(|soak_box| soak_box.config.name == *holder.0)
     }
 
-    /// Another life begins at the address of a worker that died. One that has the id of the one before it is listed as
-    /// that for a time.
+    /// Starts the next life of a worker that died, and lists it in the store. If it has the same id as the earlier life,
+    /// the entry of that life stays at first, and the time until the caller has to list the worker is returned.
     fn revive_worker(&self, number: usize) -> Option<Duration> {
         let earlier = self.platform.workers.life_id(number);
         let next = self.platform.workers.start_next_life(number)?;
@@ -67,6 +69,7 @@
         None
     }
 
+    /// Injects a fault, and schedules its repair in `repairs`.
     pub(super) fn inject(
         &mut self,
         fault: SoakFault,
@@ -161,7 +164,7 @@
         Ok(())
     }
 
-    /// Puts the next configuration into the store.
+    /// Writes the next version of the configuration to the store.
     fn configure(&self) {
         match self.size.profile {
             SoakProfile::Narrow => self.keys.configure(&self.platform),
@@ -174,6 +177,7 @@
         }
     }
 
+    /// Executes one repair. It may schedule another one in `repairs`.
     pub(super) fn repair(
         &mut self,
         repair: Repair,
@@ -210,6 +214,7 @@
         }
     }
 
+    /// Starts a box unless it runs.
     pub(super) fn start_box(&mut self, number: usize) -> std::io::Result<()> {
         let soak_box = &mut self.boxes[number];
         if soak_box.process.is_none() {
@@ -218,7 +223,7 @@
         Ok(())
     }
 
-    /// Ends all faults.
+    /// Ends all faults, also those whose repair is not due.
     pub(super) fn repair_all(&mut self) -> std::io::Result<()> {
         self.platform.store.set_silent(false);
         self.platform.store.set_append_fault(None);
--- a/crates/sedgehill-standin/src/soak/full.rs
+++ b/crates/sedgehill-standin/src/soak/full.rs
@@ -1,5 +1,5 @@
-//! A cell filled with narrow jobs beside long-running ones, whose runs fail again and again. It is watched that each of their
-//! tasks runs again in time, however full the cell is.
+//! The profile [`SoakProfile::Full`](super::SoakProfile::Full): narrow jobs fill the cell, beside long-running jobs whose runs
+//! fail again and again. A watch checks that each long-running task runs again in time although the cell is full.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
     CellPlatform, LONG_RUNNING_SPEC, SIZED_SPEC, StepAdvice, is_long_running,
 };
 
-/// How long tasks of the narrow jobs run, in milliseconds.
+/// Duration of the tasks of narrow jobs.
 pub const FULL_RUN_MS: std::ops::Range<u64> = 1_000..3_000;
 /// Cores of each task.
 const TASK_CORES: usize = 4;
@@ -23,28 +23,31 @@
 const FILLER_TASKS: std::ops::Range<u16> = 2..9;
 /// Tasks of a long-running job.
 const LONG_RUNNING_TASKS: u16 = 3;
-/// What long-running tasks take of the cell, in hundredths.
+/// Share of the cores of the cell that long-running tasks use.
 const LONG_RUNNING_CORES_PERCENT: usize = 20;
-/// Jobs that wait beside a full cell, at the most, for each eight workers.
+/// Number of waiting narrow jobs for each eight workers at which callers stop submitting.
 const MAX_WAITING_PER_EIGHT_WORKERS: usize = 4;
-/// Before the cell is filled so many of the long-running tasks have to run, in hundredths, or so much time has passed.
+/// Share of the long-running tasks that have to run before callers fill the cell.
 const MIN_RUNNING_PERCENT: usize = 80;
+/// Time after which callers fill the cell even if fewer of these tasks run.
 const MAX_START_WAIT: Duration = Duration::from_secs(10);
-/// Pause of a caller while so many wait.
+/// Time between two checks of a caller whether it may submit.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// Good workers, in hundredths, for long-running steps and for others.
+/// Share of the workers that the advice service allows for a long-running step.
 const LONG_RUNNING_ALLOWED_PERCENT: usize = 30;
+/// Share of the workers that the advice service allows for a step of a narrow job.
 const FILLER_ALLOWED_PERCENT: usize = 70;
-/// Time between two looks.
+/// Time between two checks of the watch.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// A look that comes so late tells that the stand-ins stood still themselves.
+/// Delay of a check from which on the stand-ins themselves must have been paused. This counts as a fault.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// A task that lasts is owed a run 6 s after its last one, and may be without it for 3 s more ...
+/// Maximum time that a long-running task may be without a run: it has to run again 6 s after its last run, and may be 3 s
+/// late.
 const MAX_TIME_WITHOUT_RUN: Duration = Duration::from_secs(6 + 3);
-/// ... if these 3 s and the 4 s before them are calm.
+/// Time without a fault after which tasks without a run are judged: these 3 s and the 4 s before them have to be calm.
 const MIN_CALM: Duration = Duration::from_secs(3 + 4);
 
-/// Sets the service and the configuration up: one queue for narrow jobs, one for long-running ones.
+/// Sets up the advice service, and writes a configuration with one queue for narrow jobs and one for long-running jobs.
 pub fn configure(platform: &CellPlatform, version: u64) {
     let workers = platform.worker_addresses.len();
     platform.advice.set_rule(move |step| advice_for(step, workers));
@@ -63,6 +66,7 @@
     );
 }
 
+/// Returns the advice about a step: costly questions and few workers for long-running steps, otherwise the opposite.
 fn advice_for(step: &str, workers: usize) -> StepAdvice {
     let id = step.split('.').next().and_then(|id| u64::from_str_radix(id, 16).ok());
     match id.is_some_and(wide::is_wide) {
@@ -79,7 +83,8 @@
     }
 }
 
-/// One caller. The first hands in the long-running jobs; the others fill the cell, and go on while few jobs wait.
+/// Runs one caller until the future is dropped. The caller with number 1 submits the long-running jobs. The others fill
+/// the cell, and submit further jobs whenever few jobs wait.
 pub async fn run_caller(pool: &CallerPool, platform: &CellPlatform, seed: u64, caller: u64) {
     let client = CallerPool::build_client();
     let mut rng = StdRng::seed_from_u64(seed ^ (caller << 32));
@@ -102,12 +107,13 @@
     }
 }
 
+/// Returns how many long-running jobs use [`LONG_RUNNING_CORES_PERCENT`] of the cores.
 fn long_running_job_count(workers: usize) -> usize {
     let cores = workers * wide::WIDE_CORES * LONG_RUNNING_CORES_PERCENT / 100;
     (cores / TASK_CORES / usize::from(LONG_RUNNING_TASKS)).max(1)
 }
 
-/// Waits until most long-running tasks have begun: they would find no room later.
+/// Waits until most long-running tasks run, since they would find no room in a full cell.
 async fn wait_for_long_running(platform: &CellPlatform) {
     let tasks =
         long_running_job_count(platform.worker_addresses.len()) * usize::from(LONG_RUNNING_TASKS);
@@ -118,7 +124,7 @@
     }
 }
 
-/// Accepted jobs of which nothing has begun.
+/// Counts the accepted jobs of which no task has started.
 fn count_waiting_jobs(pool: &CallerPool, platform: &CellPlatform) -> usize {
     let started = platform.workers.started_jobs();
     let reported = pool.jobs().lock();
@@ -140,50 +146,51 @@
     json!({ "spec": format!("{SIZED_SPEC}{TASK_CORES}"), "steps": [step] }).to_string()
 }
 
+/// The state of the watch.
 #[derive(Debug, Default)]
 struct RestartState {
     /// When each long-running task was last seen running.
     last_seen: BTreeMap<String, Instant>,
     reported: HashSet<String>,
     violations: Vec<String>,
-    /// The longest that a task was without a run, as far as that is judged.
+    /// The longest time that a task was without a run, among the judged ones.
     max_time_without_run: Duration,
 }
 
-/// Watches how long long-running tasks are without a run.
+/// Detects long-running tasks that are without a run for too long.
 pub struct RestartWatch {
-    /// No fault has been at work since then.
+    /// When the last fault began or ended.
     calm_since: Mutex<Instant>,
     state: Mutex<RestartState>,
 }
 
 impl RestartWatch {
-    /// A watch of a cell at which no fault is at work.
+    /// Creates a watch of a cell without faults.
     pub fn new() -> RestartWatch {
         RestartWatch { calm_since: Mutex::new(Instant::now()), state: Mutex::default() }
     }
 
-    /// A fault has begun or ended.
+    /// Records that a fault begins or ends now.
     pub fn record_fault(&self) {
         *self.calm_since.lock() = Instant::now();
     }
 
-    /// Tasks that were without a run for too long.
+    /// Describes the tasks that were without a run for too long.
     pub fn violations(&self) -> Vec<String> {
         self.state.lock().violations.clone()
     }
 
-    /// The longest that one of them was.
+    /// Returns the longest time in calm that a task was without a run.
     pub fn max_time_without_run(&self) -> Duration {
         self.state.lock().max_time_without_run
     }
 
-    /// How many long-running tasks ever ran.
+    /// Returns the number of long-running tasks that have run at least once.
     pub fn seen_count(&self) -> usize {
         self.state.lock().last_seen.len()
     }
 
-    /// Watches until it is dropped.
+    /// Checks the tasks periodically until the future is dropped.
     pub async fn run(&self, platform: &CellPlatform) {
         let mut last_check = Instant::now();
         loop {
--- a/crates/sedgehill-standin/src/soak/keys.rs
+++ b/crates/sedgehill-standin/src/soak/keys.rs
@@ -1,5 +1,5 @@
-//! The organisation of a soak: each version of the configuration takes one key away, puts another in force,
-//! and moves the limit.
+//! The organisation of a soak. Each version of its configuration revokes one key, adds another, and changes the limit of
+//! cores.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,44 +12,46 @@
 use crate::cell_platform::{CellPlatform, StandinOrganisation};
 use crate::cell_process::call_with_key;
 
-/// The key that callers bring, which stays in force.
+/// The key that callers use. It is valid in all versions.
 pub const SOAK_KEY: &str = "soak-key-5b1e";
-/// What a version takes away is gone everywhere within this time.
+/// Time after which every box must reject a key that a new version has revoked.
 const MAX_PROPAGATION: Duration = Duration::from_secs(2);
-/// Time between two calls with keys that were taken away.
+/// Time between two calls with revoked keys.
 const PROBE_INTERVAL: Duration = Duration::from_millis(40);
-/// The limits of versions in turn, in cores for six workers. Each task of a soak takes one.
+/// The limits of cores that versions have in turn, for a cell of [`CORE_LIMITS_WORKERS`] workers. Each task of a soak
+/// uses one core.
 const CORE_LIMITS: [u64; 2] = [14, 9];
+/// Number of workers to which [`CORE_LIMITS`] refers. Larger cells have proportionally higher limits.
 const CORE_LIMITS_WORKERS: u64 = 6;
-/// Tells the generator of probes from those of faults and jobs.
+/// Separates the generator of probes from those of faults and jobs.
 const PROBE_SALT: u64 = 0x6b65_7973;
 
 #[derive(Debug, Default)]
 struct KeyState {
-    /// When each version was put into the store, the first being version 1.
+    /// When each version was written to the store, beginning with version 1.
     written_at: Vec<Instant>,
     violations: Vec<String>,
 }
 
-/// The versions of a soak's configuration.
+/// Writes the versions of the organisation's configuration, and checks that revoked keys are rejected.
 #[derive(Debug, Clone, Default)]
 pub struct SoakKeys {
     workers: u64,
     state: Arc<Mutex<KeyState>>,
 }
 
-/// The key that one version alone has in force.
+/// Returns the key that is valid in one version alone.
 fn version_key(version: usize) -> String {
     format!("spare-key-{version}")
 }
 
 impl SoakKeys {
-    /// Versions for a cell of so many workers.
+    /// Creates the keys for a cell with this many workers.
     pub fn new(workers: usize) -> SoakKeys {
         SoakKeys { workers: workers as u64, state: Arc::default() }
     }
 
-    /// Puts the next version into the store.
+    /// Writes the next version to the store.
     pub fn configure(&self, platform: &CellPlatform) {
         let mut state = self.state.lock();
         let version = state.written_at.len() + 1;
@@ -67,7 +69,7 @@
         state.written_at.push(Instant::now());
     }
 
-    /// Calls with keys that should not be in force any more, until it is dropped.
+    /// Calls random boxes with revoked keys until the future is dropped, and records a violation for each accepted one.
     pub async fn probe(&self, boxes: &[SocketAddr], seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed ^ PROBE_SALT);
         loop {
@@ -83,16 +85,16 @@
         }
     }
 
-    /// The newest version whose key should be gone everywhere.
+    /// Returns the newest version whose own key every box must reject by now.
     fn newest_revoked(&self) -> Option<usize> {
         let state = self.state.lock();
-        // A key goes with the version after its own.
+        // The key of a version is revoked by the next version.
         let revoked =
             state.written_at.iter().skip(1).take_while(|at| at.elapsed() >= MAX_PROPAGATION);
         Some(revoked.count()).filter(|count| *count > 0)
     }
 
-    /// Keys that worked after they were taken away.
+    /// Describes the revoked keys that a box still accepted.
     pub fn violations(&self) -> Vec<String> {
         self.state.lock().violations.clone()
     }
--- a/crates/sedgehill-standin/src/soak/mod.rs
+++ b/crates/sedgehill-standin/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A randomised soak: boxes as separate processes, broken from outside, their promises checked from
-//! what callers and workers see.
+//! A randomised soak test. Boxes run as separate processes and meet faults from outside. Their guarantees are checked by
+//! what callers and workers observe.
 
 mod callers;
 mod faults;
@@ -24,39 +24,40 @@
 use crate::cell_platform::{CORES, CellPlatform};
 use crate::cell_process::{CellBoxConfig, CellProcess, call, call_with_key};
 
-/// How long tasks run, in milliseconds: many outlive their lead.
+/// Duration of tasks. Many run longer than the box that started them holds the lead.
 pub(crate) const RUN_MS: std::ops::Range<u64> = 150..2_000;
-/// How long everything accepted may take to end once all is well again.
+/// Maximum time from the end of all faults until all accepted jobs have ended.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
-/// From its acceptance until every box has to know a job, as callers are told.
+/// Time after the acceptance of a job within which every box must know it, as promised to callers.
 const MAX_VISIBILITY_DELAY: Duration = Duration::from_secs(3);
-/// Time between two looks.
+/// Time between two polls of a box.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a cell of a soak is like.
+/// The kind of cell and load of a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SoakProfile {
-    /// Workers of four cores, an organisation with keys and limits, jobs of a few tasks, an advice service that likes
-    /// every worker at once.
+    /// Workers with four cores, an organisation with keys and limits, jobs of a few tasks, and an advice service that
+    /// allows every worker without delay.
     Narrow,
-    /// Workers of sixteen cores, jobs with gangs as wide as half of the cell among narrow ones, dear advice. It is
-    /// watched that no job is stalled while the load goes on.
+    /// Workers with sixteen cores, narrow jobs and jobs whose gangs need up to half of the cell, and costly advice. No job
+    /// may stall during the load.
     Wide,
-    /// Workers of sixteen cores that narrow jobs fill, and long-running jobs with dear advice whose runs fail. It is
-    /// watched that their tasks run again in time.
+    /// Workers with sixteen cores that narrow jobs fill, and long-running jobs with costly advice whose runs fail. Their
+    /// tasks have to run again in time.
     Full,
 }
 
-/// How large a cell is, and what it meets.
+/// The size of the cell, its load, and whether it meets faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SoakSize {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Workers; there are as many callers in a narrow profile.
+    /// Number of workers, and of callers in the narrow profile.
     pub workers: usize,
-    /// What it is like.
+    /// The kind of cell and load.
     pub profile: SoakProfile,
-    /// Boxes, paths, workers and the store are broken. Otherwise only questions to the advice service are.
+    /// Whether boxes, network paths, workers and the store meet faults. If not, only the questions to the advice service
+    /// do, and in the narrow profile nothing does.
     pub faults: bool,
 }
 
@@ -66,13 +67,13 @@
     }
 }
 
-/// Callers of a wide profile.
+/// Number of callers in the wide and full profiles.
 const WIDE_CALLERS: u64 = 12;
-/// How long the load of a wide profile goes on once all is well again.
+/// Duration of the load after the end of all faults in the wide and full profiles.
 const CALM_LOAD: Duration = Duration::from_secs(12);
 
 impl SoakSize {
-    /// Cores of a worker.
+    /// Returns the cores of a worker.
     pub fn cores(&self) -> usize {
         match self.profile {
             SoakProfile::Narrow => CORES,
@@ -88,40 +89,42 @@
     }
 }
 
-/// What one run found.
+/// The result of one soak.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// Faults that were caused.
+    /// Number of faults in the plan.
     pub faults: usize,
-    /// Jobs that callers were told are kept.
+    /// Number of accepted jobs that were not cancelled, except long-running ones.
     pub accepted: usize,
-    /// Jobs that callers were told were not taken.
+    /// Number of jobs that were refused at every attempt.
     pub refused: usize,
-    /// Jobs with a task that crashes its workers, all of which were given up.
+    /// Number of accepted jobs with a task that crashes its workers. Each of them has to be given up.
     pub crashing: usize,
-    /// Other jobs that were given up, each after two lives at least had ended under one of its tasks.
+    /// Number of accepted jobs that were given up though they crash no worker. This is allowed once at least two lives of
+    /// workers ended while they ran one of the tasks.
     pub given_up: usize,
-    /// The longest that a job was stalled in calm, where that is watched.
+    /// The longest time in calm that a job was stalled, in the wide profile.
     pub stalled: Duration,
-    /// The longest that a long-running task was without a run in calm, where that is watched.
+    /// The longest time in calm that a long-running task was without a run, in the full profile.
     pub without_run: Duration,
-    /// Long-running tasks that ever ran.
+    /// Number of long-running tasks that have run at least once.
     pub long_running: usize,
-    /// Promises that were broken.
+    /// Descriptions of the violated guarantees.
     pub broken: Vec<String>,
 }
 
-/// A box, running or not.
+/// A box with its proxy to the store. It has no process while it is down.
 struct SoakBox {
     config: CellBoxConfig,
     path: FaultyPath,
     process: Option<CellProcess>,
 }
 
-/// In one run of so many, each life of a worker has an id of its own and tells nothing of its start.
+/// In one of this many seeds, each life of a worker has a new id and does not report when it began. In the others, some
+/// workers restart under the same id.
 const NEW_IDS_ONE_IN: u64 = 4;
 
-/// A running soak.
+/// The boxes, stand-ins and checks of a running soak.
 struct Soak<'a> {
     size: SoakSize,
     directory: &'a Path,
@@ -132,7 +135,7 @@
     restarts: Rc<RestartWatch>,
 }
 
-/// Runs the faults of a seed for some seconds. Settings and logs of the boxes lie in `directory`.
+/// Runs the faults of a seed for some seconds. The plan and the settings and logs of the boxes are written to `directory`.
 pub async fn run_soak(
     seed: u64,
     seconds: u64,
@@ -190,7 +193,7 @@
     Ok(report)
 }
 
-/// Drives all futures, which do not end by themselves.
+/// Polls futures together until all have ended. The futures of a load run until they are dropped.
 async fn drive_all<F: Future<Output = ()>>(futures: impl Iterator<Item = F>) {
     let mut pending: Vec<std::pin::Pin<Box<F>>> = futures.map(Box::pin).collect();
     std::future::poll_fn(|context| {
@@ -237,17 +240,19 @@
         Ok(soak)
     }
 
-    /// Lines of a kind that boxes wrote: the reasons, where the logs are not kept.
-    fn log_lines(&self, kind: &str) -> Vec<String> {
+    /// Returns the lines with `message` from the logs of all boxes. They show the reason of a violation even if the logs
+    /// are not kept.
+    fn log_lines(&self, message: &str) -> Vec<String> {
         let logs = self.boxes.iter().map(|soak_box| soak_box.config.log_path(self.directory));
         let texts = logs.filter_map(|log| std::fs::read_to_string(log).ok());
-        let told = |text: String| {
-            let lines = text.lines().filter(|line| line.contains(kind));
+        let matching_lines = |text: String| {
+            let lines = text.lines().filter(|line| line.contains(message));
             lines.map(str::to_owned).collect::<Vec<_>>()
         };
-        texts.flat_map(told).collect()
+        texts.flat_map(matching_lines).collect()
     }
 
+    /// Waits until every box is ready.
     async fn wait_ready(&mut self) -> std::io::Result<()> {
         let deadline = Instant::now() + SETTLE_TIMEOUT;
         for soak_box in &self.boxes {
@@ -264,7 +269,8 @@
         Ok(())
     }
 
-    /// Carries out the plan and heals. In a wide profile the load goes on for a calm time after that.
+    /// Executes the plan and ends all faults. In the wide and full profiles the load then continues in calm for
+    /// [`CALM_LOAD`].
     async fn run(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
         self.execute_plan(plan, seconds).await?;
         self.repair_all()?;
@@ -277,6 +283,8 @@
         Ok(())
     }
 
+    /// Injects the faults of a plan and repairs them, for some seconds. Repairs that are due later are left to
+    /// [`Soak::repair_all`].
     async fn execute_plan(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
         let started = Instant::now();
         let mut faults = plan.iter().peekable();
@@ -296,13 +304,13 @@
         Ok(())
     }
 
-    /// A fault has begun or ended.
+    /// Tells the watches that a fault begins or ends now.
     fn record_fault(&self) {
         self.progress.record_fault();
         self.restarts.record_fault();
     }
 
-    /// Boxes that ended after a planned stop start again.
+    /// Starts boxes again whose processes have ended, as after a planned stop.
     fn restart_stopped_boxes(&mut self) -> std::io::Result<()> {
         for number in 0..self.boxes.len() {
             let ended = self.boxes[number].process.as_mut().is_some_and(CellProcess::has_ended);
@@ -314,7 +322,7 @@
         Ok(())
     }
 
-    /// Long-running jobs are known as running, and end once they are cancelled.
+    /// Checks that boxes report the long-running jobs as running, and as cancelled once they are cancelled.
     async fn check_long_running(&mut self, callers: &CallerPool, report: &mut SoakReport) {
         let ids = callers.jobs().lock().long_running.clone();
         let deadline = Instant::now() + SETTLE_TIMEOUT;
@@ -333,7 +341,8 @@
         }
     }
 
-    /// Checks what must hold once all is well again.
+    /// Checks the guarantees that hold after the end of all faults: the states of accepted jobs, the violations that the
+    /// stand-ins recorded, that no refused job ran, and that no box panicked.
     async fn check(&mut self, callers: &CallerPool, report: &mut SoakReport) {
         let accepted = callers.jobs().lock().accepted.clone();
         let refused = callers.jobs().lock().refused.clone();
@@ -360,14 +369,14 @@
         report.broken.extend(ran.map(|id| format!("{id} was refused each time and ran")));
         for soak_box in &self.boxes {
             let log = std::fs::read_to_string(soak_box.config.log_path(self.directory));
-            // A panic ends the process, which is started again: only the log tells.
+            // A box that panicked was started again, so only its log shows the panic.
             if log.is_ok_and(|log| log.contains("panicked")) {
                 report.broken.push(format!("{} panicked", soak_box.config.name));
             }
         }
     }
 
-    /// Waits until a job is told as `wanted`. Tells what it is instead.
+    /// Waits until a box reports a job in the state `wanted`. Returns `None` then, and otherwise the last other answer.
     async fn wait_for_state(&mut self, id: u64, wanted: &str, deadline: Instant) -> Option<String> {
         let path = wide::job_path(id);
         let mut last = String::from("not known");
@@ -380,7 +389,7 @@
                 let key = Some(SOAK_KEY);
                 match call_with_key(soak_box.config.callers, "GET", &path, "", key).await {
                     Some((200, body)) if body.contains(wanted) => return None,
-                    // It is over, and will not be anything else.
+                    // A failed job does not change its state any more.
                     Some((200, body)) if body.contains("failed") => return Some(body),
                     Some((410, _)) => return Some("not known any more".to_owned()),
                     Some((status, body)) => last = format!("{status} {body}"),
--- a/crates/sedgehill-standin/src/soak/plan.rs
+++ b/crates/sedgehill-standin/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of one run, drawn from its seed.
+//! The plan of a soak: its faults and their times, drawn from the seed.
 
 use std::time::Duration;
 
@@ -9,104 +9,112 @@
 use super::{SoakProfile, SoakSize};
 use crate::cell_platform::{AdviceFault, AffectedLeads, CORES, CallFault, PathFault};
 
-/// One thing that happens from outside.
+/// A fault that is injected from outside.
+///
+/// The first `usize` is the number of a box or worker. The variant names are written to `plan.txt`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SoakFault {
-    /// A box is killed, and started again after a pause.
+    /// Kills a box, and starts it again after a pause.
     Kill(usize, Duration),
-    /// A box is stopped as planned, and started again when it has ended.
+    /// Stops a box by SIGTERM, and starts it again when it has ended.
     Stop(usize),
-    /// A box stands still.
+    /// Suspends the process of a box for a time.
     Pause(usize, Duration),
-    /// A box's path to the store is worse for a time.
+    /// Puts a box's path to the store into a faulty state for a time.
     Path(usize, PathState, Duration),
-    /// All connections of a box to the store break.
+    /// Closes all connections of a box to the store.
     Reset(usize),
-    /// The open connections of a box to the store lose all that is sent on them.
+    /// Drops all further data on the open connections of a box to the store, without closing them.
     SilenceOpen(usize),
-    /// The store answers nobody.
+    /// Stops the store from answering calls for a time.
     StoreSilent(Duration),
-    /// All boxes are killed at once, and started again after a pause.
+    /// Kills all boxes at once, and starts them again after a pause.
     KillAll(Duration),
-    /// The configuration changes.
+    /// Writes the next version of the configuration.
     Configure,
-    /// The lead is killed, and started again after a pause.
+    /// Kills the box that holds the lead, and starts it again after a pause.
     KillLead(Duration),
-    /// The lead stands still, and then goes on.
+    /// Suspends the process of the box that holds the lead for a time.
     PauseLead(Duration),
-    /// Calls to a worker meet trouble for a time.
+    /// Injects a fault into the calls to a worker for a time.
     WorkerPath(usize, PathFault, Duration),
-    /// A worker dies; another life follows at its address after a pause. The store lists the old one for
-    /// a time.
+    /// Crashes a worker. Its next life begins at the same address after a pause (first duration). The entry of the old life
+    /// is removed from the store some time after that (second duration).
     WorkerDies(usize, Duration, Duration),
-    /// A third of all workers die at one moment, counted from some worker, and are back after about so long.
+    /// Crashes every third worker at once, counted from the given one. Their next lives begin one after the other from this
+    /// time on.
     ManyDie(usize, Duration),
-    /// The store does not list a worker for a time, though it lives.
+    /// Removes the entry of a live worker from the store for a time.
     Unlisted(usize, Duration),
-    /// A worker has so many cores for a time.
+    /// Gives a worker this many cores (second number) for a time.
     Resize(usize, usize, Duration),
-    /// Appends meet trouble for a time.
+    /// Injects a fault into appends to the store for a time.
     Appends(PathFault, Duration),
-    /// The store forgets the progress of jobs but for the newest of each key.
+    /// Discards the history of the progress topic. Only the newest record of each key remains.
     Forget,
-    /// The questions of a box to the advice service meet trouble for a time.
+    /// Injects a fault into the questions of a box to the advice service for a time.
     Advice(usize, AdviceFault, Duration),
-    /// The same the moment the next lead fences. For a time before it progress is not read.
+    /// Discards the history of the progress topic, as [`SoakFault::Forget`] does, when the next lead begins its epoch there.
+    /// Until then, for at most this time, reads of the topic return no records.
     ForgetAtFence(Duration),
 }
 
 impl SoakFault {
-    /// Whether it only troubles the questions of one box, so that all jobs have to go on meanwhile.
+    /// Returns whether the fault affects only the questions of one box to the advice service. Jobs must not stall because
+    /// of such a fault.
     pub fn affects_advice_only(self) -> bool {
         matches!(self, SoakFault::Advice(..))
     }
 }
 
-/// When which fault begins, from the start of the load.
+/// The faults with the time from the start of the load at which each begins.
 pub type SoakPlan = Vec<(Duration, SoakFault)>;
 
-/// Faults begin on the average so far apart, which is less than most of them last.
+/// Time between the beginnings of two general faults. Most of them last longer, so that they overlap.
 const FAULT_GAP_MS: std::ops::Range<u64> = 200..1_600;
 
-/// Connections of some box fall silent once in so many seconds.
+/// Average time between two silenced sets of connections ([`SoakFault::SilenceOpen`]).
 const SILENCE_PERIOD_S: u64 = 3;
-/// Questions of some box meet trouble for so long, with so much time between.
+/// Duration of a fault of the advice service.
 const ADVICE_FAULT_MS: std::ops::Range<u64> = 2_000..9_000;
+/// Time between the end of a fault of the advice service and the next one.
 const ADVICE_GAP_MS: std::ops::Range<u64> = 200..3_000;
-/// Tells the generator of these faults from the others.
+/// Separates the generator of advice faults from the others.
 const ADVICE_SALT: u64 = 0x6164_7669;
 
-/// Faults of a full cell are so far apart.
+/// Time between two faults in the full profile.
 const SPARSE_GAP_MS: std::ops::Range<u64> = 12_000..18_000;
-/// Tells the generator of these faults from the others.
+/// Separates the generator of these sparse faults from the others.
 const SPARSE_SALT: u64 = 0x7370_6172;
 
-/// Tells the generator of silences from that of the other faults.
+/// Separates the generator of silenced connections from the others.
 const SILENCE_SALT: u64 = 0x5113_7ce5;
 
-/// Each worker shrinks once in so many seconds.
+/// Average time between two changes of the cores of one worker.
 const RESIZE_PERIOD_S: u64 = 12;
-/// Tells the generator of these faults from the others.
+/// Separates the generator of changed cores from the others.
 const RESIZE_SALT: u64 = 0x7369_7a65;
 
-/// Faults of a worker or of the store begin on the average so far apart with six workers, and as much
-/// closer as there are more.
+/// Time between the beginnings of two faults of workers or of the store in a cell of [`WORKER_GAP_WORKERS`] workers. It is
+/// proportionally shorter with more workers.
 const WORKER_GAP_MS: std::ops::Range<u64> = 100..1_000;
-/// Tells the generator of these faults from the others.
+/// Number of workers to which [`WORKER_GAP_MS`] refers.
+const WORKER_GAP_WORKERS: u64 = 6;
+/// Separates the generator of worker and store faults from the others.
 const WORKER_SALT: u64 = 0x776f_726b;
-/// Leads are lost so far apart: each may just have taken over.
+/// Time between two faults of the lead. It includes short ones, after which the next lead has just taken over.
 const LEAD_GAP_MS: std::ops::Range<u64> = 500..4_500;
-/// Tells the generator of these faults from the others.
+/// Separates the generator of lead faults from the others.
 const LEAD_SALT: u64 = 0x6c65_6164;
-/// A second lead may be lost so soon after the first one: within a lease of 4 s.
+/// Time from the loss of a lead to the loss of its successor, where both are lost. It lies within a lease of 4 s.
 const SECOND_LEAD_FAULT_DELAY_MS: std::ops::Range<u64> = 400..3_000;
 
-/// Many workers die together so far apart.
+/// Time between two crashes of many workers.
 const MASS_DEATH_GAP_MS: std::ops::Range<u64> = 6_000..14_000;
-/// Tells the generator of these faults from the others.
+/// Separates the generator of these crashes from the others.
 const MASS_DEATH_SALT: u64 = 0x6d61_6e79;
 
-/// Draws the faults of a run of `seconds` seconds.
+/// Draws the faults of a load of `seconds` seconds. The same arguments always give the same plan.
 pub fn draw_plan(seed: u64, seconds: u64, size: SoakSize) -> SoakPlan {
     let boxes = size.boxes;
     if size.profile == SoakProfile::Full {
@@ -139,7 +147,8 @@
     plan
 }
 
-/// Draws trouble of the questions of one box after the other: all others can ask meanwhile.
+/// Draws faults of the advice service, each for the questions of one box. They do not overlap, so that all other boxes
+/// can ask.
 fn draw_advice_faults(seed: u64, seconds: u64, boxes: usize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ ADVICE_SALT);
     let mut plan = Vec::new();
@@ -156,7 +165,8 @@
     plan
 }
 
-/// Draws faults, some of them two at once, with calm between them in which long-running tasks have to run again.
+/// Draws the faults of the full profile: single ones and pairs of a lead and a worker fault, with calm between them in
+/// which long-running tasks have to run again.
 fn draw_sparse_faults(seed: u64, seconds: u64, size: SoakSize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SPARSE_SALT);
     let mut plan = Vec::new();
@@ -187,7 +197,7 @@
     plan
 }
 
-/// Draws when connections fall silent: from a generator of its own, so that a seed keeps its other faults.
+/// Draws when connections fall silent. The separate generator leaves the other faults of a seed unchanged.
 fn draw_silences(seed: u64, seconds: u64, boxes: usize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SILENCE_SALT);
     let count = seconds / SILENCE_PERIOD_S;
@@ -198,7 +208,7 @@
     (0..count).map(draw).collect()
 }
 
-/// Draws when workers shrink and grow, down to nothing.
+/// Draws when workers have fewer cores for a time, down to none.
 fn draw_resizes(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ RESIZE_SALT);
     let count = seconds * workers as u64 / RESIZE_PERIOD_S;
@@ -211,7 +221,7 @@
     (0..count).map(draw).collect()
 }
 
-/// Draws when many workers die together.
+/// Draws when many workers crash at once.
 fn draw_mass_deaths(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ MASS_DEATH_SALT);
     let mut plan = Vec::new();
@@ -225,6 +235,7 @@
     plan
 }
 
+/// Draws a general fault of boxes, of their paths or of the store.
 fn draw_fault(rng: &mut StdRng, boxes: usize) -> SoakFault {
     let number = rng.random_range(0..boxes);
     let span = Duration::from_millis(rng.random_range(100..4_000));
@@ -243,6 +254,7 @@
     }
 }
 
+/// Draws when leads are lost, some of them soon after they took over.
 fn draw_lead_faults(seed: u64, seconds: u64) -> SoakPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ LEAD_SALT);
     let mut plan = Vec::new();
@@ -255,7 +267,8 @@
         match rng.random_range(0..5) {
             0 => plan.push((begins, SoakFault::KillLead(pause))),
             4 => {
-                // What this lead has not passed on when it dies is forgotten as the next one fences.
+                // Progress that this lead has not passed on to other boxes when it is killed is discarded when the next
+                // lead begins its epoch.
                 let held = Duration::from_millis(rng.random_range(20..200));
                 plan.push((begins, SoakFault::ForgetAtFence(second)));
                 plan.push((begins + held, SoakFault::KillLead(pause)));
@@ -275,14 +288,14 @@
     plan
 }
 
+/// Draws faults of single workers and of the store.
 fn draw_worker_faults(seed: u64, seconds: u64, workers: usize) -> SoakPlan {
-    const GAP_WORKERS: u64 = 6;
     let mut rng = StdRng::seed_from_u64(seed ^ WORKER_SALT);
     let mut plan = Vec::new();
     let mut at = 500;
     while at < seconds * 1_000 {
         plan.push((Duration::from_millis(at), draw_worker_fault(&mut rng, workers)));
-        at += 1 + rng.random_range(WORKER_GAP_MS) * GAP_WORKERS / (workers as u64).max(1);
+        at += 1 + rng.random_range(WORKER_GAP_MS) * WORKER_GAP_WORKERS / (workers as u64).max(1);
     }
     plan
 }
@@ -306,9 +319,10 @@
     }
 }
 
+/// Draws a fault of calls. The tokens in its leads are placeholders.
 fn draw_path_fault(rng: &mut StdRng) -> PathFault {
     let kinds = [CallFault::Lost, CallFault::Unanswered, CallFault::Late, CallFault::AnsweredLate];
-    // Counted from the lead of that moment.
+    // Relative to the lead at the time of the fault: see `AffectedLeads::as_of`.
     let leads = [AffectedLeads::All, AffectedLeads::UpTo(0), AffectedLeads::After(0)];
     PathFault {
         kind: kinds[rng.random_range(0..kinds.len())],
--- a/crates/sedgehill-standin/src/soak/progress.rs
+++ b/crates/sedgehill-standin/src/soak/progress.rs
@@ -1,8 +1,9 @@
-//! Watches that no job is stalled: that for 3 s of calm nothing of it runs though a task's turn has come, the workers that
-//! are good for it have room twice over, and under half of the cell is in use.
+//! Detects stalled jobs. A job is stalled if for 3 s of calm none of its tasks runs although all steps before one of its steps
+//! are done, the workers that the advice service allows for this step have room for it twice over, and less than half of the
+//! cores of the cell are in use.
 //!
-//! It sees what callers were told and what workers run, while the load goes on: a job that ends at last was stalled
-//! all the same.
+//! The watch compares the accepted jobs with the runs of workers during the load, so that it also finds stalled jobs that end
+//! later.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -12,19 +13,20 @@
 use super::callers::SubmittedJobs;
 use crate::cell_platform::{CellPlatform, WorkerSnapshot};
 
-/// A job may be stalled for so long, as the users say.
+/// Maximum time that a job may be stalled, as required by the users.
 const MAX_STALL: Duration = Duration::from_secs(3);
-/// Faults that ended so long before have no part in it.
+/// Time after the last fault from which on jobs are judged. Older faults do not excuse a stalled job.
 const MIN_CALM: Duration = Duration::from_secs(4);
-/// Time between two looks.
+/// Time between two checks.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// A look that comes so late tells that the stand-ins stood still themselves, and the boxes that wait for them: as when a
-/// machine is suspended, which the users count as a fault of it.
+/// Delay of a check from which on the stand-ins themselves must have been paused, and with them the boxes that wait for
+/// their answers, as when a machine is suspended. The users regard that as a fault of the machine.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Room for so many times what waits.
+/// A step counts as stalled only if the allowed workers have room for this many times its waiting gang, or for this many of
+/// its tasks.
 const MIN_ROOM_FACTOR: usize = 2;
 
-/// A step as its caller handed it in.
+/// A step as its caller submitted it.
 #[derive(Debug, Clone)]
 struct WatchedStep {
     id: String,
@@ -34,47 +36,48 @@
     after: Vec<usize>,
 }
 
+/// The state of the watch.
 #[derive(Debug, Default)]
 struct ProgressState {
     jobs: BTreeMap<u64, Vec<WatchedStep>>,
-    /// Since when jobs are stalled.
+    /// When each stalled job was first seen as stalled.
     stalled: HashMap<u64, Instant>,
     completed: HashSet<u64>,
     told: HashSet<u64>,
     violations: Vec<String>,
-    /// The longest that a job was stalled in calm.
+    /// The longest time that a job was stalled in calm.
     max_stall: Duration,
 }
 
-/// What is watched.
+/// Detects jobs that are stalled for too long.
 pub struct ProgressWatch {
-    /// No fault has been at work since then.
+    /// When the last fault began or ended.
     calm_since: Mutex<Instant>,
     state: Mutex<ProgressState>,
 }
 
 impl ProgressWatch {
-    /// A watch of a cell at which no fault is at work.
+    /// Creates a watch of a cell without faults.
     pub fn new() -> ProgressWatch {
         ProgressWatch { calm_since: Mutex::new(Instant::now()), state: Mutex::default() }
     }
 
-    /// A fault has begun or ended.
+    /// Records that a fault begins or ends now.
     pub fn record_fault(&self) {
         *self.calm_since.lock() = Instant::now();
     }
 
-    /// Jobs that were stalled.
+    /// Describes the jobs that were stalled for too long.
     pub fn violations(&self) -> Vec<String> {
         self.state.lock().violations.clone()
     }
 
-    /// The longest that a job was stalled in calm.
+    /// Returns the longest time that a job was stalled in calm.
     pub fn max_stall(&self) -> Duration {
         self.state.lock().max_stall
     }
 
-    /// Watches until it is dropped.
+    /// Checks the jobs periodically until the future is dropped.
     pub async fn run(&self, platform: &CellPlatform, told: &Mutex<SubmittedJobs>) {
         let mut last_check = Instant::now();
         loop {
@@ -110,7 +113,7 @@
 }
 
 impl ProgressState {
-    /// Takes in the jobs that were accepted, and drops those that were cancelled.
+    /// Adds newly accepted jobs, except those that crash workers, and removes cancelled ones.
     fn update_jobs(&mut self, told: &SubmittedJobs) {
         for id in told.accepted.iter().filter(|id| !told.crashing.contains(id)) {
             if !self.completed.contains(id) && !self.jobs.contains_key(id) {
@@ -121,6 +124,7 @@
         self.jobs.retain(|id, _| told.accepted.contains(id));
     }
 
+    /// Removes the jobs of which all tasks have ended as done.
     fn remove_completed(&mut self, done: &BTreeMap<String, usize>) {
         let (stalled, completed) = (&mut self.stalled, &mut self.completed);
         self.jobs.retain(|id, steps| {
@@ -133,7 +137,8 @@
         });
     }
 
-    /// Notes what of a job could run and does not, or that nothing is amiss.
+    /// Updates how long a job has been stalled. `stalled` describes the step that could run; `None` means that the job is
+    /// not stalled.
     fn update_stall(&mut self, id: u64, stalled: Option<String>, now: Instant) {
         let Some(what) = stalled else {
             self.stalled.remove(&id);
@@ -149,13 +154,15 @@
 }
 
 impl WatchedStep {
+    /// Returns how many tasks of the step have not ended as done.
     fn remaining(&self, done: &BTreeMap<String, usize>) -> usize {
         let done = done.get(&self.id).copied().unwrap_or(0);
-        // The members of a gang end together.
+        // The members of a gang end together, so one report completes the gang.
         if self.gang && done > 0 { 0 } else { self.count.saturating_sub(done) }
     }
 }
 
+/// Reads the steps of a job from its request body.
 fn parse_steps(id: u64, body: &str) -> Vec<WatchedStep> {
     let body: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     let steps = body["steps"].as_array().cloned().unwrap_or_default();
@@ -170,7 +177,8 @@
     steps.iter().enumerate().map(step).collect()
 }
 
-/// The step of a job that could run though nothing of the job does.
+/// Describes a step that could run in a job of which no task runs. Returns `None` if a task of the job runs or no step is
+/// ready and has room.
 fn stalled_step(
     steps: &[WatchedStep],
     snapshots: &[WorkerSnapshot],
--- a/crates/sedgehill-standin/src/soak/proxy.rs
+++ b/crates/sedgehill-standin/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A path to the store that can be made worse from outside.
+//! A TCP proxy between a box and the store that injects network faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,30 +10,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are passed on at once.
+/// Maximum number of bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Time between two looks whether a silent path speaks again.
+/// Time between two checks whether a silent path forwards data again.
 const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a path does.
+/// How a path treats data and connections. The variant names are written to `plan.txt`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PathState {
-    /// It passes everything on.
+    /// Forwards all data.
     #[default]
     Open,
-    /// It passes everything on, each chunk so much later.
+    /// Forwards all data, and each chunk after this delay.
     Slow(Duration),
-    /// What is sent to the store does not arrive.
+    /// Holds data towards the store until the state changes.
     SilentForth,
-    /// What the store answers does not arrive.
+    /// Holds data from the store until the state changes.
     SilentBack,
-    /// It takes no connections.
+    /// Closes new connections at once.
     Refusing,
 }
 
-/// A path that can be made worse.
+/// A proxy on the path to a server that can inject network faults.
 pub struct FaultyPath {
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
     state: Arc<Mutex<PathState>>,
     resets: watch::Sender<u64>,
@@ -48,7 +48,7 @@
 }
 
 impl FaultyPath {
-    /// Opens a path to `target`.
+    /// Starts a proxy to `target`.
     pub async fn open(target: SocketAddr) -> std::io::Result<FaultyPath> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
@@ -71,7 +71,7 @@
         Ok(FaultyPath { address, state, resets, silences, task })
     }
 
-    /// Changes what the path does. Refusing also breaks the connections that are open.
+    /// Sets the state of the path. [`PathState::Refusing`] also closes the open connections.
     pub fn set(&self, state: PathState) {
         *self.state.lock() = state;
         if state == PathState::Refusing {
@@ -79,17 +79,18 @@
         }
     }
 
-    /// Has the connections that are open now lose all that is sent on them, without an error.
+    /// Drops all further data on the connections that are open now, without closing them.
     pub fn silence_open(&self) {
         self.silences.send_modify(|count| *count += 1);
     }
 
-    /// Breaks all connections.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 }
 
+/// Forwards the data of one connection in both directions until it ends or is reset.
 async fn forward(
     stream: TcpStream,
     target: SocketAddr,
@@ -104,11 +105,12 @@
     tokio::select! {
         _ = copy(client_read, store_write, (&state, &silencing), PathState::SilentForth) => {}
         _ = copy(store_read, client_write, (&state, &silencing), PathState::SilentBack) => {}
-        // An error means that the path is gone.
+        // An error means that the `FaultyPath` was dropped.
         _ = resetting.changed() => {}
     }
 }
 
+/// Forwards data in one direction. `silent_state` is the state that holds the data of this direction.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/sedgehill-standin/src/soak/wide.rs
+++ b/crates/sedgehill-standin/src/soak/wide.rs
@@ -1,5 +1,5 @@
-//! A cell with gangs as wide as half of it, members as large as half of a worker, and dear questions to the advice
-//! service, beside many narrow jobs.
+//! The profile [`SoakProfile::Wide`](super::SoakProfile::Wide): gangs that need up to half of the cell, with members of up to
+//! half of a worker and costly questions to the advice service, beside many narrow jobs.
 
 use std::time::Duration;
 
@@ -12,50 +12,53 @@
 
 /// Cores of a worker, as at the users' small sites.
 pub const WIDE_CORES: usize = 16;
-/// Set in the ids of jobs with wide gangs.
+/// Bit in the ids of jobs with wide gangs, and in those of long-running jobs in the full profile.
 const WIDE_BIT: u64 = 1 << 63;
-/// One job in so many has wide gangs: with twelve callers 1.2 a second, as at the users' small site.
+/// One in this many jobs has wide gangs. With twelve callers these are 1.2 a second, as at the users' small site.
 const WIDE_ONE_IN: u32 = 32;
-/// Tells the generator that chooses them from that of their gangs.
+/// Separates the generator that chooses the jobs with wide gangs from that of their gangs.
 const WIDE_SALT: u64 = 0x7769_6465;
-/// One gang in so many is wider than a few members.
+/// One in this many gangs has more members than [`SMALL_GANG_MEMBERS`].
 const LARGE_GANG_ONE_IN: u32 = 4;
-/// Members of the narrower gangs, and the most of any.
+/// Members of a small gang.
 const SMALL_GANG_MEMBERS: std::ops::Range<u16> = 2..13;
+/// Maximum number of members of a gang.
 const MAX_MEMBERS: u16 = 48;
 /// Cores of a member.
 const MEMBER_CORES: std::ops::Range<usize> = 2..8;
-/// Of the workers so many hundredths are good for a step with a wide gang, unless it needs more, and for others.
+/// Share of the workers that the advice service allows for a step with a wide gang, unless the gang needs more.
 const WIDE_ALLOWED_PERCENT: usize = 30;
+/// Share of the workers that the advice service allows for a step of a narrow job.
 const NARROW_ALLOWED_PERCENT: usize = 70;
-/// The workers that are good for a gang have room for it so many times over while they are empty.
+/// The workers that are allowed for a gang have room for this many such gangs while they are idle.
 const ROOM_FACTOR: usize = 2;
 
-/// One gang.
+/// The size of a gang, with the cores of each member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct WideGang {
     members: u16,
     cores: usize,
 }
 
-/// The id of a job, by its number.
+/// Returns the id of a job by its number. Some ids are marked as those of jobs with wide gangs.
 pub fn job_id(caller: u64, number: u64) -> u64 {
     let id = (caller << 48) | number;
     let mut rng = StdRng::seed_from_u64(id ^ WIDE_SALT);
     if rng.random_ratio(1, WIDE_ONE_IN) { id | WIDE_BIT } else { id }
 }
 
-/// The id of a job that is marked as one with wide gangs, by its number.
+/// Returns the id of a job by its number, marked as that of a job with wide gangs.
 pub fn wide_job_id(caller: u64, number: u64) -> u64 {
     (caller << 48) | number | WIDE_BIT
 }
 
-/// Whether a job has wide gangs.
+/// Returns whether an id is marked as that of a job with wide gangs.
 pub fn is_wide(id: u64) -> bool {
     id & WIDE_BIT != 0
 }
 
-/// The gangs of a job, one after the other; drawn from its id, so that the service knows them as well.
+/// Returns the gangs of a job, which run one after the other. They are drawn from the id alone, so that the advice service
+/// can compute them as well.
 fn gangs_of(id: u64, workers: usize) -> Vec<WideGang> {
     let mut rng = StdRng::seed_from_u64(id);
     let steps = if rng.random_ratio(1, 3) { 2 } else { 1 };
@@ -72,10 +75,10 @@
     gangs
 }
 
-/// What a caller hands in for a job with wide gangs.
+/// Returns the request body of a job with wide gangs.
 pub fn wide_job_body(id: u64, workers: usize) -> Value {
     let gangs = gangs_of(id, workers);
-    // All members of a job carry the same work.
+    // All steps of a job share one spec, which names the cores.
     let cores = gangs.iter().map(|gang| gang.cores).max().unwrap_or(1);
     let steps: Vec<Value> = gangs
         .iter()
@@ -92,7 +95,8 @@
     json!({ "spec": format!("{WIDE_SPEC}{cores}"), "steps": steps })
 }
 
-/// How many workers are good for a step, and what a question about it costs: the figures of the users' small site.
+/// Returns how many workers the advice service allows for a step, and the time that a question takes. The figures are those
+/// of the users' small site.
 fn advice_for(step: &str, workers: usize) -> StepAdvice {
     let mut parts = step.split('.');
     let id = parts.next().and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or_default();
@@ -119,7 +123,7 @@
     }
 }
 
-/// Sets the service and the configuration up: one queue for narrow jobs, one for wide gangs.
+/// Sets up the advice service, and writes a configuration with one queue for narrow jobs and one for jobs with wide gangs.
 pub fn configure(platform: &CellPlatform, version: u64) {
     let workers = platform.worker_addresses.len();
     platform.advice.set_rule(move |step| advice_for(step, workers));
@@ -138,7 +142,7 @@
     );
 }
 
-/// The path under which a job is known.
+/// Returns the path of a job in the HTTP interface.
 pub fn job_path(id: u64) -> String {
     let prefix = if is_wide(id) { "courts" } else { "checks" };
     format!("/{prefix}/{id:016x}")
