--- a/crates/sedgehill-standin/src/soak/callers.rs
+++ b/crates/sedgehill-standin/src/soak/callers.rs
@@ -194,6 +194,7 @@
         None
     }
 
+    /// Cancels an accepted job.
     async fn cancel(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -209,6 +210,7 @@
         self.call(client, address, Method::DELETE, id, "").await;
     }
 
+    /// Calls a box and counts the answer. Returns its status, or `None` without an answer in time.
     async fn call(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -246,11 +248,13 @@
     crashes.then(|| rng.random_range(CRASH_AFTER_MS))
 }
 
+/// Returns the request body of a job whose first task crashes its worker `after` milliseconds after its start.
 fn crashing_body(after: u64) -> String {
     let step = serde_json::json!({ "count": 2, "cpu": 1000, "mem_mb": 16, "estimate_ms": 150 });
     serde_json::json!({ "spec": format!("{CRASH_SPEC}{after}"), "steps": [step] }).to_string()
 }
 
+/// Draws the request body of a job with one or two steps.
 fn draw_body(rng: &mut StdRng, id: u64) -> String {
     let step = |rng: &mut StdRng, after: Option<u16>| {
         let number = after.map_or(0, |previous| previous + 1);
--- a/crates/sedgehill-standin/src/soak/faults.rs
+++ b/crates/sedgehill-standin/src/soak/faults.rs
@@ -11,7 +11,7 @@
 use super::{full, wide};
 use crate::cell_platform::{PROGRESS_TOPIC, PathFault};
 
-/// Of the workers, every one at this distance in number dies where many die at once.
+/// Where many workers die at once, distance between the numbers of two of them.
 const MASS_DEATH_STRIDE: usize = 3;
 /// Time between the revivals of two such workers.
 const REVIVAL_INTERVAL: Duration = Duration::from_millis(40);
@@ -106,8 +106,8 @@
                 repairs.push((after(span), Repair::RestoreStore));
             }
             SoakFault::Configure => self.configure(),
-            SoakFault::Advice(number, path_fault, span) => {
-                self.platform.advice.set_fault(number + 1, Some(path_fault));
+            SoakFault::Advice(number, advice_fault, span) => {
+                self.platform.advice.set_fault(number + 1, Some(advice_fault));
                 repairs.push((after(span), Repair::RestoreAdvice(number)));
             }
             SoakFault::KillLead(pause) => {
@@ -208,6 +208,7 @@
         Ok(())
     }
 
+    /// Sends a signal to the process of a box if it runs.
     fn signal(&self, number: usize, signal: Signal) {
         if let Some(process) = &self.boxes[number].process {
             process.signal(signal);
--- a/crates/sedgehill-standin/src/soak/full.rs
+++ b/crates/sedgehill-standin/src/soak/full.rs
@@ -39,7 +39,7 @@
 const FILLER_ALLOWED_PERCENT: usize = 70;
 /// Time between two checks of the watch.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay of a check from which on the stand-ins themselves must have been paused. This counts as a fault.
+/// A longer time between two checks means that the stand-ins themselves were paused. That counts as a fault.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// Maximum time that a long-running task may be without a run: it has to run again 6 s after its last run, and may be 3 s
 /// late.
@@ -127,10 +127,11 @@
 /// Counts the accepted jobs of which no task has started.
 fn count_waiting_jobs(pool: &CallerPool, platform: &CellPlatform) -> usize {
     let started = platform.workers.started_jobs();
-    let reported = pool.jobs().lock();
-    reported.accepted.iter().filter(|id| !started.contains(&format!("{id:016x}"))).count()
+    let jobs = pool.jobs().lock();
+    jobs.accepted.iter().filter(|id| !started.contains(&format!("{id:016x}"))).count()
 }
 
+/// Returns the request body of a long-running job.
 fn long_running_body() -> String {
     let step = json!({
         "count": LONG_RUNNING_TASKS, "cpu": TASK_CORES * 1_000, "mem_mb": 16, "estimate_ms": 500, "long_running": true
@@ -138,6 +139,7 @@
     json!({ "spec": format!("{LONG_RUNNING_SPEC}{TASK_CORES}"), "steps": [step] }).to_string()
 }
 
+/// Draws the request body of a narrow job.
 fn filler_body(rng: &mut StdRng) -> String {
     let count = rng.random_range(FILLER_TASKS);
     let step = json!({
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Updates when each task was last seen, and records the tasks that are without a run for too long.
     fn check(&self, platform: &CellPlatform) {
         let now = Instant::now();
         let calm = now.duration_since(*self.calm_since.lock());
--- a/crates/sedgehill-standin/src/soak/keys.rs
+++ b/crates/sedgehill-standin/src/soak/keys.rs
@@ -26,6 +26,7 @@
 /// Separates the generator of probes from those of faults and jobs.
 const PROBE_SALT: u64 = 0x6b65_7973;
 
+/// The versions so far, and the violations found.
 #[derive(Debug, Default)]
 struct KeyState {
     /// When each version was written to the store, beginning with version 1.
--- a/crates/sedgehill-standin/src/soak/mod.rs
+++ b/crates/sedgehill-standin/src/soak/mod.rs
@@ -30,7 +30,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
 /// Time after the acceptance of a job within which every box must know it, as promised to callers.
 const MAX_VISIBILITY_DELAY: Duration = Duration::from_secs(3);
-/// Time between two polls of a box.
+/// Time between two polls of the boxes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The kind of cell and load of a soak.
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Returns the number of callers.
     fn callers(&self) -> u64 {
         match self.profile {
             SoakProfile::Narrow => self.workers as u64,
@@ -186,9 +187,11 @@
         (soak.progress.violations(), "\"step stalled\""),
         (soak.restarts.violations(), "\"task without a run\""),
     ];
-    for (broken, line) in watched.into_iter().filter(|(broken, _)| !broken.is_empty()) {
-        report.broken.extend(broken);
-        report.broken.extend(soak.log_lines(line));
+    for (violations, message) in
+        watched.into_iter().filter(|(violations, _)| !violations.is_empty())
+    {
+        report.broken.extend(violations);
+        report.broken.extend(soak.log_lines(message));
     }
     Ok(report)
 }
@@ -207,6 +210,7 @@
 }
 
 impl<'a> Soak<'a> {
+    /// Starts the stand-ins and boxes, and waits until all boxes are ready.
     async fn start(seed: u64, size: SoakSize, directory: &'a Path) -> std::io::Result<Soak<'a>> {
         let mut platform = CellPlatform::start_with_cores(size.workers, size.cores()).await?;
         platform.workers.set_run_ms(match size.profile {
@@ -376,12 +380,13 @@
         }
     }
 
-    /// Waits until a box reports a job in the state `wanted`. Returns `None` then, and otherwise the last other answer.
+    /// Waits until a box reports a job in the state `wanted`, and returns `None` then. Otherwise returns what boxes report
+    /// instead: at once if the job has failed or is not known any more, or else the last answer at the deadline.
     async fn wait_for_state(&mut self, id: u64, wanted: &str, deadline: Instant) -> Option<String> {
         let path = wide::job_path(id);
-        let mut last = String::from("not known");
+        let mut last_answer = String::from("not known");
         loop {
-            let is_last = Instant::now() >= deadline;
+            let is_last_poll = Instant::now() >= deadline;
             if let Err(error) = self.restart_stopped_boxes() {
                 return Some(format!("not to be asked for: {error}"));
             }
@@ -392,18 +397,19 @@
                     // A failed job does not change its state any more.
                     Some((200, body)) if body.contains("failed") => return Some(body),
                     Some((410, _)) => return Some("not known any more".to_owned()),
-                    Some((status, body)) => last = format!("{status} {body}"),
+                    Some((status, body)) => last_answer = format!("{status} {body}"),
                     None => {}
                 }
             }
-            if is_last {
-                return Some(last);
+            if is_last_poll {
+                return Some(last_answer);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
+/// Returns whether a box reports itself as ready.
 async fn is_ready(soak_box: &SoakBox) -> bool {
     let answer = call(soak_box.config.ready, "GET", "/sedgehill/readyz", "").await;
     answer.is_some_and(|(status, _)| status == 200)
--- a/crates/sedgehill-standin/src/soak/plan.rs
+++ b/crates/sedgehill-standin/src/soak/plan.rs
@@ -106,7 +106,8 @@
 const LEAD_GAP_MS: std::ops::Range<u64> = 500..4_500;
 /// Separates the generator of lead faults from the others.
 const LEAD_SALT: u64 = 0x6c65_6164;
-/// Time from the loss of a lead to the loss of its successor, where both are lost. It lies within a lease of 4 s.
+/// Time between two faults of the lead that follow closely, so that the successor may be lost as well. It is shorter than a
+/// lease of 4 s. Faults that hold reads of progress last as long.
 const SECOND_LEAD_FAULT_DELAY_MS: std::ops::Range<u64> = 400..3_000;
 
 /// Time between two crashes of many workers.
--- a/crates/sedgehill-standin/src/soak/progress.rs
+++ b/crates/sedgehill-standin/src/soak/progress.rs
@@ -15,12 +15,12 @@
 
 /// Maximum time that a job may be stalled, as required by the users.
 const MAX_STALL: Duration = Duration::from_secs(3);
-/// Time after the last fault from which on jobs are judged. Older faults do not excuse a stalled job.
+/// Minimum time since the last fault for jobs to be judged. Before that, the fault may be the reason of a stall.
 const MIN_CALM: Duration = Duration::from_secs(4);
 /// Time between two checks.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay of a check from which on the stand-ins themselves must have been paused, and with them the boxes that wait for
-/// their answers, as when a machine is suspended. The users regard that as a fault of the machine.
+/// A longer time between two checks means that the stand-ins themselves were paused, and with them the boxes that wait for
+/// their answers, as when a machine is suspended. The users count that as a fault of the machine.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// A step counts as stalled only if the allowed workers have room for this many times its waiting gang, or for this many of
 /// its tasks.
@@ -43,7 +43,7 @@
     /// When each stalled job was first seen as stalled.
     stalled: HashMap<u64, Instant>,
     completed: HashSet<u64>,
-    told: HashSet<u64>,
+    reported: HashSet<u64>,
     violations: Vec<String>,
     /// The longest time that a job was stalled in calm.
     max_stall: Duration,
@@ -78,7 +78,7 @@
     }
 
     /// Checks the jobs periodically until the future is dropped.
-    pub async fn run(&self, platform: &CellPlatform, told: &Mutex<SubmittedJobs>) {
+    pub async fn run(&self, platform: &CellPlatform, jobs: &Mutex<SubmittedJobs>) {
         let mut last_check = Instant::now();
         loop {
             tokio::time::sleep(WATCH_INTERVAL).await;
@@ -86,20 +86,21 @@
                 self.record_fault();
             }
             last_check = Instant::now();
-            self.check(platform, told);
+            self.check(platform, jobs);
         }
     }
 
-    fn check(&self, platform: &CellPlatform, told: &Mutex<SubmittedJobs>) {
+    /// Updates the jobs, and how long each has been stalled.
+    fn check(&self, platform: &CellPlatform, jobs: &Mutex<SubmittedJobs>) {
         let snapshots = platform.workers.snapshots();
         let done = platform.workers.done_tasks();
         let now = Instant::now();
         let calm = now.duration_since(*self.calm_since.lock());
-        let used: usize = snapshots.iter().map(|one| one.used).sum();
-        let cores: usize = snapshots.iter().map(|one| one.cores).sum();
+        let used: usize = snapshots.iter().map(|snapshot| snapshot.used).sum();
+        let cores: usize = snapshots.iter().map(|snapshot| snapshot.cores).sum();
         let is_judged = 2 * used < cores && calm >= MIN_CALM;
         let state = &mut *self.state.lock();
-        state.update_jobs(&told.lock());
+        state.update_jobs(&jobs.lock());
         state.remove_completed(&done);
         let ids: Vec<u64> = state.jobs.keys().copied().collect();
         for id in ids {
@@ -114,14 +115,14 @@
 
 impl ProgressState {
     /// Adds newly accepted jobs, except those that crash workers, and removes cancelled ones.
-    fn update_jobs(&mut self, told: &SubmittedJobs) {
-        for id in told.accepted.iter().filter(|id| !told.crashing.contains(id)) {
+    fn update_jobs(&mut self, submitted: &SubmittedJobs) {
+        for id in submitted.accepted.iter().filter(|id| !submitted.crashing.contains(id)) {
             if !self.completed.contains(id) && !self.jobs.contains_key(id) {
-                let body = told.bodies.get(id).map(String::as_str).unwrap_or_default();
+                let body = submitted.bodies.get(id).map(String::as_str).unwrap_or_default();
                 self.jobs.insert(*id, parse_steps(*id, body));
             }
         }
-        self.jobs.retain(|id, _| told.accepted.contains(id));
+        self.jobs.retain(|id, _| submitted.accepted.contains(id));
     }
 
     /// Removes the jobs of which all tasks have ended as done.
@@ -140,15 +141,15 @@
     /// Updates how long a job has been stalled. `stalled` describes the step that could run; `None` means that the job is
     /// not stalled.
     fn update_stall(&mut self, id: u64, stalled: Option<String>, now: Instant) {
-        let Some(what) = stalled else {
+        let Some(description) = stalled else {
             self.stalled.remove(&id);
             return;
         };
         let since = *self.stalled.entry(id).or_insert(now);
         let lasted = now.duration_since(since);
         self.max_stall = self.max_stall.max(lasted);
-        if lasted >= MAX_STALL && self.told.insert(id) {
-            self.violations.push(format!("{what} is stalled for {} ms", lasted.as_millis()));
+        if lasted >= MAX_STALL && self.reported.insert(id) {
+            self.violations.push(format!("{description} is stalled for {} ms", lasted.as_millis()));
         }
     }
 }
@@ -167,8 +168,8 @@
     let body: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     let steps = body["steps"].as_array().cloned().unwrap_or_default();
     let number = |value: &serde_json::Value| value.as_u64().unwrap_or(0) as usize;
-    let step = |(place, step): (usize, &serde_json::Value)| WatchedStep {
-        id: format!("{id:016x}.0.{place}"),
+    let step = |(index, step): (usize, &serde_json::Value)| WatchedStep {
+        id: format!("{id:016x}.0.{index}"),
         count: number(&step["count"]),
         cores: (number(&step["cpu"]) / 1_000).max(1),
         gang: step["gang_scheduled"] == true,
@@ -185,7 +186,8 @@
     done: &BTreeMap<String, usize>,
     platform: &CellPlatform,
 ) -> Option<String> {
-    let runs = |step: &WatchedStep| snapshots.iter().any(|one| one.running.contains(&step.id));
+    let runs =
+        |step: &WatchedStep| snapshots.iter().any(|snapshot| snapshot.running.contains(&step.id));
     if steps.iter().any(runs) {
         return None;
     }
@@ -195,17 +197,18 @@
         if remaining == 0 || !is_ready {
             continue;
         }
-        let allowed = snapshots.iter().enumerate().filter(|(number, one)| {
-            let room = one.alive && one.cores >= one.used + step.cores;
-            room && platform.advice.is_allowed(&step.id, *number)
+        let allowed = snapshots.iter().enumerate().filter(|(number, snapshot)| {
+            let has_room = snapshot.alive && snapshot.cores >= snapshot.used + step.cores;
+            has_room && platform.advice.is_allowed(&step.id, *number)
         });
-        let places: usize = allowed.map(|(_, one)| (one.cores - one.used) / step.cores).sum();
+        let places: usize =
+            allowed.map(|(_, snapshot)| (snapshot.cores - snapshot.used) / step.cores).sum();
         let wanted = if step.gang { remaining } else { 1 };
         if places >= MIN_ROOM_FACTOR * wanted {
-            let what = if step.gang { "a gang of" } else { "single tasks," };
+            let kind = if step.gang { "a gang of" } else { "single tasks," };
             let cores = step.cores;
             return Some(format!(
-                "{}, {what} {remaining} of {cores} cores with {places} places,",
+                "{}, {kind} {remaining} of {cores} cores with {places} places,",
                 step.id
             ));
         }
--- a/crates/sedgehill-standin/src/soak/proxy.rs
+++ b/crates/sedgehill-standin/src/soak/proxy.rs
@@ -110,7 +110,8 @@
     }
 }
 
-/// Forwards data in one direction. `silent_state` is the state that holds the data of this direction.
+/// Forwards data in one direction, or drops it once the connection is silenced. `silent_state` is the state that holds the
+/// data of this direction.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/sedgehill-standin/src/soak/wide.rs
+++ b/crates/sedgehill-standin/src/soak/wide.rs
@@ -57,8 +57,8 @@
     id & WIDE_BIT != 0
 }
 
-/// Returns the gangs of a job, which run one after the other. They are drawn from the id alone, so that the advice service
-/// can compute them as well.
+/// Returns the gangs of a job, which run one after the other. They are drawn from its id and the number of workers, so
+/// that the advice service can compute them as well.
 fn gangs_of(id: u64, workers: usize) -> Vec<WideGang> {
     let mut rng = StdRng::seed_from_u64(id);
     let steps = if rng.random_ratio(1, 3) { 2 } else { 1 };
@@ -104,11 +104,7 @@
     if !is_wide(id) {
         let allowed_count = (workers * NARROW_ALLOWED_PERCENT).div_ceil(100);
         let (per_question, per_worker) = (Duration::from_micros(5_600), Duration::from_micros(80));
-        return StepAdvice {
-            per_question: per_question,
-            per_worker: per_worker,
-            allowed_count: Some(allowed_count),
-        };
+        return StepAdvice { per_question, per_worker, allowed_count: Some(allowed_count) };
     }
     let gangs = gangs_of(id, workers);
     let cores = gangs.iter().map(|gang| gang.cores).max().unwrap_or(1);
@@ -116,11 +112,7 @@
     let needed = (ROOM_FACTOR * members).div_ceil(WIDE_CORES / cores);
     let allowed_count = needed.max(workers * WIDE_ALLOWED_PERCENT / 100).min(workers);
     let (per_question, per_worker) = (Duration::from_millis(480), Duration::from_micros(6_800));
-    StepAdvice {
-        per_question: per_question,
-        per_worker: per_worker,
-        allowed_count: Some(allowed_count),
-    }
+    StepAdvice { per_question, per_worker, allowed_count: Some(allowed_count) }
 }
 
 /// Sets up the advice service, and writes a configuration with one queue for narrow jobs and one for jobs with wide gangs.
