--- a/crates/sedgehill-standin/src/soak/callers.rs
+++ b/crates/sedgehill-standin/src/soak/callers.rs
@@ -39,7 +39,7 @@
 const CRASH_AFTER_MS: std::ops::Range<u64> = 0..140;
 /// Separates the generator of crashes from that of jobs.
 const CRASH_SALT: u64 = 0x6372_6173;
-/// One in this many jobs is cancelled as soon as it is accepted.
+/// One in this many accepted jobs is cancelled at once.
 const CANCEL_ONE_IN: u32 = 12;
 
 /// The jobs of all callers, by the answers that the callers received.
@@ -79,7 +79,7 @@
         &self.jobs
     }
 
-    /// Creates an HTTP client. Each caller has its own, which does not retry calls.
+    /// Creates an HTTP client. Each caller has its own. Only the caller repeats failed calls.
     pub fn build_client() -> Client<HttpConnector, Full<Bytes>> {
         Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build_http()
     }
@@ -240,8 +240,8 @@
     }
 }
 
-/// Draws from the id of a job how many milliseconds after its start the first task crashes its worker. Most jobs crash
-/// none.
+/// Draws from the id of a job how many milliseconds after its start the first task crashes its worker. Most jobs have no
+/// such task.
 fn draw_crash_delay_ms(id: u64) -> Option<u64> {
     let mut rng = StdRng::seed_from_u64(id ^ CRASH_SALT);
     let crashes = rng.random_ratio(1, CRASH_ONE_IN);
