--- a/crates/sedgehill-standin/src/soak/callers.rs
+++ b/crates/sedgehill-standin/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak, who remember what they were told.
+//! The callers of a soak. They submit random jobs and record how these were answered.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -16,133 +16,139 @@
 use rand::{Rng, SeedableRng};
 
 use super::keys::SOAK_KEY;
-use super::{RUN_MS, SoakSize, SoakWorld, wide};
+use super::{RUN_MS, SoakProfile, SoakSize, wide};
 use crate::cell_platform::{CRASH_SPEC, GANG_SPEC, run_duration_ms};
 
-/// How often a caller tries one job before it gives up.
-const TRIES: usize = 10;
-/// Pause before the next try.
-const TRY_PAUSE: Duration = Duration::from_millis(150);
-/// Pause between two jobs of one caller: shorter ones only make the queue longer that is worked off at the end.
+/// Attempts to submit one job before a caller gives up.
+const MAX_SUBMIT_ATTEMPTS: usize = 10;
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Pause between two jobs of one caller. A shorter one would only lengthen the queue that remains at the end of the load.
 const JOB_PAUSE: Duration = Duration::from_millis(300);
-/// How long a caller waits for an answer.
-const CALL_LIMIT: Duration = Duration::from_millis(4_000);
-/// A caller hands in again, one time in so many, one of the jobs that were accepted last.
-const AGAIN_ONE_IN: u32 = 4;
-/// How many such jobs it remembers: those of some seconds.
-const AGAIN_AMONG: usize = 12;
-/// Tells the generator of these from that of jobs.
-const AGAIN_SALT: u64 = 0x6167_6169;
-/// One job in so many has a task that crashes its workers, so long after its start in milliseconds.
+/// Maximum time that a caller waits for an answer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// After one in this many jobs, a caller submits one of its recently accepted jobs once more.
+const RESUBMIT_ONE_IN: u32 = 4;
+/// Number of recently accepted jobs that a caller may submit once more. They cover some seconds.
+const RESUBMIT_WINDOW_JOBS: usize = 12;
+/// Separates the generator of repeated submissions from that of jobs.
+const RESUBMIT_SALT: u64 = 0x6167_6169;
+/// One in this many jobs has a task that crashes its workers.
 const CRASH_ONE_IN: u32 = 20;
+/// Time from the start of such a task to the crash.
 const CRASH_AFTER_MS: std::ops::Range<u64> = 0..140;
-/// Tells the generator of these from that of jobs.
+/// Separates the generator of crashes from that of jobs.
 const CRASH_SALT: u64 = 0x6372_6173;
-/// One job in so many is cancelled soon after it was accepted.
+/// One in this many accepted jobs is cancelled at once.
 const CANCEL_ONE_IN: u32 = 12;
 
-/// What callers were told of their jobs.
+/// The jobs of all callers, by the answers that the callers received.
 #[derive(Debug, Default)]
-pub struct ToldJobs {
-    /// Accepted, and not cancelled by their caller.
+pub struct SubmittedJobs {
+    /// Accepted jobs that their callers have not cancelled, except long-running ones.
     pub accepted: BTreeSet<u64>,
-    /// Those of them whose first task crashes its workers.
+    /// Jobs, accepted or not, whose first task crashes its workers.
     pub crashing: BTreeSet<u64>,
-    /// Accepted, and then cancelled.
+    /// Accepted jobs that their callers then cancelled.
     pub cancelled: BTreeSet<u64>,
-    /// Accepted, with tasks that run until the job is cancelled.
+    /// Accepted jobs whose tasks run until the job is cancelled.
     pub long_running: BTreeSet<u64>,
-    /// Each answer said that the job was not taken.
+    /// Jobs of which every attempt was answered with status 503: they were not accepted and must not run.
     pub refused: BTreeSet<u64>,
-    /// What was handed in for those that were accepted.
+    /// The request bodies of jobs in `accepted` and `cancelled`.
     pub bodies: BTreeMap<u64, String>,
-    /// Answers by status; 0 for none.
+    /// Number of answers by status. Calls without an answer count as status 0.
     pub answers: BTreeMap<u16, u64>,
 }
 
-/// What callers share.
+/// The state that all callers of a soak share.
 pub struct CallerPool {
     boxes: Vec<SocketAddr>,
     size: SoakSize,
-    told: Arc<Mutex<ToldJobs>>,
+    jobs: Arc<Mutex<SubmittedJobs>>,
 }
 
 impl CallerPool {
-    /// Callers of these boxes.
+    /// Creates callers of the given addresses, one for each box.
     pub fn new(boxes: Vec<SocketAddr>, size: SoakSize) -> CallerPool {
-        CallerPool { boxes, size, told: Arc::default() }
+        CallerPool { boxes, size, jobs: Arc::default() }
     }
 
-    /// What they were told.
-    pub fn told(&self) -> &Mutex<ToldJobs> {
-        &self.told
+    /// Returns the jobs that were submitted so far.
+    pub fn jobs(&self) -> &Mutex<SubmittedJobs> {
+        &self.jobs
     }
 
-    /// A client of its own for each caller.
-    pub fn client() -> Client<HttpConnector, Full<Bytes>> {
+    /// Creates an HTTP client. Each caller has its own. Only the caller repeats failed calls.
+    pub fn build_client() -> Client<HttpConnector, Full<Bytes>> {
         Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build_http()
     }
 
-    /// One caller that hands in jobs until it is dropped. Its connections are kept for as long as boxes
-    /// keep them.
+    /// Runs one caller, which submits jobs until the future is dropped. The caller keeps its connections until boxes close
+    /// them.
     pub async fn run(&self, seed: u64, caller: u64) {
-        let client = CallerPool::client();
+        let client = CallerPool::build_client();
         let mut rng = StdRng::seed_from_u64(seed ^ (caller << 32));
-        let mut again = StdRng::seed_from_u64(seed ^ (caller << 32) ^ AGAIN_SALT);
+        let mut resubmit_rng = StdRng::seed_from_u64(seed ^ (caller << 32) ^ RESUBMIT_SALT);
         let mut accepted: VecDeque<(u64, String)> = VecDeque::new();
         for number in 0.. {
-            let id = match self.size.world {
-                SoakWorld::Narrow => (caller << 48) | number,
-                SoakWorld::Wide | SoakWorld::Full => wide::id_of(caller, number),
+            let id = match self.size.profile {
+                SoakProfile::Narrow => (caller << 48) | number,
+                SoakProfile::Wide | SoakProfile::Full => wide::job_id(caller, number),
             };
-            if let Some(body) = self.hand_in_drawn(&client, &mut rng, id).await {
+            if let Some(body) = self.submit_drawn(&client, &mut rng, id).await {
                 accepted.push_back((id, body));
             }
-            if accepted.len() > AGAIN_AMONG {
+            if accepted.len() > RESUBMIT_WINDOW_JOBS {
                 accepted.pop_front();
             }
-            if again.random_ratio(1, AGAIN_ONE_IN) && !accepted.is_empty() {
-                let (id, body) = &accepted[again.random_range(0..accepted.len())];
-                let address = self.boxes[again.random_range(0..self.boxes.len())];
-                // It remains one job, whatever is answered.
+            if resubmit_rng.random_ratio(1, RESUBMIT_ONE_IN) && !accepted.is_empty() {
+                let (id, body) = &accepted[resubmit_rng.random_range(0..accepted.len())];
+                let address = self.boxes[resubmit_rng.random_range(0..self.boxes.len())];
+                // A repeated submission must not create a second job. The answer does not matter.
                 self.call(&client, address, Method::POST, *id, body).await;
             }
             tokio::time::sleep(JOB_PAUSE).await;
         }
     }
 
-    /// Draws a job and hands it in. Returns what was, unless it was cancelled then.
-    async fn hand_in_drawn(
+    /// Draws a job and submits it. Returns its body if the job was accepted and not cancelled.
+    async fn submit_drawn(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
         rng: &mut StdRng,
         id: u64,
     ) -> Option<String> {
-        let body = draw_job(rng, id);
-        // A crash a second takes a wide cell's room away in no calm that could be judged.
-        let crash = draw_crash(id).filter(|_| self.size.world == SoakWorld::Narrow);
-        let body = match crash {
-            Some(after) => crashing_job(after),
-            None if wide::is_wide(id) => wide::draw_wide(id, self.size.workers).to_string(),
+        let body = draw_body(rng, id);
+        // Crashes occur only in the narrow profile: about one a second would take room from a wide cell all the time, and
+        // no period would be calm enough to detect stalled jobs.
+        let crash_after_ms =
+            draw_crash_delay_ms(id).filter(|_| self.size.profile == SoakProfile::Narrow);
+        let body = match crash_after_ms {
+            Some(after) => crashing_body(after),
+            None if wide::is_wide(id) => wide::wide_job_body(id, self.size.workers).to_string(),
             None => body,
         };
-        if crash.is_some() {
-            self.told.lock().crashing.insert(id);
+        if crash_after_ms.is_some() {
+            self.jobs.lock().crashing.insert(id);
         }
-        self.hand_in(client, rng, id, &body).await.then_some(body)
+        self.submit_job(client, rng, id, &body).await.then_some(body)
     }
 
-    /// Hands a job in until it is accepted. Returns whether it was, and was not cancelled then.
-    pub async fn hand_in(
+    /// Submits a job until it is accepted, and cancels some of the accepted jobs. Returns whether the job was accepted
+    /// and not cancelled.
+    pub async fn submit_job(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
         rng: &mut StdRng,
         id: u64,
         body: &str,
     ) -> bool {
-        let Some(address) = self.submit(client, rng, id, body).await else { return false };
-        self.told.lock().accepted.insert(id);
-        self.told.lock().bodies.insert(id, body.to_owned());
+        let Some(address) = self.submit_until_accepted(client, rng, id, body).await else {
+            return false;
+        };
+        self.jobs.lock().accepted.insert(id);
+        self.jobs.lock().bodies.insert(id, body.to_owned());
         let cancels = rng.random_ratio(1, CANCEL_ONE_IN);
         if cancels {
             self.cancel(client, address, id).await;
@@ -150,58 +156,61 @@
         !cancels
     }
 
-    /// Hands a long-running job in until it is accepted.
-    pub async fn hand_in_long_running(
+    /// Submits a long-running job until it is accepted.
+    pub async fn submit_long_running(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
         rng: &mut StdRng,
         id: u64,
         body: &str,
     ) {
-        if self.submit(client, rng, id, body).await.is_some() {
-            self.told.lock().long_running.insert(id);
+        if self.submit_until_accepted(client, rng, id, body).await.is_some() {
+            self.jobs.lock().long_running.insert(id);
         }
     }
 
-    /// Tries until a box accepts a job, and returns its address.
-    async fn submit(
+    /// Submits a job to random boxes until one accepts it, and returns the address of that box. Returns `None` after
+    /// [`MAX_SUBMIT_ATTEMPTS`] attempts.
+    async fn submit_until_accepted(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
         rng: &mut StdRng,
         id: u64,
         body: &str,
     ) -> Option<SocketAddr> {
-        let mut doubtful = false;
-        for _ in 0..TRIES {
+        let mut may_be_accepted = false;
+        for _ in 0..MAX_SUBMIT_ATTEMPTS {
             let address = self.boxes[rng.random_range(0..self.boxes.len())];
             match self.call(client, address, Method::POST, id, body).await {
                 Some(StatusCode::OK) => return Some(address),
                 Some(StatusCode::SERVICE_UNAVAILABLE) => {}
-                Some(_) | None => doubtful = true,
+                Some(_) | None => may_be_accepted = true,
             }
-            tokio::time::sleep(TRY_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
-        if !doubtful {
-            self.told.lock().refused.insert(id);
+        if !may_be_accepted {
+            self.jobs.lock().refused.insert(id);
         }
         None
     }
 
+    /// Cancels an accepted job.
     async fn cancel(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
         address: SocketAddr,
         id: u64,
     ) {
-        // It may be cancelled from now on, whatever is answered.
+        // The call may take effect from now on even if it fails.
         {
-            let mut told = self.told.lock();
-            told.accepted.remove(&id);
-            told.cancelled.insert(id);
+            let mut jobs = self.jobs.lock();
+            jobs.accepted.remove(&id);
+            jobs.cancelled.insert(id);
         }
         self.call(client, address, Method::DELETE, id, "").await;
     }
 
+    /// Calls a box and counts the answer. Returns its status, or `None` without an answer in time.
     async fn call(
         &self,
         client: &Client<HttpConnector, Full<Bytes>>,
@@ -212,7 +221,7 @@
     ) -> Option<StatusCode> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("http://{address}{}", wide::path_of(id)))
+            .uri(format!("http://{address}{}", wide::job_path(id)))
             .header("host", "cell.example")
             .header("deadline-ms", "3000")
             .header("authorization", format!("Token {SOAK_KEY}"))
@@ -224,28 +233,31 @@
             response.into_body().collect().await.ok()?;
             Some(status)
         };
-        let status = tokio::time::timeout(CALL_LIMIT, exchange).await.ok().flatten();
+        let status = tokio::time::timeout(CALL_TIMEOUT, exchange).await.ok().flatten();
         let code = status.map_or(0, |status| status.as_u16());
-        *self.told.lock().answers.entry(code).or_default() += 1;
+        *self.jobs.lock().answers.entry(code).or_default() += 1;
         status
     }
 }
 
-/// How long after its start the first task of a job crashes its worker, by the id of the job; mostly none.
-fn draw_crash(id: u64) -> Option<u64> {
+/// Draws from the id of a job how many milliseconds after its start the first task crashes its worker. Most jobs have no
+/// such task.
+fn draw_crash_delay_ms(id: u64) -> Option<u64> {
     let mut rng = StdRng::seed_from_u64(id ^ CRASH_SALT);
     let crashes = rng.random_ratio(1, CRASH_ONE_IN);
     crashes.then(|| rng.random_range(CRASH_AFTER_MS))
 }
 
-fn crashing_job(after: u64) -> String {
+/// Returns the request body of a job whose first task crashes its worker `after` milliseconds after its start.
+fn crashing_body(after: u64) -> String {
     let step = serde_json::json!({ "count": 2, "cpu": 1000, "mem_mb": 16, "estimate_ms": 150 });
     serde_json::json!({ "spec": format!("{CRASH_SPEC}{after}"), "steps": [step] }).to_string()
 }
 
-fn draw_job(rng: &mut StdRng, id: u64) -> String {
+/// Draws the request body of a job with one or two steps.
+fn draw_body(rng: &mut StdRng, id: u64) -> String {
     let step = |rng: &mut StdRng, after: Option<u16>| {
-        let number = after.map_or(0, |before| before + 1);
+        let number = after.map_or(0, |previous| previous + 1);
         let estimate = run_duration_ms(&format!("{id:016x}.0.{number}"), &RUN_MS);
         let gang = rng.random_ratio(1, 3);
         let count = rng.random_range(1..4);
@@ -258,7 +270,7 @@
     if rng.random_ratio(1, 3) {
         steps.push(step(rng, Some(0)));
     }
-    let gangs = steps.iter().any(|step| step["gang_scheduled"] == true);
-    let spec = if gangs { GANG_SPEC } else { "work" };
+    let has_gangs = steps.iter().any(|step| step["gang_scheduled"] == true);
+    let spec = if has_gangs { GANG_SPEC } else { "work" };
     serde_json::json!({ "spec": spec, "steps": steps }).to_string()
 }
--- a/crates/sedgehill-standin/src/soak/progress.rs
+++ b/crates/sedgehill-standin/src/soak/progress.rs
@@ -1,30 +1,32 @@
-//! Watches that no job is stalled: that for 3 s of calm nothing of it runs though a task's turn has come, the workers that
-//! are good for it have room twice over, and under half of the cell is in use.
+//! Detects stalled jobs. A job is stalled if for 3 s of calm none of its tasks runs although all steps before one of its steps
+//! are done, the workers that the advice service allows for this step have room for it twice over, and less than half of the
+//! cores of the cell are in use.
 //!
-//! It sees what callers were told and what workers run, while the load goes on: a job that ends at last was stalled
-//! all the same.
+//! The watch compares the accepted jobs with the runs of workers during the load, so that it also finds stalled jobs that end
+//! later.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use parking_lot::Mutex;
 
-use super::callers::ToldJobs;
+use super::callers::SubmittedJobs;
 use crate::cell_platform::{CellPlatform, WorkerSnapshot};
 
-/// A job may be stalled for so long, as the users say.
-const STALLED_AFTER: Duration = Duration::from_secs(3);
-/// Faults that ended so long before have no part in it.
-const CALM_AFTER: Duration = Duration::from_secs(4);
-/// Time between two looks.
-const TURN: Duration = Duration::from_millis(100);
-/// A look that comes so late tells that the stand-ins stood still themselves, and the boxes that wait for them: as when a
-/// machine is suspended, which the users count as a fault of it.
-const STOOD_STILL: Duration = Duration::from_secs(1);
-/// Room for so many times what waits.
-const ROOM_TIMES: usize = 2;
-
-/// A step as its caller handed it in.
+/// Maximum time that a job may be stalled, as required by the users.
+const MAX_STALL: Duration = Duration::from_secs(3);
+/// Minimum time since the last fault for jobs to be judged. Before that, the fault may be the reason of a stall.
+const MIN_CALM: Duration = Duration::from_secs(4);
+/// Time between two checks.
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// A longer time between two checks means that the stand-ins themselves were paused, and with them the boxes that wait for
+/// their answers, as when a machine is suspended. The users count that as a fault of the machine.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
+/// A step counts as stalled only if the allowed workers have room for this many times its waiting gang, or for this many of
+/// its tasks.
+const MIN_ROOM_FACTOR: usize = 2;
+
+/// A step as its caller submitted it.
 #[derive(Debug, Clone)]
 struct WatchedStep {
     id: String,
@@ -34,134 +36,140 @@
     after: Vec<usize>,
 }
 
+/// The state of the watch.
 #[derive(Debug, Default)]
 struct ProgressState {
     jobs: BTreeMap<u64, Vec<WatchedStep>>,
-    /// Since when jobs are stalled.
+    /// When each stalled job was first seen as stalled.
     stalled: HashMap<u64, Instant>,
-    over: HashSet<u64>,
-    told: HashSet<u64>,
-    broken: Vec<String>,
-    /// The longest that a job was stalled in calm.
-    longest: Duration,
+    completed: HashSet<u64>,
+    reported: HashSet<u64>,
+    violations: Vec<String>,
+    /// The longest time that a job was stalled in calm.
+    max_stall: Duration,
 }
 
-/// What is watched.
+/// Detects jobs that are stalled for too long.
 pub struct ProgressWatch {
-    /// No fault has been at work since then.
-    calm_from: Mutex<Instant>,
+    /// When the last fault began or ended.
+    calm_since: Mutex<Instant>,
     state: Mutex<ProgressState>,
 }
 
 impl ProgressWatch {
-    /// A watch of a cell at which no fault is at work.
+    /// Creates a watch of a cell without faults.
     pub fn new() -> ProgressWatch {
-        ProgressWatch { calm_from: Mutex::new(Instant::now()), state: Mutex::default() }
+        ProgressWatch { calm_since: Mutex::new(Instant::now()), state: Mutex::default() }
     }
 
-    /// A fault has begun or ended.
-    pub fn note_fault(&self) {
-        *self.calm_from.lock() = Instant::now();
+    /// Records that a fault begins or ends now.
+    pub fn record_fault(&self) {
+        *self.calm_since.lock() = Instant::now();
     }
 
-    /// Jobs that were stalled.
-    pub fn broken(&self) -> Vec<String> {
-        self.state.lock().broken.clone()
+    /// Describes the jobs that were stalled for too long.
+    pub fn violations(&self) -> Vec<String> {
+        self.state.lock().violations.clone()
     }
 
-    /// The longest that a job was stalled in calm.
-    pub fn longest(&self) -> Duration {
-        self.state.lock().longest
+    /// Returns the longest time that a job was stalled in calm.
+    pub fn max_stall(&self) -> Duration {
+        self.state.lock().max_stall
     }
 
-    /// Watches until it is dropped.
-    pub async fn run(&self, platform: &CellPlatform, told: &Mutex<ToldJobs>) {
-        let mut looked = Instant::now();
+    /// Checks the jobs periodically until the future is dropped.
+    pub async fn run(&self, platform: &CellPlatform, jobs: &Mutex<SubmittedJobs>) {
+        let mut last_check = Instant::now();
         loop {
-            tokio::time::sleep(TURN).await;
-            if looked.elapsed() >= STOOD_STILL {
-                self.note_fault();
+            tokio::time::sleep(WATCH_INTERVAL).await;
+            if last_check.elapsed() >= PAUSE_THRESHOLD {
+                self.record_fault();
             }
-            looked = Instant::now();
-            self.look(platform, told);
+            last_check = Instant::now();
+            self.check(platform, jobs);
         }
     }
 
-    fn look(&self, platform: &CellPlatform, told: &Mutex<ToldJobs>) {
-        let sights = platform.workers.snapshots();
+    /// Updates the jobs, and how long each has been stalled.
+    fn check(&self, platform: &CellPlatform, jobs: &Mutex<SubmittedJobs>) {
+        let snapshots = platform.workers.snapshots();
         let done = platform.workers.done_tasks();
         let now = Instant::now();
-        let calm = now.duration_since(*self.calm_from.lock());
-        let used: usize = sights.iter().map(|one| one.used).sum();
-        let cores: usize = sights.iter().map(|one| one.cores).sum();
-        let judged = 2 * used < cores && calm >= CALM_AFTER;
+        let calm = now.duration_since(*self.calm_since.lock());
+        let used: usize = snapshots.iter().map(|snapshot| snapshot.used).sum();
+        let cores: usize = snapshots.iter().map(|snapshot| snapshot.cores).sum();
+        let is_judged = 2 * used < cores && calm >= MIN_CALM;
         let state = &mut *self.state.lock();
-        state.take_in(&told.lock());
-        state.forget_over(&done);
+        state.update_jobs(&jobs.lock());
+        state.remove_completed(&done);
         let ids: Vec<u64> = state.jobs.keys().copied().collect();
         for id in ids {
-            let stalled = match judged {
-                true => stalled_step(&state.jobs[&id], &sights, &done, platform),
+            let stalled = match is_judged {
+                true => stalled_step(&state.jobs[&id], &snapshots, &done, platform),
                 false => None,
             };
-            state.note(id, stalled, now);
+            state.update_stall(id, stalled, now);
         }
     }
 }
 
 impl ProgressState {
-    /// Takes in the jobs that were accepted, and drops those that were cancelled.
-    fn take_in(&mut self, told: &ToldJobs) {
-        for id in told.accepted.iter().filter(|id| !told.crashing.contains(id)) {
-            if !self.over.contains(id) && !self.jobs.contains_key(id) {
-                let body = told.bodies.get(id).map(String::as_str).unwrap_or_default();
-                self.jobs.insert(*id, steps_of(*id, body));
+    /// Adds newly accepted jobs, except those that crash workers, and removes cancelled ones.
+    fn update_jobs(&mut self, submitted: &SubmittedJobs) {
+        for id in submitted.accepted.iter().filter(|id| !submitted.crashing.contains(id)) {
+            if !self.completed.contains(id) && !self.jobs.contains_key(id) {
+                let body = submitted.bodies.get(id).map(String::as_str).unwrap_or_default();
+                self.jobs.insert(*id, parse_steps(*id, body));
             }
         }
-        self.jobs.retain(|id, _| told.accepted.contains(id));
+        self.jobs.retain(|id, _| submitted.accepted.contains(id));
     }
 
-    fn forget_over(&mut self, done: &BTreeMap<String, usize>) {
-        let (stalled, over) = (&mut self.stalled, &mut self.over);
+    /// Removes the jobs of which all tasks have ended as done.
+    fn remove_completed(&mut self, done: &BTreeMap<String, usize>) {
+        let (stalled, completed) = (&mut self.stalled, &mut self.completed);
         self.jobs.retain(|id, steps| {
-            let is_over = steps.iter().all(|step| step.left(done) == 0);
-            if is_over {
+            let is_completed = steps.iter().all(|step| step.remaining(done) == 0);
+            if is_completed {
                 stalled.remove(id);
-                over.insert(*id);
+                completed.insert(*id);
             }
-            !is_over
+            !is_completed
         });
     }
 
-    /// Notes what of a job could run and does not, or that nothing is amiss.
-    fn note(&mut self, id: u64, stalled: Option<String>, now: Instant) {
-        let Some(what) = stalled else {
+    /// Updates how long a job has been stalled. `stalled` describes the step that could run; `None` means that the job is
+    /// not stalled.
+    fn update_stall(&mut self, id: u64, stalled: Option<String>, now: Instant) {
+        let Some(description) = stalled else {
             self.stalled.remove(&id);
             return;
         };
         let since = *self.stalled.entry(id).or_insert(now);
         let lasted = now.duration_since(since);
-        self.longest = self.longest.max(lasted);
-        if lasted >= STALLED_AFTER && self.told.insert(id) {
-            self.broken.push(format!("{what} is stalled for {} ms", lasted.as_millis()));
+        self.max_stall = self.max_stall.max(lasted);
+        if lasted >= MAX_STALL && self.reported.insert(id) {
+            self.violations.push(format!("{description} is stalled for {} ms", lasted.as_millis()));
         }
     }
 }
 
 impl WatchedStep {
-    fn left(&self, done: &BTreeMap<String, usize>) -> usize {
+    /// Returns how many tasks of the step have not ended as done.
+    fn remaining(&self, done: &BTreeMap<String, usize>) -> usize {
         let done = done.get(&self.id).copied().unwrap_or(0);
-        // The members of a gang end together.
+        // The members of a gang end together, so one report completes the gang.
         if self.gang && done > 0 { 0 } else { self.count.saturating_sub(done) }
     }
 }
 
-fn steps_of(id: u64, body: &str) -> Vec<WatchedStep> {
+/// Reads the steps of a job from its request body.
+fn parse_steps(id: u64, body: &str) -> Vec<WatchedStep> {
     let body: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     let steps = body["steps"].as_array().cloned().unwrap_or_default();
     let number = |value: &serde_json::Value| value.as_u64().unwrap_or(0) as usize;
-    let step = |(place, step): (usize, &serde_json::Value)| WatchedStep {
-        id: format!("{id:016x}.0.{place}"),
+    let step = |(index, step): (usize, &serde_json::Value)| WatchedStep {
+        id: format!("{id:016x}.0.{index}"),
         count: number(&step["count"]),
         cores: (number(&step["cpu"]) / 1_000).max(1),
         gang: step["gang_scheduled"] == true,
@@ -170,34 +178,37 @@
     steps.iter().enumerate().map(step).collect()
 }
 
-/// The step of a job that could run though nothing of the job does.
+/// Describes a step that could run in a job of which no task runs. Returns `None` if a task of the job runs or no step is
+/// ready and has room.
 fn stalled_step(
     steps: &[WatchedStep],
-    sights: &[WorkerSnapshot],
+    snapshots: &[WorkerSnapshot],
     done: &BTreeMap<String, usize>,
     platform: &CellPlatform,
 ) -> Option<String> {
-    let runs = |step: &WatchedStep| sights.iter().any(|one| one.running.contains(&step.id));
+    let runs =
+        |step: &WatchedStep| snapshots.iter().any(|snapshot| snapshot.running.contains(&step.id));
     if steps.iter().any(runs) {
         return None;
     }
     for step in steps {
-        let left = step.left(done);
-        let due = step.after.iter().all(|before| steps[*before].left(done) == 0);
-        if left == 0 || !due {
+        let remaining = step.remaining(done);
+        let is_ready = step.after.iter().all(|before| steps[*before].remaining(done) == 0);
+        if remaining == 0 || !is_ready {
             continue;
         }
-        let good = sights.iter().enumerate().filter(|(number, one)| {
-            let room = one.alive && one.cores >= one.used + step.cores;
-            room && platform.advice.is_allowed(&step.id, *number)
+        let allowed = snapshots.iter().enumerate().filter(|(number, snapshot)| {
+            let has_room = snapshot.alive && snapshot.cores >= snapshot.used + step.cores;
+            has_room && platform.advice.is_allowed(&step.id, *number)
         });
-        let places: usize = good.map(|(_, one)| (one.cores - one.used) / step.cores).sum();
-        let wanted = if step.gang { left } else { 1 };
-        if places >= ROOM_TIMES * wanted {
-            let what = if step.gang { "a gang of" } else { "single tasks," };
+        let places: usize =
+            allowed.map(|(_, snapshot)| (snapshot.cores - snapshot.used) / step.cores).sum();
+        let wanted = if step.gang { remaining } else { 1 };
+        if places >= MIN_ROOM_FACTOR * wanted {
+            let kind = if step.gang { "a gang of" } else { "single tasks," };
             let cores = step.cores;
             return Some(format!(
-                "{}, {what} {left} of {cores} cores with {places} places,",
+                "{}, {kind} {remaining} of {cores} cores with {places} places,",
                 step.id
             ));
         }
