--- a/crates/sedgehill-standin/src/soak/mod.rs
+++ b/crates/sedgehill-standin/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A randomised soak: boxes as separate processes, broken from outside, their promises checked from
-//! what callers and workers see.
+//! A randomised soak test. Boxes run as separate processes and meet faults from outside. Their guarantees are checked by
+//! what callers and workers observe.
 
 mod callers;
 mod faults;
@@ -24,104 +24,108 @@
 use crate::cell_platform::{CORES, CellPlatform};
 use crate::cell_process::{CellBoxConfig, CellProcess, call, call_with_key};
 
-/// How long tasks run, in milliseconds: many outlive their lead.
+/// Duration of tasks. Many run longer than the box that started them holds the lead.
 pub(crate) const RUN_MS: std::ops::Range<u64> = 150..2_000;
-/// How long everything accepted may take to end once all is well again.
-const SETTLE_LIMIT: Duration = Duration::from_secs(45);
-/// From its acceptance until every box has to know a job, as callers are told.
-const VISIBLE: Duration = Duration::from_secs(3);
-/// Time between two looks.
-const TURN: Duration = Duration::from_millis(100);
+/// Maximum time from the end of all faults until all accepted jobs have ended.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
+/// Time after the acceptance of a job within which every box must know it, as promised to callers.
+const MAX_VISIBILITY_DELAY: Duration = Duration::from_secs(3);
+/// Time between two polls of the boxes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a cell of a soak is like.
+/// The kind of cell and load of a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SoakWorld {
-    /// Workers of four cores, an organisation with keys and limits, jobs of a few tasks, an advice service that likes
-    /// every worker at once.
+pub enum SoakProfile {
+    /// Workers with four cores, an organisation with keys and limits, jobs of a few tasks, and an advice service that
+    /// allows every worker without delay.
     Narrow,
-    /// Workers of sixteen cores, jobs with gangs as wide as half of the cell among narrow ones, dear advice. It is
-    /// watched that no job is stalled while the load goes on.
+    /// Workers with sixteen cores, narrow jobs and jobs whose gangs need up to half of the cell, and costly advice. No job
+    /// may stall during the load.
     Wide,
-    /// Workers of sixteen cores that narrow jobs fill, and long-running jobs with dear advice whose runs fail. It is
-    /// watched that their tasks run again in time.
+    /// Workers with sixteen cores that narrow jobs fill, and long-running jobs with costly advice whose runs fail. Their
+    /// tasks have to run again in time.
     Full,
 }
 
-/// How large a cell is, and what it meets.
+/// The size of the cell, its load, and whether it meets faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SoakSize {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Workers; there are as many callers in a narrow world.
+    /// Number of workers, and of callers in the narrow profile.
     pub workers: usize,
-    /// What it is like.
-    pub world: SoakWorld,
-    /// Boxes, paths, workers and the store are broken. Otherwise only questions to the advice service are.
+    /// The kind of cell and load.
+    pub profile: SoakProfile,
+    /// Whether boxes, network paths, workers and the store meet faults. If not, only the questions to the advice service
+    /// do, and in the narrow profile nothing does.
     pub faults: bool,
 }
 
 impl Default for SoakSize {
     fn default() -> SoakSize {
-        SoakSize { boxes: 3, workers: 6, world: SoakWorld::Narrow, faults: true }
+        SoakSize { boxes: 3, workers: 6, profile: SoakProfile::Narrow, faults: true }
     }
 }
 
-/// Callers of a wide world.
+/// Number of callers in the wide and full profiles.
 const WIDE_CALLERS: u64 = 12;
-/// How long the load of a wide world goes on once all is well again.
+/// Duration of the load after the end of all faults in the wide and full profiles.
 const CALM_LOAD: Duration = Duration::from_secs(12);
 
 impl SoakSize {
-    /// Cores of a worker.
+    /// Returns the cores of a worker.
     pub fn cores(&self) -> usize {
-        match self.world {
-            SoakWorld::Narrow => CORES,
-            SoakWorld::Wide | SoakWorld::Full => wide::WIDE_CORES,
+        match self.profile {
+            SoakProfile::Narrow => CORES,
+            SoakProfile::Wide | SoakProfile::Full => wide::WIDE_CORES,
         }
     }
 
+    /// Returns the number of callers.
     fn callers(&self) -> u64 {
-        match self.world {
-            SoakWorld::Narrow => self.workers as u64,
-            SoakWorld::Wide | SoakWorld::Full => WIDE_CALLERS,
+        match self.profile {
+            SoakProfile::Narrow => self.workers as u64,
+            SoakProfile::Wide | SoakProfile::Full => WIDE_CALLERS,
         }
     }
 }
 
-/// What one run found.
+/// The result of one soak.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// Faults that were caused.
+    /// Number of faults in the plan.
     pub faults: usize,
-    /// Jobs that callers were told are kept.
+    /// Number of accepted jobs that were not cancelled, except long-running ones.
     pub accepted: usize,
-    /// Jobs that callers were told were not taken.
+    /// Number of jobs that were refused at every attempt.
     pub refused: usize,
-    /// Jobs with a task that crashes its workers, all of which were given up.
+    /// Number of accepted jobs with a task that crashes its workers. Each of them has to be given up.
     pub crashing: usize,
-    /// Other jobs that were given up, each after two lives at least had ended under one of its tasks.
+    /// Number of accepted jobs that were given up though they crash no worker. This is allowed once at least two lives of
+    /// workers ended while they ran one of the tasks.
     pub given_up: usize,
-    /// The longest that a job was stalled in calm, where that is watched.
+    /// The longest time in calm that a job was stalled, in the wide profile.
     pub stalled: Duration,
-    /// The longest that a long-running task was without a run in calm, where that is watched.
+    /// The longest time in calm that a long-running task was without a run, in the full profile.
     pub without_run: Duration,
-    /// Long-running tasks that ever ran.
+    /// Number of long-running tasks that have run at least once.
     pub long_running: usize,
-    /// Promises that were broken.
+    /// Descriptions of the violated guarantees.
     pub broken: Vec<String>,
 }
 
-/// A box, running or not.
+/// A box with its proxy to the store. It has no process while it is down.
 struct SoakBox {
-    site: CellBoxConfig,
+    config: CellBoxConfig,
     path: FaultyPath,
     process: Option<CellProcess>,
 }
 
-/// In one run of so many, each life of a worker has an id of its own and tells nothing of its start.
-const OTHER_IDS_ONE_IN: u64 = 4;
+/// In one of this many seeds, each life of a worker has a new id and does not report when it began. In the others, some
+/// workers restart under the same id.
+const NEW_IDS_ONE_IN: u64 = 4;
 
-/// A running soak.
+/// The boxes, stand-ins and checks of a running soak.
 struct Soak<'a> {
     size: SoakSize,
     directory: &'a Path,
@@ -132,7 +136,7 @@
     restarts: Rc<RestartWatch>,
 }
 
-/// Runs the faults of a seed for some seconds. Settings and logs of the boxes lie in `directory`.
+/// Runs the faults of a seed for some seconds. The plan and the settings and logs of the boxes are written to `directory`.
 pub async fn run_soak(
     seed: u64,
     seconds: u64,
@@ -144,27 +148,28 @@
     let mut soak = Soak::start(seed, size, directory).await?;
     soak.platform.workers.seed(seed);
     soak.platform.store.seed(seed);
-    let callers = CallerPool::new(soak.boxes.iter().map(|one| one.site.callers).collect(), size);
+    let callers =
+        CallerPool::new(soak.boxes.iter().map(|soak_box| soak_box.config.callers).collect(), size);
     let mut report = SoakReport { faults: plan.len(), ..SoakReport::default() };
     let platform = soak.platform.clone();
-    let load = futures_all((0..size.callers()).map(|caller| {
+    let load = drive_all((0..size.callers()).map(|caller| {
         let (callers, platform) = (&callers, &platform);
         async move {
-            match size.world {
-                SoakWorld::Full => full::load(callers, platform, seed, caller + 1).await,
-                SoakWorld::Narrow | SoakWorld::Wide => callers.run(seed, caller + 1).await,
+            match size.profile {
+                SoakProfile::Full => full::run_caller(callers, platform, seed, caller + 1).await,
+                SoakProfile::Narrow | SoakProfile::Wide => callers.run(seed, caller + 1).await,
             }
         }
     }));
     let keys = soak.keys.clone();
-    let addresses: Vec<_> = soak.boxes.iter().map(|one| one.site.callers).collect();
+    let addresses: Vec<_> = soak.boxes.iter().map(|soak_box| soak_box.config.callers).collect();
     let probing = keys.probe(&addresses, seed);
     let (progress, restarts) = (soak.progress.clone(), soak.restarts.clone());
     let watching = async {
-        match size.world {
-            SoakWorld::Narrow => std::future::pending().await,
-            SoakWorld::Wide => progress.run(&platform, callers.told()).await,
-            SoakWorld::Full => restarts.run(&platform).await,
+        match size.profile {
+            SoakProfile::Narrow => std::future::pending().await,
+            SoakProfile::Wide => progress.run(&platform, callers.jobs()).await,
+            SoakProfile::Full => restarts.run(&platform).await,
         }
     };
     tokio::select! {
@@ -175,22 +180,24 @@
     }
     soak.check_long_running(&callers, &mut report).await;
     soak.check(&callers, &mut report).await;
-    report.stalled = soak.progress.longest();
-    report.without_run = soak.restarts.longest();
-    report.long_running = soak.restarts.seen();
+    report.stalled = soak.progress.max_stall();
+    report.without_run = soak.restarts.max_time_without_run();
+    report.long_running = soak.restarts.seen_count();
     let watched = [
-        (soak.progress.broken(), "\"step stalled\""),
-        (soak.restarts.broken(), "\"task without a run\""),
+        (soak.progress.violations(), "\"step stalled\""),
+        (soak.restarts.violations(), "\"task without a run\""),
     ];
-    for (broken, line) in watched.into_iter().filter(|(broken, _)| !broken.is_empty()) {
-        report.broken.extend(broken);
-        report.broken.extend(soak.told_lines(line));
+    for (violations, message) in
+        watched.into_iter().filter(|(violations, _)| !violations.is_empty())
+    {
+        report.broken.extend(violations);
+        report.broken.extend(soak.log_lines(message));
     }
     Ok(report)
 }
 
-/// Drives all futures, which do not end by themselves.
-async fn futures_all<F: Future<Output = ()>>(futures: impl Iterator<Item = F>) {
+/// Polls futures together until all have ended. The futures of a load run until they are dropped.
+async fn drive_all<F: Future<Output = ()>>(futures: impl Iterator<Item = F>) {
     let mut pending: Vec<std::pin::Pin<Box<F>>> = futures.map(Box::pin).collect();
     std::future::poll_fn(|context| {
         pending.retain_mut(|future| future.as_mut().poll(context).is_pending());
@@ -203,31 +210,32 @@
 }
 
 impl<'a> Soak<'a> {
+    /// Starts the stand-ins and boxes, and waits until all boxes are ready.
     async fn start(seed: u64, size: SoakSize, directory: &'a Path) -> std::io::Result<Soak<'a>> {
         let mut platform = CellPlatform::start_with_cores(size.workers, size.cores()).await?;
-        platform.workers.set_run_ms(match size.world {
-            SoakWorld::Narrow | SoakWorld::Wide => RUN_MS,
-            SoakWorld::Full => FULL_RUN_MS,
+        platform.workers.set_run_ms(match size.profile {
+            SoakProfile::Narrow | SoakProfile::Wide => RUN_MS,
+            SoakProfile::Full => FULL_RUN_MS,
         });
-        if !seed.is_multiple_of(OTHER_IDS_ONE_IN) {
+        if !seed.is_multiple_of(NEW_IDS_ONE_IN) {
             platform.reuse_worker_ids(seed);
         }
         platform.put_foreign_entries();
         let keys = SoakKeys::new(size.workers);
-        match size.world {
-            SoakWorld::Narrow => keys.configure(&platform),
-            SoakWorld::Wide => wide::configure(&platform, 1),
-            SoakWorld::Full => full::configure(&platform, 1),
+        match size.profile {
+            SoakProfile::Narrow => keys.configure(&platform),
+            SoakProfile::Wide => wide::configure(&platform, 1),
+            SoakProfile::Full => full::configure(&platform, 1),
         }
         let mut boxes = Vec::new();
         for number in 0..size.boxes {
             let path = FaultyPath::open(platform.store_address).await?;
             let advice = platform.add_advice_address().await?;
-            let site =
+            let config =
                 CellBoxConfig::new(&format!("box-{number}"), &platform, path.address, "0.25");
-            let site = site.with_advice(advice);
-            let process = Some(site.start(directory)?);
-            boxes.push(SoakBox { site, path, process });
+            let config = config.with_advice(advice);
+            let process = Some(config.start(directory)?);
+            boxes.push(SoakBox { config, path, process });
         }
         let (platform, progress) = (Rc::new(platform), Rc::new(ProgressWatch::new()));
         let restarts = Rc::new(RestartWatch::new());
@@ -236,70 +244,78 @@
         Ok(soak)
     }
 
-    /// Lines of a kind that boxes wrote: the reasons, where the logs are not kept.
-    fn told_lines(&self, kind: &str) -> Vec<String> {
-        let logs = self.boxes.iter().map(|one| one.site.log_path(self.directory));
+    /// Returns the lines with `message` from the logs of all boxes. They show the reason of a violation even if the logs
+    /// are not kept.
+    fn log_lines(&self, message: &str) -> Vec<String> {
+        let logs = self.boxes.iter().map(|soak_box| soak_box.config.log_path(self.directory));
         let texts = logs.filter_map(|log| std::fs::read_to_string(log).ok());
-        let told = |text: String| {
-            let lines = text.lines().filter(|line| line.contains(kind));
+        let matching_lines = |text: String| {
+            let lines = text.lines().filter(|line| line.contains(message));
             lines.map(str::to_owned).collect::<Vec<_>>()
         };
-        texts.flat_map(told).collect()
+        texts.flat_map(matching_lines).collect()
     }
 
+    /// Waits until every box is ready.
     async fn wait_ready(&mut self) -> std::io::Result<()> {
-        let deadline = Instant::now() + SETTLE_LIMIT;
-        for one in &self.boxes {
-            while !is_ready(one).await {
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
+        for soak_box in &self.boxes {
+            while !is_ready(soak_box).await {
                 if Instant::now() > deadline {
-                    return Err(std::io::Error::other(format!("{} is not ready", one.site.name)));
+                    return Err(std::io::Error::other(format!(
+                        "{} is not ready",
+                        soak_box.config.name
+                    )));
                 }
-                tokio::time::sleep(TURN).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Carries out the plan and heals. In a wide world the load goes on for a calm time after that.
+    /// Executes the plan and ends all faults. In the wide and full profiles the load then continues in calm for
+    /// [`CALM_LOAD`].
     async fn run(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
-        self.carry_out(plan, seconds).await?;
-        self.heal()?;
+        self.execute_plan(plan, seconds).await?;
+        self.repair_all()?;
         if self.size.faults {
-            self.note_fault();
+            self.record_fault();
         }
-        if self.size.world != SoakWorld::Narrow {
-            self.carry_out(&SoakPlan::new(), CALM_LOAD.as_secs()).await?;
+        if self.size.profile != SoakProfile::Narrow {
+            self.execute_plan(&SoakPlan::new(), CALM_LOAD.as_secs()).await?;
         }
         Ok(())
     }
 
-    async fn carry_out(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
-        let begun = Instant::now();
+    /// Injects the faults of a plan and repairs them, for some seconds. Repairs that are due later are left to
+    /// [`Soak::repair_all`].
+    async fn execute_plan(&mut self, plan: &SoakPlan, seconds: u64) -> std::io::Result<()> {
+        let started = Instant::now();
         let mut faults = plan.iter().peekable();
         let mut repairs: Vec<(Instant, Repair)> = Vec::new();
-        while begun.elapsed() < Duration::from_secs(seconds) {
-            while let Some((_, fault)) = faults.next_if(|(at, _)| begun.elapsed() >= *at) {
-                self.cause(*fault, &mut repairs)?;
+        while started.elapsed() < Duration::from_secs(seconds) {
+            while let Some((_, fault)) = faults.next_if(|(at, _)| started.elapsed() >= *at) {
+                self.inject(*fault, &mut repairs)?;
             }
             let now = Instant::now();
             let due: Vec<_> = repairs.extract_if(.., |(at, _)| *at <= now).collect();
             for (_, repair) in due {
                 self.repair(repair, &mut repairs)?;
             }
-            self.restart_ended()?;
-            tokio::time::sleep(TURN / 5).await;
+            self.restart_stopped_boxes()?;
+            tokio::time::sleep(POLL_INTERVAL / 5).await;
         }
         Ok(())
     }
 
-    /// A fault has begun or ended.
-    fn note_fault(&self) {
-        self.progress.note_fault();
-        self.restarts.note_fault();
+    /// Tells the watches that a fault begins or ends now.
+    fn record_fault(&self) {
+        self.progress.record_fault();
+        self.restarts.record_fault();
     }
 
-    /// Boxes that ended after a planned stop start again.
-    fn restart_ended(&mut self) -> std::io::Result<()> {
+    /// Starts boxes again whose processes have ended, as after a planned stop.
+    fn restart_stopped_boxes(&mut self) -> std::io::Result<()> {
         for number in 0..self.boxes.len() {
             let ended = self.boxes[number].process.as_mut().is_some_and(CellProcess::has_ended);
             if ended {
@@ -310,38 +326,39 @@
         Ok(())
     }
 
-    /// Long-running jobs are known as running, and end once they are cancelled.
+    /// Checks that boxes report the long-running jobs as running, and as cancelled once they are cancelled.
     async fn check_long_running(&mut self, callers: &CallerPool, report: &mut SoakReport) {
-        let ids = callers.told().lock().long_running.clone();
-        let deadline = Instant::now() + SETTLE_LIMIT;
+        let ids = callers.jobs().lock().long_running.clone();
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         for id in ids {
-            if let Some(state) = self.wait_until(id, "running", deadline).await {
+            if let Some(state) = self.wait_for_state(id, "running", deadline).await {
                 report.broken.push(format!("{id:016x} was accepted and is {state}"));
                 continue;
             }
-            let path = wide::path_of(id);
-            for one in &self.boxes {
-                call_with_key(one.site.callers, "DELETE", &path, "", Some(SOAK_KEY)).await;
+            let path = wide::job_path(id);
+            for soak_box in &self.boxes {
+                call_with_key(soak_box.config.callers, "DELETE", &path, "", Some(SOAK_KEY)).await;
             }
-            if let Some(state) = self.wait_until(id, "cancelled", deadline).await {
+            if let Some(state) = self.wait_for_state(id, "cancelled", deadline).await {
                 report.broken.push(format!("{id:016x} was cancelled and is {state}"));
             }
         }
     }
 
-    /// Checks what must hold once all is well again.
+    /// Checks the guarantees that hold after the end of all faults: the states of accepted jobs, the violations that the
+    /// stand-ins recorded, that no refused job ran, and that no box panicked.
     async fn check(&mut self, callers: &CallerPool, report: &mut SoakReport) {
-        let accepted = callers.told().lock().accepted.clone();
-        let refused = callers.told().lock().refused.clone();
-        let crashing = callers.told().lock().crashing.clone();
+        let accepted = callers.jobs().lock().accepted.clone();
+        let refused = callers.jobs().lock().refused.clone();
+        let crashing = callers.jobs().lock().crashing.clone();
         report.crashing = crashing.intersection(&accepted).count();
         report.accepted = accepted.len();
         report.refused = refused.len();
-        tokio::time::sleep(VISIBLE).await;
-        let deadline = Instant::now() + SETTLE_LIMIT;
+        tokio::time::sleep(MAX_VISIBILITY_DELAY).await;
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         for id in accepted {
             let wanted = if crashing.contains(&id) { "failed" } else { "completed" };
-            let Some(state) = self.wait_until(id, wanted, deadline).await else { continue };
+            let Some(state) = self.wait_for_state(id, wanted, deadline).await else { continue };
             let job = format!("{id:016x}");
             match state.contains("failed") && self.platform.workers.may_give_up(&job) {
                 true => report.given_up += 1,
@@ -351,47 +368,49 @@
         report.broken.extend(self.platform.workers.violations());
         report.broken.extend(self.keys.violations());
         report.broken.extend(self.platform.shared_tokens());
-        let begun = self.platform.workers.started_jobs();
-        let ran = refused.iter().map(|id| format!("{id:016x}")).filter(|id| begun.contains(id));
+        let started = self.platform.workers.started_jobs();
+        let ran = refused.iter().map(|id| format!("{id:016x}")).filter(|id| started.contains(id));
         report.broken.extend(ran.map(|id| format!("{id} was refused each time and ran")));
-        for one in &self.boxes {
-            let log = std::fs::read_to_string(one.site.log_path(self.directory));
-            // A panic ends the process, which is started again: only the log tells.
+        for soak_box in &self.boxes {
+            let log = std::fs::read_to_string(soak_box.config.log_path(self.directory));
+            // A box that panicked was started again, so only its log shows the panic.
             if log.is_ok_and(|log| log.contains("panicked")) {
-                report.broken.push(format!("{} panicked", one.site.name));
+                report.broken.push(format!("{} panicked", soak_box.config.name));
             }
         }
     }
 
-    /// Waits until a job is told as `wanted`. Tells what it is instead.
-    async fn wait_until(&mut self, id: u64, wanted: &str, deadline: Instant) -> Option<String> {
-        let path = wide::path_of(id);
-        let mut last = String::from("not known");
+    /// Waits until a box reports a job in the state `wanted`, and returns `None` then. Otherwise returns what boxes report
+    /// instead: at once if the job has failed or is not known any more, or else the last answer at the deadline.
+    async fn wait_for_state(&mut self, id: u64, wanted: &str, deadline: Instant) -> Option<String> {
+        let path = wide::job_path(id);
+        let mut last_answer = String::from("not known");
         loop {
-            let is_last = Instant::now() >= deadline;
-            if let Err(error) = self.restart_ended() {
+            let is_last_poll = Instant::now() >= deadline;
+            if let Err(error) = self.restart_stopped_boxes() {
                 return Some(format!("not to be asked for: {error}"));
             }
-            for one in &self.boxes {
+            for soak_box in &self.boxes {
                 let key = Some(SOAK_KEY);
-                match call_with_key(one.site.callers, "GET", &path, "", key).await {
+                match call_with_key(soak_box.config.callers, "GET", &path, "", key).await {
                     Some((200, body)) if body.contains(wanted) => return None,
-                    // It is over, and will not be anything else.
+                    // A failed job does not change its state any more.
                     Some((200, body)) if body.contains("failed") => return Some(body),
                     Some((410, _)) => return Some("not known any more".to_owned()),
-                    Some((status, body)) => last = format!("{status} {body}"),
+                    Some((status, body)) => last_answer = format!("{status} {body}"),
                     None => {}
                 }
             }
-            if is_last {
-                return Some(last);
+            if is_last_poll {
+                return Some(last_answer);
             }
-            tokio::time::sleep(TURN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn is_ready(one: &SoakBox) -> bool {
-    let answer = call(one.site.ready, "GET", "/sedgehill/readyz", "").await;
+/// Returns whether a box reports itself as ready.
+async fn is_ready(soak_box: &SoakBox) -> bool {
+    let answer = call(soak_box.config.ready, "GET", "/sedgehill/readyz", "").await;
     answer.is_some_and(|(status, _)| status == 200)
 }
--- a/crates/sedgehill-standin/src/soak/proxy.rs
+++ b/crates/sedgehill-standin/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A path to the store that can be made worse from outside.
+//! A TCP proxy between a box and the store that injects network faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,30 +10,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
-/// Time between two looks whether a silent path speaks again.
-const SILENT_TURN: Duration = Duration::from_millis(20);
+/// Maximum number of bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Time between two checks whether a silent path forwards data again.
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a path does.
+/// How a path treats data and connections. The variant names are written to `plan.txt`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PathState {
-    /// It passes everything on.
+    /// Forwards all data.
     #[default]
     Open,
-    /// It passes everything on, each chunk so much later.
+    /// Forwards all data, and each chunk after this delay.
     Slow(Duration),
-    /// What is sent to the store does not arrive.
+    /// Holds data towards the store until the state changes.
     SilentForth,
-    /// What the store answers does not arrive.
+    /// Holds data from the store until the state changes.
     SilentBack,
-    /// It takes no connections.
+    /// Closes new connections at once.
     Refusing,
 }
 
-/// A path that can be made worse.
+/// A proxy on the path to a server that can inject network faults.
 pub struct FaultyPath {
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
     state: Arc<Mutex<PathState>>,
     resets: watch::Sender<u64>,
@@ -48,7 +48,7 @@
 }
 
 impl FaultyPath {
-    /// Opens a path to `target`.
+    /// Starts a proxy to `target`.
     pub async fn open(target: SocketAddr) -> std::io::Result<FaultyPath> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
@@ -64,14 +64,14 @@
                     continue;
                 }
                 let events = (resetting.clone(), silencing.clone());
-                connections.spawn(pass(stream, target, shared.clone(), events));
+                connections.spawn(forward(stream, target, shared.clone(), events));
                 while connections.try_join_next().is_some() {}
             }
         });
         Ok(FaultyPath { address, state, resets, silences, task })
     }
 
-    /// Changes what the path does. Refusing also breaks the connections that are open.
+    /// Sets the state of the path. [`PathState::Refusing`] also closes the open connections.
     pub fn set(&self, state: PathState) {
         *self.state.lock() = state;
         if state == PathState::Refusing {
@@ -79,43 +79,46 @@
         }
     }
 
-    /// Has the connections that are open now lose all that is sent on them, without an error.
+    /// Drops all further data on the connections that are open now, without closing them.
     pub fn silence_open(&self) {
         self.silences.send_modify(|count| *count += 1);
     }
 
-    /// Breaks all connections.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 }
 
-async fn pass(
+/// Forwards the data of one connection in both directions until it ends or is reset.
+async fn forward(
     stream: TcpStream,
     target: SocketAddr,
     state: Arc<Mutex<PathState>>,
     (mut resetting, mut silencing): (watch::Receiver<u64>, watch::Receiver<u64>),
 ) {
-    let Ok(onward) = TcpStream::connect(target).await else { return };
-    let (near_read, near_write) = stream.into_split();
-    let (far_read, far_write) = onward.into_split();
+    let Ok(store_stream) = TcpStream::connect(target).await else { return };
+    let (client_read, client_write) = stream.into_split();
+    let (store_read, store_write) = store_stream.into_split();
     resetting.mark_unchanged();
     silencing.mark_unchanged();
     tokio::select! {
-        _ = copy(near_read, far_write, (&state, &silencing), PathState::SilentForth) => {}
-        _ = copy(far_read, near_write, (&state, &silencing), PathState::SilentBack) => {}
-        // An error means that the path is gone.
+        _ = copy(client_read, store_write, (&state, &silencing), PathState::SilentForth) => {}
+        _ = copy(store_read, client_write, (&state, &silencing), PathState::SilentBack) => {}
+        // An error means that the `FaultyPath` was dropped.
         _ = resetting.changed() => {}
     }
 }
 
+/// Forwards data in one direction, or drops it once the connection is silenced. `silent_state` is the state that holds the
+/// data of this direction.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     (state, silencing): (&Mutex<PathState>, &watch::Receiver<u64>),
-    silent: PathState,
+    silent_state: PathState,
 ) -> std::io::Result<()> {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut chunk).await?;
         if length == 0 {
@@ -124,8 +127,8 @@
         if silencing.has_changed().unwrap_or(true) {
             continue;
         }
-        while *state.lock() == silent {
-            tokio::time::sleep(SILENT_TURN).await;
+        while *state.lock() == silent_state {
+            tokio::time::sleep(SILENCE_POLL_INTERVAL).await;
         }
         let delay = match *state.lock() {
             PathState::Slow(delay) => delay,
