--- a/crates/sedgehill-cell/src/scheduler/message.rs
+++ b/crates/sedgehill-cell/src/scheduler/message.rs
@@ -213,7 +213,7 @@
     Unhealthy,
     /// Another life of the worker answered.
     OtherLife,
-    /// The worker could not read the order.
+    /// The worker rejected the order as invalid, or for a reason that this version does not know.
     Malformed,
     /// Nothing was sent, or it certainly did not arrive.
     Unreached,
--- a/crates/sedgehill-cell/src/scheduler/mod.rs
+++ b/crates/sedgehill-cell/src/scheduler/mod.rs
@@ -3,10 +3,12 @@
 //!
 //! A new lead starts with the jobs that every box knows and with no knowledge of the workers. It
 //! starts no task of an inherited job until every worker has reported to it, or until everything
-//! that an earlier lead may have ordered has certainly ended ([`Scheduler::take_over`]). The end of
-//! a run is acknowledged to its worker only after it has been recorded in the store. When a start
-//! goes unanswered, the task does not run elsewhere until one of these happens: a stop is answered,
-//! a report of the worker shows whether the run is there, or the worker's lease ends.
+//! that an earlier lead may have ordered has certainly ended ([`Scheduler::take_over`]). The
+//! exception is a long-running task outside a gang whose only possible worker is known: it restarts
+//! once that worker has reported or ended. The end of a run is acknowledged to its worker only after
+//! it has been recorded in the store. When a start goes unanswered, the task does not run elsewhere
+//! until one of these happens: a stop is answered, a report of the worker shows whether the run is
+//! there, or the worker's lease ends.
 
 mod active_job;
 mod advice;
--- a/crates/sedgehill-cell/src/scheduler/organisations.rs
+++ b/crates/sedgehill-cell/src/scheduler/organisations.rs
@@ -64,13 +64,13 @@
     /// The need of runs that earlier leads may have started and that no worker has reported.
     unconfirmed: ResourceSet,
     /// Room under its limit that waiting steps have reserved in this turn.
-    reserved: ResourceSet,
+    reserved_under_limit: ResourceSet,
     share_bucket: ShareBucket,
 }
 
 impl OrganisationAccount {
     fn room(&self) -> ResourceSet {
-        self.limit.remaining(&self.running.plus(&self.unconfirmed).plus(&self.reserved))
+        self.limit.remaining(&self.running.plus(&self.unconfirmed).plus(&self.reserved_under_limit))
     }
 }
 
@@ -130,7 +130,7 @@
             limit,
             running: ResourceSet::default(),
             unconfirmed: ResourceSet::default(),
-            reserved: ResourceSet::default(),
+            reserved_under_limit: ResourceSet::default(),
             share_bucket: ShareBucket { level: u64::MAX, at: now },
         });
         key
@@ -175,13 +175,13 @@
     fn reserve(&mut self, key: OrganisationKey, need: &ResourceSet) {
         let account = &mut self.accounts[key.0];
         if account.limit.allows(need) {
-            account.reserved = account.reserved.plus(need);
+            account.reserved_under_limit = account.reserved_under_limit.plus(need);
         }
     }
 
-    fn clear_reservations(&mut self) {
+    fn clear_limit_reservations(&mut self) {
         for account in &mut self.accounts {
-            account.reserved = ResourceSet::default();
+            account.reserved_under_limit = ResourceSet::default();
         }
     }
 
@@ -289,8 +289,8 @@
     }
 
     /// Drops all reservations under limits, at the start of a turn.
-    pub(super) fn clear_reservations(&mut self) {
-        self.organisations.clear_reservations();
+    pub(super) fn clear_limit_reservations(&mut self) {
+        self.organisations.clear_limit_reservations();
     }
 
     /// Reserves room under the organisation's limit for the remaining tasks of a step. Lower-ranked
--- a/crates/sedgehill-cell/src/scheduler/placement.rs
+++ b/crates/sedgehill-cell/src/scheduler/placement.rs
@@ -34,7 +34,7 @@
         if open.list.is_empty() && open.least_urgent == 0 && nothing_urgent() {
             return;
         }
-        self.clear_reservations();
+        self.clear_limit_reservations();
         let candidates = self.candidates(now);
         self.update_starved_step(&candidates, now);
         for (ahead, candidate) in candidates.into_iter().enumerate() {
@@ -290,13 +290,13 @@
         let gang_suspect = spec.gang && assignment.iter().any(|(index, _)| is_suspect(*index));
         let record = |index: u16| match gang_suspect || is_suspect(index) {
             true => StartRecord::Suspect,
-            false if spec.long_running => StartRecord::Place,
+            false if spec.long_running => StartRecord::Location,
             false => StartRecord::None,
         };
         let starts: Vec<(u16, WorkerKey, StartRecord)> =
             assignment.into_iter().map(|(index, key)| (index, key, record(index))).collect();
         for (index, key, record) in starts {
-            let place = (self.workers[key.0].entry.life.clone(), self.token);
+            let location = (self.workers[key.0].entry.life.clone(), self.token);
             let Some(job) = self.jobs.get_mut(&candidate.job) else { return };
             let task = CellTask { step: step_id, index };
             let active_task = &mut job.tasks[first + usize::from(index)];
@@ -308,7 +308,7 @@
             let run = if spec.gang { gang_run } else { active_task.progress.run.next() };
             active_task.progress.run = run;
             active_task.phase = TaskPhase::Placed(key, run);
-            active_task.location = spec.long_running.then_some(place);
+            active_task.location = spec.long_running.then_some(location);
             let checkpoint = match spec.gang {
                 true => gang_checkpoint.clone(),
                 false => active_task.progress.checkpoint.clone(),
--- a/crates/sedgehill-cell/src/scheduler/restart.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart.rs
@@ -389,7 +389,8 @@
         let has_fresh_worker_list = self.has_fresh_worker_list(now);
         let Some(due) = self.restarts.due.get_mut(&task) else { return };
         due.reported_at = Some(now);
-        // If no worker is open, steps are not examined and there is no reason yet.
+        // There is no reason if the step was not examined since the task lost its run, or if nothing
+        // prevented its starts last time: the worker may not have confirmed the run yet.
         let reason = match has_fresh_worker_list {
             true => due.reason.unwrap_or(StallReason::NoRoom),
             false => StallReason::StaleWorkerList,
--- a/crates/sedgehill-cell/src/scheduler/restart_room.rs
+++ b/crates/sedgehill-cell/src/scheduler/restart_room.rs
@@ -175,11 +175,11 @@
                 let Some(step) = job.step_index(&task.step) else { return false };
                 let spec = job.step_spec(step);
                 let less_urgent = job.record.policy.priority > priority;
-                let bearable = match last_resort {
+                let stoppable = match last_resort {
                     true => spec.checkpointing || less_urgent,
                     false => spec.checkpointing && less_urgent,
                 };
-                run.phase == RunPhase::Confirmed && bearable && !spec.gang && !spec.long_running
+                run.phase == RunPhase::Confirmed && stoppable && !spec.gang && !spec.long_running
             };
             self.workers[key.0].runs_to_stop(&spec.need, may_stop)
         };
--- a/crates/sedgehill-cell/src/scheduler/room.rs
+++ b/crates/sedgehill-cell/src/scheduler/room.rs
@@ -116,7 +116,8 @@
     }
 
     /// Returns the workers that may run the step now with the number of tasks they can take.
-    /// Workers near the step's data come first, then those of preferred pace, then the fullest.
+    /// For gangs, trusted workers come first. Then come those near the step's data, those of
+    /// preferred pace, and those with the fewest free cores.
     pub(super) fn usable_rooms(
         &self,
         candidate: &Candidate,
--- a/crates/sedgehill-cell/src/scheduler/stall.rs
+++ b/crates/sedgehill-cell/src/scheduler/stall.rs
@@ -117,8 +117,8 @@
     pub rejected: usize,
     /// Workers with a usable ticket.
     pub tickets: usize,
-    /// Workers that get at most one run because of faults.
-    pub suspended: usize,
+    /// Workers that are suspended or being probed.
+    pub untrusted: usize,
     /// The percentage of workers that is assumed to be allowed to run steps of the queue.
     pub share_percent: u64,
     /// Questions in flight.
@@ -140,7 +140,7 @@
 
 impl WorkerState {
     /// Whether it lives and is not trusted because of faults.
-    fn is_distrusted(&self) -> bool {
+    fn is_untrusted(&self) -> bool {
         !self.dead && self.trust != WorkerTrust::Trusted
     }
 }
@@ -254,7 +254,7 @@
             allowed: advice.known.values().filter(|known| known.is_some()).count(),
             rejected: advice.known.values().filter(|known| known.is_none()).count(),
             tickets: advice.ticketed(now, self.timing.ticket_margin).count(),
-            suspended: self.workers.iter().filter(|worker| worker.is_distrusted()).count(),
+            untrusted: self.workers.iter().filter(|worker| worker.is_untrusted()).count(),
             share_percent: (self.allowed_share(&job.record.queue) * 100.0) as u64,
             asking: advice.in_flight.len(),
             asked_ago: advice.last_asked_at.map(|asked| now.since(asked)),
--- a/crates/sedgehill-cell/src/scheduler/stragglers.rs
+++ b/crates/sedgehill-cell/src/scheduler/stragglers.rs
@@ -60,8 +60,8 @@
                     run.overdue = true;
                     overdue.push(key);
                 }
-                let distrusted = policy.stragglers && worker.trust != WorkerTrust::Trusted;
-                if distrusted && now >= run.since.after(TimeSpan(limit.0 * MOVE_FACTOR)) {
+                let may_move = policy.stragglers && worker.trust != WorkerTrust::Trusted;
+                if may_move && now >= run.since.after(TimeSpan(limit.0 * MOVE_FACTOR)) {
                     moved.push((key, *task, run.run));
                 }
             }
--- a/crates/sedgehill-cell/src/scheduler/worker.rs
+++ b/crates/sedgehill-cell/src/scheduler/worker.rs
@@ -132,7 +132,7 @@
     pub inherited: bool,
     /// Whether it is polled for reports.
     pub polled: bool,
-    /// It is known to have ended, so nothing runs there.
+    /// It has ended, or is not at this address, so nothing runs there.
     pub dead: bool,
     /// When another life was first known to answer under its id. It has ended, but calls to it may
     /// still reach the next life, until that one refuses their token.
@@ -339,7 +339,7 @@
 
     /// Whether it may be given new work.
     pub fn takes_work(&self, now: Moment, timing: &CellTiming) -> bool {
-        let max_answer_age = self.last_answer_at.is_some_and(|answered| {
+        let answered_recently = self.last_answer_at.is_some_and(|answered| {
             now.since(answered).as_millis() <= timing.max_answer_age.as_millis()
         });
         self.is_listed(now, timing)
@@ -349,7 +349,7 @@
             && !self.is_over()
             && !self.entry.draining
             && self.fenced
-            && max_answer_age
+            && answered_recently
             && self.silent_calls == 0
             && self.runs.values().all(|run| run.need.is_some())
             && now >= self.avoid_until
--- a/crates/sedgehill-cell/src/scheduler/write_ahead.rs
+++ b/crates/sedgehill-cell/src/scheduler/write_ahead.rs
@@ -3,9 +3,10 @@
 //! A crash is counted by the lead that knows what ran on the worker. If the box with the lead is
 //! lost together with the worker, the next lead finds a task that runs nowhere, and would start it
 //! as if nothing had happened. A start that could lead to one crash too many is therefore recorded
-//! first: that of a task under which a worker was already lost, or any after a change of leads in
-//! which a worker was lost. This delays the start by one append. Starts of long-running tasks are
-//! recorded as well, so that a later lead can restart the task quickly.
+//! first: that of a task under which a worker was already lost, or, after a change of leads in which
+//! a worker was lost, that of any task of a job that an earlier lead may have started. This delays
+//! the start by one append. Starts of long-running tasks are recorded as well, so that a later lead
+//! can restart the task quickly.
 
 use sedgehill_core::units::Moment;
 
@@ -125,7 +126,7 @@
     None,
     /// The worker, so that a later lead can restart the task once it has heard from that worker
     /// alone.
-    Place,
+    Location,
     /// The worker, and that the start may crash it.
     Suspect,
 }
--- a/crates/sedgehilld/src/cell/events.rs
+++ b/crates/sedgehilld/src/cell/events.rs
@@ -170,7 +170,7 @@
                 "stalled_ms" => stalled_for.0, "waiting" => details.waiting, "places" => details.places,
                 "places_good" => details.places_allowed, "places_unknown" => details.places_unknown,
                 "good" => details.allowed, "not_good" => details.rejected, "tickets" => details.tickets,
-                "shunned" => details.suspended,
+                "shunned" => details.untrusted,
                 "share_percent" => details.share_percent, "asking" => details.asking,
                 "asked_ms_ago" => details.asked_ago.map(|ago| ago.0));
         }
