--- a/crates/sedgehill-cell/src/authority.rs
+++ b/crates/sedgehill-cell/src/authority.rs
@@ -1,6 +1,6 @@
 //! The election of the box that leads the cell, and the time for which it may give orders.
 //!
-//! The lead is the box with the last claim in the lead topic of the store. Claims and renewals are appended
+//! The lead is the box with the last claim in the leads topic of the store. Claims and renewals are appended
 //! on the condition that the topic has not moved meanwhile, so two boxes never hold the same token. A lead
 //! gives orders only for [`AuthorityTiming::term`] after it sent its last successful renewal. Workers refuse
 //! a token lower than one they have seen, so a claim may be made before the term of the earlier lead has
@@ -18,7 +18,7 @@
 use crate::standby::LinkRate;
 use crate::stored::decode_with_defaults;
 
-/// A claim, a renewal or a resignation, as stored in the lead topic.
+/// A claim, a renewal or a resignation, as stored in the leads topic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadRecord {
     /// The token of the lead.
@@ -63,7 +63,7 @@
     pub term: TimeSpan,
     /// How long nothing is heard from a lead that cannot be reached directly before another box claims the lead.
     pub unreachable_timeout: TimeSpan,
-    /// How long nothing is heard from any lead before another box claims the lead.
+    /// How long nothing is heard from the lead, even if it can be reached, before another box claims the lead.
     pub silence_timeout: TimeSpan,
 }
 
@@ -164,7 +164,7 @@
     store_lag: TimeSpan,
     /// Until when this box may give orders; none if it has stepped down or has read a later claim.
     authority_until: Option<Moment>,
-    /// The offset at which the lead topic ended after the last record of this box.
+    /// The offset at which the leads topic ended after the last record of this box.
     own_record_end: u64,
     /// The life of the holder that refused a connection.
     refused_life: Option<u64>,
@@ -226,7 +226,7 @@
         self.authority_until
     }
 
-    /// Notes a record of the lead topic that was read at `now`.
+    /// Notes a record of the leads topic that was read at `now`.
     pub fn note_record(&mut self, record: LeadRecord, now: Moment) {
         let is_newer = self.newest.as_ref().is_none_or(|newest| record.token >= newest.token);
         if !is_newer {
@@ -272,7 +272,7 @@
     ///
     /// The store does so only until a later lead has fenced the token. So the append extends the authority like a
     /// renewal: a later lead gives no orders before it has fenced earlier tokens, and counts the term of this lead
-    /// from then on. A lead thus keeps its authority even while the lead topic cannot be written.
+    /// from then on. A lead thus keeps its authority even while the leads topic cannot be written.
     pub fn note_fenced_append(
         &mut self,
         token: FencingToken,
@@ -292,7 +292,7 @@
         self.last_heard = now;
     }
 
-    /// Returns the offset at which the lead topic ended after the last record of this box; 0 before the first.
+    /// Returns the offset at which the leads topic ended after the last record of this box; 0 before the first.
     pub fn own_record_end(&self) -> u64 {
         self.own_record_end
     }
@@ -352,8 +352,8 @@
         !(is_over && newest.predecessors_expired)
     }
 
-    /// Returns whether this box should claim the lead at `now`. Boxes have different values of `rank`, and each rank
-    /// adds a fixed delay, so that several boxes seldom claim at the same time.
+    /// Returns whether this box should claim the lead at `now`. `rank` delays the claim by `RANK_DELAY` for each unit.
+    /// Each box draws its rank at random, so several boxes seldom claim at the same time.
     pub fn should_claim(&self, now: Moment, rank: u64, timing: &AuthorityTiming) -> bool {
         let Some(newest) = &self.newest else {
             return now.since(self.last_heard).as_millis() >= rank * RANK_DELAY.as_millis();
--- a/crates/sedgehill-cell/src/crash_history.rs
+++ b/crates/sedgehill-cell/src/crash_history.rs
@@ -16,9 +16,10 @@
 /// a full worker would ask for about eight empty workers at once. With two, the second crash distinguishes the cause
 /// from the tasks that ran beside it.
 pub const EXCLUSIVE_AFTER_LOSSES: usize = 2;
-/// Number of crashed workers that had reported the run of a task from which on the task is taken as the cause, if no
-/// other job ran on the worker in at least one of these crashes. Users accept that a task is failed after two crashes.
-/// But two crashes can be caused by two other tasks that ran beside it; the third, with the task alone, cannot.
+/// A task is taken as the cause once this many workers that had reported its run crashed, if it ran there without
+/// other jobs in enough of these crashes: one, or two where workers often crash by themselves. Users accept that a
+/// task is failed after two crashes. But two crashes can be caused by two other tasks that ran beside it; the third,
+/// with the task alone, cannot.
 pub const FAIL_AFTER_CRASHES: usize = 3;
 /// Number of known crashes under a task from which on users accept that it is failed.
 const MIN_CRASHES_TO_FAIL: usize = 2;
--- a/crates/sedgehill-cell/src/standby.rs
+++ b/crates/sedgehill-cell/src/standby.rs
@@ -33,7 +33,7 @@
 /// Share of one second of the lead's link, in thousandths, for a snapshot of all summaries to all boxes. Each box
 /// gets a snapshot first. After a restart of 300 boxes with 36,000 jobs the snapshots would take eight seconds.
 const SNAPSHOT_PERMILLE: u64 = 500;
-/// Size of one job in a snapshot of all summaries, in bytes.
+/// Assumed size of one job in a snapshot of all summaries, in bytes.
 const SUMMARY_BYTES: u64 = 20;
 /// How long conditions must hold before more boxes stand by or summaries are resumed. A box that begins to stand by
 /// reads all jobs from the store, so boxes should not switch back and forth.
--- a/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlap/host.rs
@@ -20,7 +20,7 @@
 const ORDER_TIMEOUT: TimeSpan = TimeSpan(300);
 /// Time between two reads of a topic.
 pub(super) const READ_INTERVAL: TimeSpan = TimeSpan(100);
-/// The oldest complete read of the lead topic with which a box may claim the lead.
+/// The oldest complete read of the leads topic with which a box may claim the lead.
 const MAX_LEAD_VIEW_AGE_MS: u64 = 1_800;
 /// Pause before a failed renewal is repeated.
 pub(super) const RENEW_RETRY_PAUSE: TimeSpan = TimeSpan(100);
