--- a/crates/sedgehilld/src/cell/frames.rs
+++ b/crates/sedgehilld/src/cell/frames.rs
@@ -18,8 +18,8 @@
 use super::relay::{RelayAnswer, RelayCall};
 use super::submission::SubmissionOutcome;
 
-/// The longest frame that is accepted, in bytes. A job takes up to 5 KB, a question about a hundred
-/// workers 4 KB; records are packed into frames of about [`RECORD_FRAME_BYTES`].
+/// The longest frame that is accepted, in bytes. A job takes up to about 5 KB, a question about a
+/// hundred workers about 4 KB; records are packed into frames of about [`RECORD_FRAME_BYTES`].
 const MAX_FRAME_BYTES: u32 = 1 << 20;
 /// Keys and values of records are packed into one frame until they reach this many bytes.
 pub const RECORD_FRAME_BYTES: usize = 128 << 10;
@@ -88,7 +88,7 @@
 
 impl TopicSummary {
     /// Returns the states of all jobs, with the ends of the topics that they come from. A job takes
-    /// 12 bytes, so a frame holds 80,000 jobs.
+    /// about 12 bytes, so a frame holds some 80,000 jobs.
     pub fn of_all(replica: &CellReplica, jobs_end: u64, progress_end: u64) -> [TopicSummary; 2] {
         let jobs = replica.ids().map(|job| JobSummary::of(replica, job)).collect();
         [
--- a/crates/sedgehilld/src/cell/hedge.rs
+++ b/crates/sedgehilld/src/cell/hedge.rs
@@ -5,7 +5,7 @@
 //! alone would cost as much when it is lost. Further copies do no harm: each append here has a
 //! condition that the store checks, or holds records that may be stored twice. Together with the
 //! learned timeout and lead renewals during fencing, hedging lowered the calls with unknown outcome
-//! from 227 to 129 of 1,500 in a run whose store turned slow.
+//! from 227 to 129 of about 1,500 in a run whose store turned slow.
 
 use std::time::{Duration, Instant};
 
@@ -23,14 +23,14 @@
 /// How long the second copy, which uses a new connection, is waited for before a third is sent, as
 /// a multiple of the usual answer time.
 const THIRD_COPY_FACTOR: u32 = 3;
-/// The minimum of that wait. A new connection and an answer take 10 ms.
+/// The minimum of that wait. A new connection and an answer take about 10 ms.
 const MIN_THIRD_COPY_DELAY: Duration = Duration::from_millis(40);
 
 /// Pause after a copy that failed, before the next one is sent.
 const COPY_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The minimum time after which an unanswered append means that the store does not answer appends.
-/// A store that turns slow answers after 400 ms.
+/// A store that turns slow answers after about 400 ms.
 const MIN_STUCK_DELAY: Duration = Duration::from_millis(600);
 /// The same time, as a multiple of the time after which a second copy is sent.
 const STUCK_FACTOR: u32 = 2;
--- a/crates/sedgehilld/src/cell/lead.rs
+++ b/crates/sedgehilld/src/cell/lead.rs
@@ -344,6 +344,7 @@
 async fn run_scheduler(host: &Rc<CellBox>, session: &Rc<LeadSession>) {
     let mut monitor = AuthorityMonitor::new();
     loop {
+        // Woken or timed out, the next round is due.
         let _ = tokio::time::timeout(MAX_SCHEDULE_WAIT, session.wake.notified()).await;
         let started = Instant::now();
         let may_order = session.may_order(host);
--- a/crates/sedgehilld/src/cell/lead_metrics.rs
+++ b/crates/sedgehilld/src/cell/lead_metrics.rs
@@ -13,7 +13,6 @@
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// The units of core counts and of organisation weights are thousandths.
 const THOUSANDTHS_PER_UNIT: f64 = 1_000.0;
-/// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 /// The value of a limit that is not set, which Prometheus writes as `+Inf`.
 const NO_LIMIT: f64 = f64::INFINITY;
--- a/crates/sedgehilld/src/cell/link_server.rs
+++ b/crates/sedgehilld/src/cell/link_server.rs
@@ -35,7 +35,7 @@
 /// much later; each forwarding costs one write a box.
 const FORWARD_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Timeout of a read for another box. A slow store takes 300 ms.
+/// Timeout of a read for another box. A slow store takes about 300 ms.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Queue of encoded frames for one box.
@@ -65,6 +65,7 @@
     stream: TcpStream,
     helper: HelperId,
 ) {
+    // A link works without it, only slower.
     let _ = stream.set_nodelay(true);
     let (mut reader, writer) = stream.into_split();
     let Ok(PeerFrame::Hello { name, strength }) = read_frame(&mut reader).await else { return };
@@ -229,6 +230,8 @@
 ) {
     // Without an outcome this lead has ended: the box notices and submits in another way.
     if let Some(outcome) = session.submit(&host, job, &record).await {
+        // If the queue is full, the box gets no outcome: its wait times out, or it is disconnected
+        // with the next records.
         let _ = queue.try_send(PeerFrame::Submitted { number, outcome }.encode());
     }
 }
--- a/crates/sedgehilld/src/cell/recorder.rs
+++ b/crates/sedgehilld/src/cell/recorder.rs
@@ -34,8 +34,8 @@
 /// How long progress and submissions are collected before they are appended. Each append has a
 /// cost, and each job waits half of this time on average.
 const BATCH_INTERVAL: Duration = Duration::from_millis(16);
-/// The most submissions in one batch, more than arrive during the slowest append. With jobs of 1.2
-/// KB a batch stays below the 2 MB that the store accepts in one call.
+/// The most submissions in one batch, more than arrive during the slowest append. With jobs of about
+/// 1.2 KB a batch stays below the 2 MB that the store accepts in one call.
 const MAX_BATCH_SUBMISSIONS: usize = 400;
 /// The most old jobs that are forgotten with one batch, more than end in the time of a batch.
 const MAX_BATCH_DROPS: usize = 64;
@@ -139,7 +139,7 @@
         answer.await.ok()
     }
 
-    /// Returns whether a job of another organisation with the same id is being appended.
+    /// Returns whether a job of another organisation with the same id is queued or being appended.
     fn is_taken(&self, job: JobId, record: &CellRecord) -> bool {
         let Some(owner) = record.owner() else { return false };
         let waiting = self.submissions.borrow();
--- a/crates/sedgehilld/src/cell/relay.rs
+++ b/crates/sedgehilld/src/cell/relay.rs
@@ -25,7 +25,7 @@
 use super::state::CellBox;
 use crate::clock;
 
-/// Timeout of a relayed read. A slow store takes 300 ms.
+/// Timeout of a relayed read. A slow store takes about 300 ms.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// Timeout of a relayed append at the box that relays it. A slow store may delay appends for up to
 /// two seconds.
@@ -168,8 +168,9 @@
 
     /// Appends directly, or through another box while the own path is down. If a direct append is
     /// not answered in the usual time, more copies are sent: one from this box on a new connection,
-    /// and later ones through another box. If a relayed copy is answered first, the own path counts
-    /// as down; otherwise the store is merely slow.
+    /// and later ones through another box. If a relayed copy is answered first, or the first copy
+    /// fails before that, the own path counts as down. If a direct copy is answered first, the store
+    /// is merely slow.
     pub async fn append(
         &self,
         host: &CellBox,
--- a/crates/sedgehilld/src/cell/settings.rs
+++ b/crates/sedgehilld/src/cell/settings.rs
@@ -32,7 +32,7 @@
 pub struct StopTiming {
     /// How long callers may still arrive after the box has reported that it is not ready.
     pub linger: Duration,
-    /// Time from the signal to the end of the process.
+    /// Longest time from the signal to the end of the process.
     pub limit: Duration,
 }
 
@@ -73,7 +73,7 @@
 const BALANCER_LAG: TimeSpan = TimeSpan(2_300);
 
 /// The default of the setting `size_known`: how long after a worker is listed with a smaller size
-/// tasks may still be started by its earlier size.
+/// tasks may still be started by its earlier size. The platform's usual value.
 const DEFAULT_SIZE_KNOWN: TimeSpan = TimeSpan(3_000);
 /// The longest usual time that an order takes to reach a worker.
 const MAX_ORDER_DELAY: TimeSpan = TimeSpan(200);
--- a/crates/sedgehilld/src/cell/state.rs
+++ b/crates/sedgehilld/src/cell/state.rs
@@ -93,7 +93,7 @@
 }
 
 /// A box counts as cut off from the store after this time without an answer. Reads wait up to half
-/// a second at the store, and a slow store takes 300 ms more. A store that is only idle or slow
+/// a second at the store, and a slow store takes about 300 ms more. A store that is only idle or slow
 /// must not count as silent, since the first answer after a silence makes all pending calls repeat.
 const SILENT_AFTER: TimeSpan = TimeSpan(1_100);
 
--- a/crates/sedgehilld/src/cell/topic_follower.rs
+++ b/crates/sedgehilld/src/cell/topic_follower.rs
@@ -20,7 +20,7 @@
 /// How long the store waits for a new record before it answers a read. An empty answer proves that
 /// no record is missing.
 const READ_WAIT: Duration = Duration::from_millis(500);
-/// How long an answer may take in addition to that wait. A slow store takes 300 ms.
+/// How long an answer may take in addition to that wait. A slow store takes about 300 ms.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// The timeout of a read while the store does not answer: short tries notice its return sooner.
 const SILENT_READ_TIMEOUT: Duration = Duration::from_millis(500);
