--- a/crates/sedgehill-core/src/ids.rs
+++ b/crates/sedgehill-core/src/ids.rs
@@ -145,7 +145,8 @@
     Version;
     /// The number of a lead's term over a data hall: the offset of the record that claimed it.
     Epoch;
-    /// The number of one run of a box's or worker's process. A later run has a higher number.
+    /// The number of one run of a box's or worker's process. A later run is expected to have a higher
+    /// number; boxes use their start time in milliseconds of Unix time.
     Incarnation;
 }
 
