--- a/crates/sedgehill-cell/tests/testsuite/advice.rs
+++ b/crates/sedgehill-cell/tests/testsuite/advice.rs
@@ -1,4 +1,4 @@
-//! Which workers the advice service is asked about.
+//! Which workers the questions to the advice service name.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use crate::fake::{FakeCell, job, policy, step};
 
-fn advised(steps: Vec<StepSpec>) -> JobRecord {
+fn advised_job(steps: Vec<StepSpec>) -> JobRecord {
     let mut record = job(steps);
     record.policy.advice =
         Some(AdvicePolicy { per_question_us: 5_000, per_worker_us: 100, valid: TimeSpan(2_000) });
@@ -20,42 +20,42 @@
     StepSpec { gang: true, ..step(count, need) }
 }
 
-/// How many workers the questions of some turns name.
-fn named(cell: &mut FakeCell, record: JobRecord) -> Vec<usize> {
+/// Returns how many workers each question of the first four turns names.
+fn named_counts(cell: &mut FakeCell, record: JobRecord) -> Vec<usize> {
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, record);
-    let mut named = Vec::new();
+    let mut counts = Vec::new();
     for _ in 0..4 {
         for order in cell.turn(&mut lead) {
             if let CellOrder::Ask(question) = order {
-                named.push(question.workers.len());
+                counts.push(question.workers.len());
             }
         }
     }
-    named
+    counts
 }
 
 #[test]
 fn a_wide_gang_names_as_many_workers_as_it_needs() {
-    // 70 members of 4 cores need 18 workers, of which half are taken as good before any answer.
+    // 70 members of 4 cores need 18 workers. Before any answer, half of the workers are assumed to be allowed.
     let mut cell = FakeCell::new(60, 16);
-    let named = named(&mut cell, advised(vec![gang(70, 4)]));
-    assert!(named.first().is_some_and(|first| *first >= 36), "{named:?}");
+    let counts = named_counts(&mut cell, advised_job(vec![gang(70, 4)]));
+    assert!(counts.first().is_some_and(|first| *first >= 36), "{counts:?}");
     assert_eq!(cell.starts.len(), 70);
 }
 
 #[test]
-fn a_gang_for_which_too_little_room_is_free_asks_nobody() {
+fn a_gang_without_enough_free_room_sends_no_question() {
     let mut cell = FakeCell::new(6, 16);
-    assert_eq!(named(&mut cell, advised(vec![gang(40, 4)])), Vec::<usize>::new());
+    assert_eq!(named_counts(&mut cell, advised_job(vec![gang(40, 4)])), Vec::<usize>::new());
     assert!(cell.starts.is_empty());
 }
 
-/// A step of two tasks that needs to name four workers at the most: half are taken as good.
-const NARROW: usize = 4;
+/// Number of workers that a question for a step of two tasks needs to name: half are assumed to be allowed.
+const NARROW_STEP_WORKERS: usize = 4;
 
 #[test]
-fn a_narrow_step_names_others_only_while_that_costs_little() {
+fn a_narrow_step_names_further_workers_only_at_low_cost() {
     let costs =
         [(0, 1_000), (500, 700), (5_000, 100), (13_000, 190), (490_000, 7_000), (20_000, 0)];
     for (per_question_us, per_worker_us) in costs {
@@ -63,10 +63,13 @@
         let policy = AdvicePolicy { per_question_us, per_worker_us, valid: TimeSpan(2_000) };
         let mut record = job(vec![step(2, 4)]);
         record.policy.advice = Some(policy);
-        let named = named(&mut cell, record);
-        let first = *named.first().expect("a question is asked");
-        assert!(policy.cost(first).0 <= policy.cost(NARROW).0 * 3 / 2, "{policy:?}: {named:?}");
-        assert!(first <= 100, "the service takes a hundred");
+        let counts = named_counts(&mut cell, record);
+        let first = *counts.first().expect("a question is sent");
+        assert!(
+            policy.cost(first).0 <= policy.cost(NARROW_STEP_WORKERS).0 * 3 / 2,
+            "{policy:?}: {counts:?}"
+        );
+        assert!(first <= 100, "the service accepts at most 100 workers in a question");
         assert_eq!(cell.starts.len(), 2);
     }
 }
@@ -92,12 +95,12 @@
             }
         }
     }
-    assert_eq!(questions, [13], "one question tells for good who may run the step");
+    assert_eq!(questions, [13], "one question covers every worker");
 }
 
 #[test]
-fn a_gang_wider_than_one_question_serves_asks_several_boxes_at_once() {
-    // Of 100 workers of 4 cores, 50 are taken as good: too few for a gang of 120.
+fn a_gang_too_wide_for_one_question_asks_several_boxes_at_once() {
+    // Of 100 workers of 4 cores, 50 are assumed to be allowed: too few for a gang of 120.
     let mut cell = FakeCell::new(400, 4);
     let mut lead = cell.lead(false);
     for helper in 1..=8 {
@@ -128,21 +131,21 @@
             }
         }
     }
-    assert_eq!(asked.len(), 3, "as many at once as a gang may ask");
+    assert_eq!(asked.len(), 3, "the maximum number of concurrent questions of a gang");
     let helpers: BTreeSet<HelperId> = asked.iter().map(|question| question.helper).collect();
-    assert_eq!(helpers.len(), 3, "each by another box");
-    let named: usize = asked.iter().map(|question| question.workers.len()).sum();
+    assert_eq!(helpers.len(), 3, "each question goes to another box");
+    let named_total: usize = asked.iter().map(|question| question.workers.len()).sum();
     let distinct: BTreeSet<&WorkerId> =
         asked.iter().flat_map(|question| &question.workers).collect();
-    assert_eq!(distinct.len(), named, "no worker is named twice");
+    assert_eq!(distinct.len(), named_total, "no worker is named in two questions");
 }
 
 #[test]
-fn a_life_that_never_answered_is_not_named() {
+fn a_worker_that_never_answered_is_not_named() {
     let mut cell = FakeCell::new(6, 16);
     for worker in &mut cell.workers[2..] {
         worker.cut = true;
     }
-    let named = named(&mut cell, advised(vec![step(2, 1)]));
-    assert_eq!(named, [2], "the others may be no workers at all");
+    let counts = named_counts(&mut cell, advised_job(vec![step(2, 1)]));
+    assert_eq!(counts, [2], "entries that never answered may not be workers");
 }
--- a/crates/sedgehill-cell/tests/testsuite/cases.rs
+++ b/crates/sedgehill-cell/tests/testsuite/cases.rs
@@ -1,8 +1,8 @@
-//! How many random courses are played.
+//! Number of cases of the property tests.
 
 use proptest::prelude::ProptestConfig;
 
-/// So many, which fit into some seconds, or as many as are asked for by hand.
+/// Returns a configuration with `count` cases, unless `PROPTEST_CASES` sets another number.
 pub fn cases(count: u32) -> ProptestConfig {
     let default = ProptestConfig::default();
     match std::env::var_os("PROPTEST_CASES") {
