--- a/crates/sedgehill-cell/tests/testsuite/led.rs
+++ b/crates/sedgehill-cell/tests/testsuite/lead_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that the lead itself accepted.
+//! Jobs that the lead itself accepted and recorded.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use crate::fake::{FakeCell, job, step, task};
 
 #[test]
-fn a_job_that_the_lead_recorded_starts_without_a_further_record() {
+fn a_job_that_the_lead_accepted_starts_without_a_further_record() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 2);
@@ -31,48 +31,48 @@
 }
 
 #[test]
-fn a_later_lead_starts_such_a_job_only_when_it_has_heard_of_every_worker() {
+fn a_later_lead_starts_such_a_job_only_after_reports_of_all_workers() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 3);
     assert_eq!(cell.starts.len(), 1);
-    let holder = cell.place(task(1, 0, 0)).expect("it runs");
-    // The lead is lost before it records any progress, and the worker cannot be reached.
+    let holder = cell.place(task(1, 0, 0)).expect("the task runs");
+    // The lead is lost before it records any progress, and the worker is unreachable.
     cell.workers[holder].cut = true;
     let mut next = cell.lead(true);
     cell.turns(&mut next, 10);
     assert_eq!(cell.starts.len(), 1);
     cell.workers[holder].cut = false;
     cell.turns(&mut next, 10);
-    assert_eq!(cell.starts.len(), 1, "the next lead found the run");
+    assert_eq!(cell.starts.len(), 1, "the next lead adopted the run");
     cell.end_anywhere(task(1, 0, 0), RunEnd::Done);
     cell.turns(&mut next, 5);
     assert!(!next.has_job(JobId(1)));
 }
 
 #[test]
-fn what_an_earlier_lead_accepted_counts_as_ordered() {
+fn a_job_that_an_earlier_lead_accepted_may_have_started() {
     let mut cell = FakeCell::new(1, 16);
     cell.workers[0].cut = true;
     let mut lead = cell.lead(true);
-    let kept = JobProgress { may_have_started: true, ..JobProgress::default() };
+    let progress = JobProgress { may_have_started: true, ..JobProgress::default() };
     let record = Rc::new(job(vec![step(1, 1)]));
-    lead.add_job(JobId(1), record, &kept, TimeSpan(0), cell.now);
+    lead.add_job(JobId(1), record, &progress, TimeSpan(0), cell.now);
     cell.workers[0].cut = false;
     cell.turns(&mut lead, 1);
     assert!(lead.has_job(JobId(1)));
 }
 
-/// The caller of a job handed it in once more, at a later lead. The lead took it as new though it knew that an
-/// earlier lead had begun it, and started a task that ran already on a worker which it had not heard from.
+/// Guards against a second run of a task: a caller submits a job again, to a later lead. A lead that takes it as new,
+/// although an earlier lead had started it, starts a task that still runs on a worker without a report so far.
 #[test]
-fn a_copy_of_a_job_that_an_earlier_lead_began_does_not_make_it_new() {
+fn a_copy_of_a_job_that_an_earlier_lead_started_is_not_a_new_job() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 3);
-    let holder = cell.place(task(1, 0, 0)).expect("it runs");
+    let holder = cell.place(task(1, 0, 0)).expect("the task runs");
     cell.workers[holder].cut = true;
     let mut next = cell.lead(true);
     cell.turns(&mut next, 3);
