--- a/crates/sedgehill-cell/tests/testsuite/authority.rs
+++ b/crates/sedgehill-cell/tests/testsuite/authority.rs
@@ -1,4 +1,4 @@
-//! Who leads, and until when.
+//! Claims of the lead, and the end of its authority.
 
 use sedgehill_cell::authority::{AuthorityTiming, BoxStrength, LeadRecord, LeadWatch};
 use sedgehill_cell::ids::BoxName;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn authority_ends_a_term_after_the_last_renewal_was_sent() {
+fn authority_ends_one_term_after_the_last_renewal_was_sent() {
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
@@ -67,17 +67,17 @@
     other.note_record(claim.clone(), START);
     let later = other.next_claim("127.0.0.1:2");
     own.note_record(later.clone(), at(1_500));
-    // The answer to a renewal that the store kept before that claim.
+    // The late answer to a renewal that the store recorded before that claim.
     own.note_own_record(claim, at(400), 2, &timing);
     assert_eq!(own.newest(), Some(&later));
     assert_eq!(own.authority(at(1_501)), None);
     assert!(!own.is_holder());
-    // Claimed again with the token of the other box, the orders of the two could not be told apart.
+    // A claim with the token of the other box would make the orders of the two indistinguishable.
     assert!(own.next_claim("127.0.0.1:1").token > later.token);
 }
 
 #[test]
-fn a_silent_lead_is_followed_and_a_resigned_one_at_once() {
+fn a_silent_lead_is_replaced_after_a_timeout_and_a_resigned_lead_at_once() {
     let timing = AuthorityTiming::default();
     let lead = watch("a", 1).next_claim("127.0.0.1:1");
     let mut follower = watch("b", 2);
@@ -93,18 +93,18 @@
 }
 
 #[test]
-fn a_restarted_box_follows_its_own_earlier_life_at_once() {
+fn a_restarted_box_replaces_its_own_earlier_life_at_once() {
     let timing = AuthorityTiming::default();
     let lead = watch("a", 1).next_claim("127.0.0.1:1");
-    let mut again = watch("a", 3);
-    again.note_record(lead.clone(), START);
-    assert!(!again.is_holder());
-    assert!(again.should_claim(START, 0, &timing));
-    assert!(again.next_claim("127.0.0.1:1").token > lead.token);
+    let mut restarted = watch("a", 3);
+    restarted.note_record(lead.clone(), START);
+    assert!(!restarted.is_holder());
+    assert!(restarted.should_claim(START, 0, &timing));
+    assert!(restarted.next_claim("127.0.0.1:1").token > lead.token);
 }
 
 #[test]
-fn a_weak_box_leaves_the_claim_to_a_stronger_one_for_a_moment() {
+fn a_weak_box_delays_its_claim_in_favour_of_a_stronger_box() {
     let timing = AuthorityTiming::default();
     let resigned = LeadRecord { resigned: true, ..watch("c", 3).next_claim("127.0.0.1:3") };
     let mut weak = watch("a", 1);
@@ -120,29 +120,29 @@
 }
 
 #[test]
-fn a_strength_is_a_number_of_cores() {
+fn a_strength_is_parsed_from_a_number_of_cores() {
     assert_eq!("0.25".parse(), Ok(BoxStrength(250)));
     assert_eq!("2".parse(), Ok(BoxStrength(2_000)));
-    for wrong in ["", "-1", "NaN", "one", "1e300"] {
-        assert!(wrong.parse::<BoxStrength>().is_err(), "{wrong}");
+    for invalid in ["", "-1", "NaN", "one", "1e300"] {
+        assert!(invalid.parse::<BoxStrength>().is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn a_renewal_follows_the_last_own_record_though_reads_are_behind() {
+fn the_end_of_the_own_records_does_not_go_back_on_a_stale_read() {
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     assert_eq!(own.own_record_end(), 0);
     let claim = own.next_claim("127.0.0.1:1");
     own.note_own_record(claim.clone(), START, 7, &timing);
     own.note_own_record(claim.clone(), at(400), 8, &timing);
-    // A read that is behind returns the first of them now.
+    // A stale read returns the first of these records.
     own.note_record(claim, at(800));
     assert_eq!(own.own_record_end(), 8);
 }
 
 #[test]
-fn a_lead_whose_process_is_gone_is_followed_at_once_but_not_again_and_again() {
+fn a_refused_connection_allows_a_claim_at_once_only_the_first_time() {
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let lead = watch("b", 2).next_claim("127.0.0.1:2");
@@ -151,17 +151,17 @@
     own.note_connection_refused();
     assert!(own.should_claim(at(100), 0, &timing));
     own.note_own_record(own.next_claim("127.0.0.1:1"), at(100), 2, &timing);
-    // The former lead lives after all, and claims again: the path to it only refuses connections.
+    // The former lead is alive and claims again: only the path to it refuses connections.
     let token = own.newest().unwrap().token.next_lead();
-    let again = LeadRecord { token, ..lead };
-    own.note_record(again, at(200));
+    let second_claim = LeadRecord { token, ..lead };
+    own.note_record(second_claim, at(200));
     own.note_connection_refused();
     assert!(!own.should_claim(at(300), 0, &timing));
     assert!(own.should_claim(at(200 + timing.unreachable_timeout.0), 0, &timing));
 }
 
 #[test]
-fn a_lead_goes_on_while_only_its_fenced_appends_are_kept() {
+fn fenced_appends_extend_the_authority() {
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
@@ -169,13 +169,13 @@
     own.note_fenced_append(claim.token, at(2_000), &timing);
     assert_eq!(own.authority(at(2_000 + timing.term.0 - 1)), Some(claim.token));
     assert_eq!(own.authority(at(2_000 + timing.term.0)), None);
-    // One that was sent earlier and answered late takes nothing away.
+    // A late answer to an append that was sent earlier does not shorten the authority.
     own.note_fenced_append(claim.token, at(1_000), &timing);
     assert_eq!(own.authority(at(2_000 + timing.term.0 - 1)), Some(claim.token));
 }
 
 #[test]
-fn a_fenced_append_gives_nothing_once_another_box_has_claimed() {
+fn a_fenced_append_gives_no_authority_after_the_claim_of_another_box() {
     let timing = AuthorityTiming::default();
     let mut own = watch("a", 1);
     let claim = own.next_claim("127.0.0.1:1");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_lead_that_says_that_it_is_served_is_not_followed_though_no_renewal_comes() {
+fn a_reachable_lead_that_reports_itself_healthy_is_not_replaced() {
     let timing = AuthorityTiming::default();
     let lead = watch("a", 1).next_claim("127.0.0.1:1");
     let mut follower = watch("b", 2);
@@ -211,30 +211,30 @@
 }
 
 #[test]
-fn a_restarted_box_does_not_wait_for_its_turn_among_the_others() {
+fn a_restarted_box_claims_regardless_of_its_rank() {
     let timing = AuthorityTiming::default();
     let lead = watch("a", 1).next_claim("127.0.0.1:1");
-    let mut again = watch("a", 3);
-    again.note_record(lead, START);
-    assert!(again.should_claim(START, 7, &timing));
+    let mut restarted = watch("a", 3);
+    restarted.note_record(lead, START);
+    assert!(restarted.should_claim(START, 7, &timing));
 }
 
 #[test]
-fn a_box_leaves_the_lead_to_boxes_like_a_much_stronger_one() {
+fn a_much_weaker_box_than_the_lead_is_recognised() {
     let mut weak = LeadWatch::new("weak".into(), 1, BoxStrength(120), at(0));
-    let mut alike = LeadWatch::new("alike".into(), 2, BoxStrength(400), at(0));
-    assert!(!weak.is_weaker_than_lead(), "nobody has led yet");
+    let mut comparable = LeadWatch::new("alike".into(), 2, BoxStrength(400), at(0));
+    assert!(!weak.is_weaker_than_lead(), "there is no lead yet");
     let strong = LeadWatch::new("strong".into(), 3, BoxStrength(500), at(0));
     let record = strong.next_claim("127.0.0.1:3");
     weak.note_record(record.clone(), at(0));
-    alike.note_record(record, at(0));
+    comparable.note_record(record, at(0));
     assert!(weak.is_weaker_than_lead());
-    assert!(!alike.is_weaker_than_lead());
+    assert!(!comparable.is_weaker_than_lead());
 }
 
-/// A lead's renewal was kept, and the answer came late: after the lead had read the claim of its successor. It took
-/// its own record for the newest again, so it ordered on, and claimed with the token that its successor held. The
-/// store and the workers could not tell the two apart any more.
+/// Guards against two leads with one token. The store records a renewal of a lead, but the answer arrives after the
+/// lead has read the claim of its successor. A lead that takes its own record for the newest one then goes on giving orders
+/// and claims with the token of its successor, so that the store and the workers cannot tell the two apart.
 #[test]
 fn an_answer_that_comes_after_a_later_claim_was_read_gives_no_authority() {
     let timing = AuthorityTiming::default();
@@ -255,8 +255,8 @@
     assert!(!own.is_holder());
 }
 
-/// Boxes of two versions run side by side while one replaces the other. One that could not read who leads would claim
-/// with a token that is held.
+/// Boxes of two versions run side by side during an upgrade. A box that cannot read the record of the lead would claim
+/// with a token that is already in use.
 #[test]
 fn lead_records_of_earlier_versions_are_read_and_read_by_them() {
     #[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -274,8 +274,8 @@
         ..watch("a", 1).next_claim("127.0.0.1:1")
     };
     let earlier: EarlierRecord = postcard::from_bytes(&record.encode()).unwrap();
-    let told = (earlier.token, earlier.holder.as_str(), earlier.resigned);
-    assert_eq!(told, (record.token.0, "a", true));
+    let read_by_earlier = (earlier.token, earlier.holder.as_str(), earlier.resigned);
+    assert_eq!(read_by_earlier, (record.token.0, "a", true));
     let read = LeadRecord::decode(&postcard::to_stdvec(&earlier).unwrap()).unwrap();
     assert_eq!(read, LeadRecord { predecessors_expired: false, ..record.clone() });
     assert!(LeadRecord::decode(&record.encode()[..4]).is_err());
