--- a/crates/sedgehill-cell/tests/testsuite/capacity.rs
+++ b/crates/sedgehill-cell/tests/testsuite/capacity.rs
@@ -1,7 +1,7 @@
-//! Workers that have less, or more, than before while they run.
+//! Workers whose capacity changes while they run.
 //!
-//! What a worker has stood in its entry when it was first listed, and the lead went by that for as long as the
-//! worker lived. One that shrank was filled as before: workers that do not check carry out what they are told.
+//! Guards against overfilled workers. A lead that uses the capacity of a worker's first entry for the worker's whole
+//! life fills a worker that shrank as before, and workers that do not check their capacity carry out each start.
 
 use sedgehill_cell::job::StepSpec;
 use sedgehill_cell::progress::JobState;
@@ -10,7 +10,7 @@
 
 use crate::fake::{CrashHabit, FakeCell, job, owned, step, task, worker_entry};
 
-/// Room for one task less than the worker began with, in each dimension in turn.
+/// Reduces one dimension of a worker's capacity to half of that of `one_worker`: 0 cores, 1 memory, 2 accelerators.
 fn shrink(cell: &mut FakeCell, number: usize, dimension: usize) {
     let capacity = &mut cell.workers[number].entry.capacity;
     match dimension {
@@ -24,7 +24,7 @@
     cell.starts.iter().filter(|(task, ..)| task.step.job.0 == id).count()
 }
 
-/// A cell of one worker with four cores and four accelerators, and a job of four tasks that need one of each.
+/// Returns a cell of one worker with four cores and four accelerators, and a step of four tasks that need one of each.
 fn one_worker() -> (FakeCell, Scheduler, StepSpec) {
     let mut cell = FakeCell::new(1, 4);
     cell.workers[0].entry.capacity.accelerators = 4;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_worker_that_shrank_gets_no_start_beyond_what_it_has_left() {
+fn a_worker_that_shrank_gets_no_start_beyond_its_new_capacity() {
     for dimension in 0..3 {
         let (mut cell, mut lead, spec) = one_worker();
         cell.turns(&mut lead, 2);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_worker_below_what_runs_there_gets_no_start_until_enough_has_ended() {
+fn a_worker_smaller_than_its_runs_gets_no_start_until_enough_of_them_end() {
     let (mut cell, mut lead, spec) = one_worker();
     cell.submit_led(&mut lead, 1, job(vec![spec.clone()]));
     cell.turns(&mut lead, 5);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_worker_that_grew_is_filled_in_the_turn_after_it_is_listed_so() {
+fn a_worker_that_grew_is_filled_in_the_turn_after_its_listing() {
     let (mut cell, mut lead, spec) = one_worker();
     shrink(&mut cell, 0, 0);
     cell.list(&mut lead);
@@ -80,9 +80,9 @@
     assert_eq!(started(&cell, 1), 4);
 }
 
-// The entry of a worker is away, and it may have shrunk meanwhile: what the roster says of it is of another time.
+// The entry of a worker is missing, and the worker may have shrunk meanwhile: the capacity in the roster is outdated.
 #[test]
-fn a_lead_starts_nothing_on_a_worker_whose_entry_it_has_not_read() {
+fn a_new_lead_starts_nothing_on_a_worker_whose_entry_it_has_not_read() {
     let (mut cell, mut lead, spec) = one_worker();
     cell.turns(&mut lead, 2);
     cell.workers[0].unlisted = true;
@@ -97,9 +97,9 @@
     assert_eq!(started(&cell, 1), 2);
 }
 
-// The store answers for all else but not for the list of workers. What shrinks meanwhile is not known.
+// The store answers everything but the list of workers, so that the lead does not learn which workers shrink.
 #[test]
-fn nothing_starts_by_a_list_that_was_read_long_ago() {
+fn nothing_starts_while_the_worker_list_is_stale() {
     let mut cell = FakeCell::new(1, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 2);
@@ -114,20 +114,20 @@
     assert_eq!(started(&cell, 1), 1);
 }
 
-// A worker shrank below what runs there. A later lead that has not heard it counts what may run there by what the
-// worker had when that was started.
+// A worker shrinks below what runs there. A later lead without a report of it must count the runs that it may hold by
+// the capacity that the worker had when they were started.
 #[test]
-fn what_was_started_before_a_worker_shrank_counts_against_the_limit_at_a_later_lead() {
+fn runs_started_before_a_worker_shrank_count_against_the_limit_at_a_later_lead() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, "small", 4);
     cell.submit_led(&mut lead, 1, owned("small", 4, job(vec![step(4, 1)])));
     cell.turns(&mut lead, 5);
-    let place = cell.place(task(1, 0, 0)).unwrap();
-    cell.workers[place].entry.capacity.cores = CoreCount(1_000);
+    let holder = cell.place(task(1, 0, 0)).unwrap();
+    cell.workers[holder].entry.capacity.cores = CoreCount(1_000);
     cell.list(&mut lead);
     cell.turns(&mut lead, 5);
-    cell.workers[place].cut = true;
+    cell.workers[holder].cut = true;
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
     cell.submit_led(&mut next, 2, owned("small", 4, job(vec![step(4, 1)])));
@@ -148,13 +148,13 @@
 }
 
 #[test]
-fn a_start_that_waited_to_be_recorded_is_not_sent_to_a_worker_that_shrank_meanwhile() {
+fn a_start_that_waits_for_its_record_is_not_sent_to_a_worker_that_shrank() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { runs: 1, back: TimeSpan(500), ..CrashHabit::default() };
-    cell.make_crash(task(1, 0, 0), habit);
+    let crash_habit = CrashHabit { runs: 1, back: TimeSpan(500), ..CrashHabit::default() };
+    cell.make_crash(task(1, 0, 0), crash_habit);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 2)]));
-    // The turn that counts the crash decides on the next start, which waits to be recorded.
+    // The turn that counts the crash also decides on the next start, which waits for the record of the crash.
     while cell.progress(1).crash_histories.is_empty() {
         cell.list(&mut lead);
         cell.turn_unrecorded(&mut lead);
@@ -163,7 +163,7 @@
         }
         cell.record(&mut lead);
     }
-    assert_eq!(started(&cell, 1), 1, "nothing is sent before it is recorded");
+    assert_eq!(started(&cell, 1), 1, "no start is sent before its record");
     let resize = |cell: &mut FakeCell, cores: u64| {
         let living = cell.workers.iter_mut().filter(|worker| !worker.ended);
         living.for_each(|worker| worker.entry.capacity.cores = CoreCount(cores * 1_000));
