--- a/crates/sedgehill-cell/tests/testsuite/displacement.rs
+++ b/crates/sedgehill-cell/tests/testsuite/displacement.rs
@@ -1,4 +1,4 @@
-//! Urgent work that makes room for itself.
+//! Urgent work that displaces less urgent work.
 
 use proptest::prelude::*;
 use sedgehill_cell::job::{AdvicePolicy, JobRecord, StepSpec};
@@ -7,8 +7,8 @@
 
 use crate::fake::{FakeCell, job, step, task};
 
-/// A job whose tasks save their state and that has much time.
-fn patient(count: u16, cores: u64) -> JobRecord {
+/// Returns a job of low priority whose tasks write checkpoints and whose latency objective allows much time.
+fn displaceable(count: u16, cores: u64) -> JobRecord {
     let mut record = job(vec![StepSpec { checkpointing: true, ..step(count, cores) }]);
     record.policy.priority = 2;
     record.policy.stretch_milli = 20_000;
@@ -22,7 +22,7 @@
     record
 }
 
-/// A cell of full workers.
+/// Returns a cell whose workers are full.
 fn full_cell(workers: u16, filling: JobRecord) -> (FakeCell, Scheduler) {
     let mut cell = FakeCell::new(workers, 16);
     let mut lead = cell.lead(false);
@@ -32,36 +32,39 @@
 }
 
 #[test]
-fn urgent_work_takes_the_place_of_saved_work_that_has_time() {
-    let (mut cell, mut lead) = full_cell(2, patient(8, 4));
+fn urgent_work_displaces_checkpointed_work_that_has_time() {
+    let (mut cell, mut lead) = full_cell(2, displaceable(8, 4));
     cell.submit(&mut lead, 2, urgent(1, 16));
     cell.turns(&mut lead, 10);
-    assert!(cell.place(task(2, 0, 0)).is_some(), "it runs");
+    assert!(cell.place(task(2, 0, 0)).is_some(), "the urgent task runs");
     let waiting = (0..8).filter(|index| cell.place(task(1, 0, *index)).is_none());
-    assert_eq!(waiting.count(), 4, "no more was stopped than had to be");
+    assert_eq!(waiting.count(), 4, "no more runs are stopped than necessary");
     cell.end_anywhere(task(2, 0, 0), RunEnd::Done);
     cell.turns(&mut lead, 10);
-    assert!((0..8).all(|index| cell.place(task(1, 0, index)).is_some()), "all go on");
+    assert!(
+        (0..8).all(|index| cell.place(task(1, 0, index)).is_some()),
+        "all displaced tasks run again"
+    );
 }
 
 #[test]
-fn work_that_saves_nothing_or_is_as_urgent_or_has_no_time_is_not_displaced() {
+fn work_without_checkpoints_or_of_equal_priority_or_without_time_is_not_displaced() {
     let unsaved = {
-        let mut record = patient(8, 4);
+        let mut record = displaceable(8, 4);
         record.spec.steps[0].checkpointing = false;
         record
     };
     let as_urgent = {
-        let mut record = patient(8, 4);
+        let mut record = displaceable(8, 4);
         record.policy.priority = 1;
         record
     };
-    let hurried = {
-        let mut record = patient(8, 4);
+    let without_slack = {
+        let mut record = displaceable(8, 4);
         record.policy.stretch_milli = 1_000;
         record
     };
-    for filling in [unsaved, as_urgent, hurried] {
+    for filling in [unsaved, as_urgent, without_slack] {
         let (mut cell, mut lead) = full_cell(2, filling);
         cell.submit(&mut lead, 2, urgent(1, 16));
         cell.turns(&mut lead, 10);
@@ -71,18 +74,18 @@
 }
 
 #[test]
-fn room_that_comes_free_for_a_step_is_not_given_to_others() {
-    let (mut cell, mut lead) = full_cell(2, patient(8, 4));
+fn room_freed_for_a_step_is_not_given_to_others() {
+    let (mut cell, mut lead) = full_cell(2, displaceable(8, 4));
     cell.submit(&mut lead, 2, urgent(1, 16));
-    // More patient work waits for any room that shows.
-    cell.submit(&mut lead, 3, patient(8, 4));
+    // More displaceable work waits for any free room.
+    cell.submit(&mut lead, 3, displaceable(8, 4));
     cell.turns(&mut lead, 10);
     assert!(cell.place(task(2, 0, 0)).is_some());
 }
 
 #[test]
-fn a_step_asks_about_workers_that_are_full_of_work_that_it_may_displace() {
-    let (mut cell, mut lead) = full_cell(4, patient(16, 4));
+fn a_step_asks_about_workers_full_of_displaceable_work() {
+    let (mut cell, mut lead) = full_cell(4, displaceable(16, 4));
     let mut record = urgent(1, 16);
     record.policy.advice = Some(AdvicePolicy {
         per_question_us: 490_000,
@@ -100,15 +103,15 @@
 }
 
 #[test]
-fn late_work_that_still_earns_goes_before_work_that_has_time() {
+fn late_work_that_still_earns_precedes_work_that_has_time() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, urgent(1, 16));
     cell.turns(&mut lead, 3);
-    // Its objective passes while the worker is taken; a patient job comes later.
+    // The objective of job 2 passes while the worker is occupied. A displaceable job follows.
     cell.submit(&mut lead, 2, urgent(1, 16));
     cell.turns(&mut lead, 300);
-    cell.submit(&mut lead, 3, patient(1, 16));
+    cell.submit(&mut lead, 3, displaceable(1, 16));
     cell.turns(&mut lead, 2);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Done);
     cell.turns(&mut lead, 3);
@@ -121,10 +124,10 @@
 }
 
 proptest! {
-    /// Pools and needs unlike any site's: whatever is displaced, the fakes check that no worker is over
-    /// its size and no task runs twice; urgent work runs if it fits an empty worker, and all work ends.
+    /// Covers pools and needs unlike those of any site. The fakes check that no worker exceeds its capacity and no task
+    /// runs twice. Urgent work runs if it fits an empty worker, and all work ends.
     #[test]
-    fn displacement_keeps_every_promise(
+    fn displacement_keeps_capacity_and_ends_all_work(
         workers in 1u16..6,
         size in 4u64..40,
         fill in 1u64..10,
@@ -136,7 +139,7 @@
             worker.entry.capacity.accelerators = 4;
         }
         let mut lead = cell.lead(false);
-        let mut filling = patient(24, fill);
+        let mut filling = displaceable(24, fill);
         filling.spec.steps[0].need = need(fill, 1);
         cell.submit(&mut lead, 1, filling);
         cell.turns(&mut lead, 4);
