--- a/crates/sedgehill-cell/tests/testsuite/entries.rs
+++ b/crates/sedgehill-cell/tests/testsuite/entries.rs
@@ -1,4 +1,4 @@
-//! Entries that others wrote: unreadable ones, and ones with the address of another worker.
+//! Faulty worker entries: unreadable ones, and ones with the address of another worker.
 
 use sedgehill_cell::job::StepSpec;
 use sedgehill_cell::scheduler::{
@@ -8,7 +8,7 @@
 
 use crate::fake::{FakeCell, job, step, task};
 
-/// Turns of a lead that shows the store's list to the scheduler as often as the daemon does.
+/// Runs turns in which the lead passes the store's list to the scheduler as often as the daemon does.
 fn turns(cell: &mut FakeCell, lead: &mut Scheduler, count: usize) {
     for turn in 0..count {
         if turn % 20 == 0 {
@@ -18,12 +18,12 @@
     }
 }
 
-/// The entry of a worker with the address of another one.
+/// Returns the entry of a worker with the address of another worker.
 fn at_address_of(cell: &FakeCell, number: usize, other: usize) -> WorkerEntry {
     WorkerEntry { address: cell.workers[other].entry.address, ..cell.workers[number].entry.clone() }
 }
 
-/// A cell of three workers of which one runs a task; which one.
+/// Returns a cell of three workers of which one runs a task, and the number of that worker.
 fn running_cell() -> (FakeCell, Scheduler, usize) {
     let mut cell = FakeCell::new(3, 4);
     let mut lead = cell.lead(false);
@@ -39,29 +39,29 @@
 }
 
 #[test]
-fn a_worker_whose_entry_turns_unreadable_gets_no_work_from_that_reading_on() {
+fn a_worker_whose_entry_turns_unreadable_gets_no_further_work() {
     let (mut cell, mut lead, number) = running_cell();
     cell.workers[number].unreadable = true;
     cell.list(&mut lead);
     cell.submit(&mut lead, 2, job(vec![step(12, 1)]));
     turns(&mut cell, &mut lead, 100);
-    assert_eq!(cell.starts.len(), 9, "the others take work");
+    assert_eq!(cell.starts.len(), 9, "the other workers take the work");
     assert_eq!(starts_on(&cell, number), 1);
     cell.workers[number].unreadable = false;
     turns(&mut cell, &mut lead, 40);
-    assert_eq!(starts_on(&cell, number), 4, "readable again, it takes the rest");
+    assert_eq!(starts_on(&cell, number), 4, "the worker takes the rest once its entry is readable");
 }
 
 #[test]
-fn what_runs_on_a_worker_whose_entry_turns_unreadable_is_watched_to_its_end() {
+fn runs_on_a_worker_whose_entry_turns_unreadable_are_watched_to_their_end() {
     let (mut cell, mut lead, number) = running_cell();
     cell.workers[number].unreadable = true;
-    // Longer than any lease, and than an entry may be away.
+    // Longer than any lease, and longer than an entry may be missing.
     turns(&mut cell, &mut lead, 600);
     assert_eq!(cell.place(task(1, 0, 0)), Some(number));
     let mut next = cell.lead(true);
     turns(&mut cell, &mut next, 600);
-    assert_eq!(cell.place(task(1, 0, 0)), Some(number), "a later lead watches it as well");
+    assert_eq!(cell.place(task(1, 0, 0)), Some(number), "a later lead watches the worker as well");
     cell.end_anywhere(task(1, 0, 0), RunEnd::Done);
     turns(&mut cell, &mut next, 20);
     assert_eq!(cell.starts.len(), 1);
@@ -69,19 +69,19 @@
 }
 
 #[test]
-fn a_silent_worker_with_an_unreadable_entry_frees_its_tasks_with_its_lease() {
+fn a_silent_worker_with_an_unreadable_entry_loses_its_tasks_with_its_lease() {
     let (mut cell, mut lead, number) = running_cell();
     cell.workers[number].unreadable = true;
     cell.workers[number].cut = true;
     turns(&mut cell, &mut lead, 150);
-    assert_eq!(cell.starts.len(), 1, "its lease may last");
+    assert_eq!(cell.starts.len(), 1, "the lease may not have ended");
     // The fake checks that no task runs in two places.
     turns(&mut cell, &mut lead, 300);
     assert_eq!(cell.starts.len(), 2);
 }
 
 #[test]
-fn a_known_worker_that_is_shown_at_another_address_keeps_its_own() {
+fn a_known_worker_listed_at_another_address_keeps_its_own() {
     let (mut cell, mut lead, number) = running_cell();
     let other = (number + 1) % 3;
     cell.misplace(number, other);
@@ -95,20 +95,20 @@
 }
 
 #[test]
-fn a_life_shown_at_another_s_address_is_used_once_its_entry_is_right() {
+fn a_worker_listed_at_the_address_of_another_gets_work_once_its_entry_is_corrected() {
     let mut cell = FakeCell::new(2, 4);
     cell.misplace(1, 0);
     let mut lead = cell.lead(false);
-    // None of them is overdue in this test.
+    // The estimate is so long that no task becomes overdue in this test.
     let long = StepSpec { estimate: TimeSpan(60_000), ..step(8, 1) };
     cell.submit(&mut lead, 1, job(vec![long]));
     turns(&mut cell, &mut lead, 60);
     assert_eq!((starts_on(&cell, 0), starts_on(&cell, 1)), (4, 0));
-    assert_eq!(cell.watched(), 1, "nobody asks again where another life answers");
+    assert_eq!(cell.watched(), 1, "an address at which another life answers is not polled");
     cell.workers[1].shown = None;
     turns(&mut cell, &mut lead, 160);
     assert_eq!((starts_on(&cell, 0), starts_on(&cell, 1)), (4, 4));
-    // Once it has answered, its address is known.
+    // The address of the worker is known once it has answered.
     cell.misplace(1, 0);
     turns(&mut cell, &mut lead, 400);
     assert_eq!(cell.starts.len(), 8);
@@ -118,14 +118,14 @@
 }
 
 #[test]
-fn an_answer_from_the_wrong_address_says_nothing_of_the_right_one() {
+fn an_answer_from_the_wrong_address_does_not_end_runs_at_the_right_one() {
     let mut cell = FakeCell::new(2, 4);
     cell.misplace(1, 0);
-    // Nothing answers at that address at first.
+    // At first nothing answers at that address.
     cell.workers[0].cut = true;
     let mut lead = cell.lead(false);
-    let wrong = lead.update_workers(vec![at_address_of(&cell, 1, 0)], &[], cell.now);
-    assert!(wrong.is_empty(), "it is known and watched");
+    let misplaced = lead.update_workers(vec![at_address_of(&cell, 1, 0)], &[], cell.now);
+    assert!(misplaced.is_empty(), "the worker is known and polled");
     let keys = lead.add_roster(&Default::default(), cell.now);
     assert!(keys.is_empty());
     turns(&mut cell, &mut lead, 10);
@@ -134,12 +134,12 @@
     cell.submit(&mut lead, 1, job(vec![step(4, 1)]));
     turns(&mut cell, &mut lead, 200);
     assert_eq!(starts_on(&cell, 1), 4);
-    // A call to the wrong address is answered only now.
+    // The answer to a call to the wrong address arrives late.
     let sent = cell.now;
     let refused = WorkerAnswer::<HoldReport>::NotDone(WorkerRefusal::OtherLife);
     lead.hold_answered(key, refused, sent, cell.now);
     turns(&mut cell, &mut lead, 100);
-    assert_eq!(cell.starts.len(), 4, "what runs at the right address runs on");
+    assert_eq!(cell.starts.len(), 4, "the runs at the right address continue");
 }
 
 #[test]
@@ -149,7 +149,7 @@
     cell.misplace(1, 0);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
-    // A batch is on its way to the store, with no roster that holds a life which was not heard ...
+    // A batch is under way to the store. Its roster, if any, does not hold a worker that has not answered.
     let batch = lead.take_batch(cell.now).unwrap();
     assert!(batch.roster.as_ref().is_none_or(|roster| roster.workers.is_empty()));
     cell.workers[1].shown = None;
@@ -165,16 +165,16 @@
 }
 
 #[test]
-fn a_new_lead_is_not_held_up_by_a_life_that_never_was_at_its_address() {
+fn a_new_lead_does_not_wait_for_a_worker_that_was_never_at_its_address() {
     let mut cell = FakeCell::new(3, 4);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(12, 1)]));
     turns(&mut cell, &mut lead, 40);
-    // The roster was recorded before the life was heard of.
-    let wrong = at_address_of(&cell, 1, 0);
+    // Puts the wrong address into the roster, as if it had been recorded before the worker answered.
+    let misplaced = at_address_of(&cell, 1, 0);
     for entry in &mut cell.roster.workers {
-        if entry.life == wrong.life {
-            *entry = wrong.clone();
+        if entry.life == misplaced.life {
+            *entry = misplaced.clone();
         }
     }
     cell.workers[1].ended = true;
@@ -186,13 +186,13 @@
 }
 
 #[test]
-fn what_ran_on_a_life_that_ended_starts_elsewhere_though_its_address_is_used_again() {
+fn tasks_of_an_ended_worker_start_elsewhere_though_its_address_is_reused() {
     let (mut cell, mut lead, number) = running_cell();
     cell.workers[number].ended = true;
     cell.workers[number].expire_for_test();
     turns(&mut cell, &mut lead, 20);
     assert_eq!(cell.starts.len(), 2);
-    // A later lead hears from the roster that holds the ended life no more.
+    // The roster that a later lead reads no longer holds the ended worker.
     let mut next = cell.lead(true);
     turns(&mut cell, &mut next, 20);
     assert!(next.is_settled());
@@ -209,16 +209,16 @@
 }
 
 #[test]
-fn a_silent_worker_of_an_earlier_lead_is_waited_for_wherever_it_is_listed() {
+fn a_new_lead_waits_for_a_silent_worker_wherever_it_is_listed() {
     let (mut cell, _, number) = running_cell();
     cell.workers[number].cut = true;
     cell.misplace(number, (number + 1) % 3);
     let mut next = cell.lead(true);
-    // Longer than it takes to follow a life to another address, shorter than its lease may last.
+    // Longer than it takes to follow a worker to another address, shorter than its lease may last.
     turns(&mut cell, &mut next, 180);
     assert!(!next.is_settled());
     assert_eq!(cell.starts.len(), 1);
     turns(&mut cell, &mut next, 420);
     assert!(next.is_settled());
-    assert_eq!(cell.starts.len(), 2, "its lease is surely over");
+    assert_eq!(cell.starts.len(), 2, "the lease has certainly ended");
 }
