--- a/crates/sedgehill-cell/tests/testsuite/crashing.rs
+++ b/crates/sedgehill-cell/tests/testsuite/crashing.rs
@@ -1,10 +1,10 @@
-//! Some tasks crash every worker that starts them, 10 ms after the start. The worker is back as another life after
-//! some 3 s, and the answer of that life at the old address told the lead that the run was lost. The lead released
-//! the task and started it again at once, on the next worker, until the end of the day: nothing was kept of the
-//! crash, since only ends that a worker lists as failed counted as attempts, and a worker that crashed lists
-//! nothing.
+//! Tasks that crash their workers.
 //!
-//! What settled it are three lines of one lead, 16 ms apart, that came every 3 s for each of these tasks:
+//! Guards against starting such a task again without end. Some tasks crash every worker that starts them, 10 ms after
+//! the start. The worker is back as another life after about 3 s, and the answer of that life at the old address shows
+//! the lead that the run is lost. A lead that counts only the failed ends that a worker lists as attempts starts the
+//! task again at once, on the next worker, since a crashed worker lists nothing. One lead logged these three lines, 16
+//! ms apart, every 3 s for each of these tasks:
 //!
 //! ```text
 //! 56.3749 worker ended  token=2 worker=i-cedff98aa5 call=account runs=7 silent_ms=3054
@@ -22,17 +22,17 @@
 
 use crate::fake::{CrashHabit, FakeCell, job, step, task};
 
-/// Turns of a fake cell in which a worker is back twice over.
-const SEVERAL_CRASHES: usize = 1_500;
+/// Number of turns in which a crashed worker returns several times.
+const TURNS_OF_SEVERAL_CRASHES: usize = 1_500;
 
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up_and_the_others_go_on() {
+fn a_task_that_crashes_its_workers_is_given_up_and_others_continue() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
     cell.make_crash(task(1, 0, 0), CrashHabit::default());
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
-    for _ in 0..SEVERAL_CRASHES {
+    for _ in 0..TURNS_OF_SEVERAL_CRASHES {
         cell.list(&mut lead);
         cell.turn(&mut lead);
     }
@@ -43,10 +43,10 @@
     assert_eq!(cell.progress(2).state, JobState::Completed);
 }
 
-/// Turns until a lost lease is surely over, with some to spare.
-const PAST_LEASES: usize = 400;
+/// Number of turns after which the lease of a silent worker has certainly ended.
+const TURNS_PAST_LEASES: usize = 400;
 
-/// Turns in which the list is read as often as by a box.
+/// Runs turns in which the worker list is read as often as by the daemon.
 pub fn turns(cell: &mut FakeCell, lead: &mut Scheduler, count: usize) {
     for turn in 0..count {
         if turn.is_multiple_of(20) {
@@ -56,61 +56,61 @@
     }
 }
 
-/// Crashes counted under the tasks of a job, as kept in the store.
-pub fn counted(cell: &FakeCell, id: u64) -> usize {
-    cell.progress(id).crash_histories.iter().map(|(_, suspicion)| suspicion.crashes.len()).sum()
+/// Returns the number of crashes counted for the tasks of a job, as recorded in the store.
+pub fn crash_count(cell: &FakeCell, id: u64) -> usize {
+    cell.progress(id).crash_histories.iter().map(|(_, history)| history.crashes.len()).sum()
 }
 
-/// A job of one task that has begun, and where.
-pub fn begun(cell: &mut FakeCell, lead: &mut Scheduler, id: u64) -> usize {
+/// Submits a job of one task, runs turns until it starts, and returns the number of its worker.
+pub fn start_job(cell: &mut FakeCell, lead: &mut Scheduler, id: u64) -> usize {
     cell.submit_led(lead, id, job(vec![step(1, 1)]));
     turns(cell, lead, 3);
     cell.place(task(id, 0, 0)).unwrap()
 }
 
 #[test]
-fn a_worker_that_is_cut_again_and_again_counts_against_none_of_its_tasks() {
+fn a_worker_that_is_cut_off_repeatedly_is_no_crash_of_its_tasks() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     for _ in 0..6 {
-        turns(&mut cell, &mut lead, PAST_LEASES);
-        let place = cell.place(task(1, 0, 0)).unwrap();
-        cell.workers[place].cut = true;
-        turns(&mut cell, &mut lead, PAST_LEASES);
-        cell.workers[place].cut = false;
+        turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
+        let holder = cell.place(task(1, 0, 0)).unwrap();
+        cell.workers[holder].cut = true;
+        turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
+        cell.workers[holder].cut = false;
     }
-    turns(&mut cell, &mut lead, PAST_LEASES);
+    turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
     assert_eq!(cell.progress(1).state, JobState::Running);
     assert!(cell.progress(1).crash_histories.is_empty(), "{:?}", cell.progress(1).crash_histories);
     assert!(cell.starts_of(task(1, 0, 0)) >= 6);
 }
 
 #[test]
-fn workers_that_leave_as_planned_count_against_none_of_their_tasks() {
-    for says_so in [true, false] {
+fn workers_that_leave_as_planned_are_no_crashes_of_their_tasks() {
+    for drains in [true, false] {
         let mut cell = FakeCell::new(6, 4);
         let mut lead = cell.lead(false);
         cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
         for _ in 0..5 {
             turns(&mut cell, &mut lead, 10);
-            let place = cell.place(task(1, 0, 0)).unwrap();
-            match says_so {
-                true => cell.workers[place].entry.draining = true,
-                false => cell.workers[place].unlisted = true,
+            let holder = cell.place(task(1, 0, 0)).unwrap();
+            match drains {
+                true => cell.workers[holder].entry.draining = true,
+                false => cell.workers[holder].unlisted = true,
             }
             cell.list(&mut lead);
             turns(&mut cell, &mut lead, 10);
-            cell.begin_anew(place);
+            cell.begin_anew(holder);
         }
         turns(&mut cell, &mut lead, 10);
         assert_eq!(cell.progress(1).state, JobState::Running);
-        assert_eq!(counted(&cell, 1), 0);
+        assert_eq!(crash_count(&cell, 1), 0);
     }
 }
 
 #[test]
-fn runs_that_lapse_or_are_stopped_count_against_none_of_their_tasks() {
+fn runs_that_lapse_or_are_stopped_are_no_crashes_of_their_tasks() {
     let mut cell = FakeCell::new(3, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
@@ -120,31 +120,31 @@
     }
     turns(&mut cell, &mut lead, 10);
     assert_eq!(cell.progress(1).state, JobState::Running);
-    assert_eq!(counted(&cell, 1), 0);
+    assert_eq!(crash_count(&cell, 1), 0);
 }
 
-// A worker is silent for longer than its leases, so its task runs elsewhere. Then another life answers at its
-// address: it had crashed, and that counts though the run was given up long before.
+// A worker is silent for longer than its leases, so its task runs elsewhere. Then another life answers at its address.
+// The worker has thus crashed, which counts although its run was taken as lost long before.
 #[test]
-fn a_crash_that_shows_after_the_lease_counts() {
+fn a_crash_detected_after_the_lease_counts() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { back: TimeSpan(9_000), ..CrashHabit::default() };
-    cell.make_crash(task(1, 0, 0), habit);
+    let crash_habit = CrashHabit { back: TimeSpan(9_000), ..CrashHabit::default() };
+    cell.make_crash(task(1, 0, 0), crash_habit);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
-    turns(&mut cell, &mut lead, SEVERAL_CRASHES * 2);
+    turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES * 2);
     assert_eq!(cell.progress(1).state, JobState::Failed);
     assert!(cell.starts_of(task(1, 0, 0)) <= 5);
 }
 
 #[test]
-fn crashes_are_counted_over_lost_leads() {
+fn crashes_are_counted_across_lost_leads() {
     for back in [500, 3_000, 7_000] {
         for lost_after in [1, 30, 149, 151] {
             let mut cell = FakeCell::new(8, 4);
             let mut lead = cell.lead(false);
-            let habit = CrashHabit { back: TimeSpan(back), ..CrashHabit::default() };
-            cell.make_crash(task(1, 0, 0), habit);
+            let crash_habit = CrashHabit { back: TimeSpan(back), ..CrashHabit::default() };
+            cell.make_crash(task(1, 0, 0), crash_habit);
             cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
             cell.submit_led(&mut lead, 2, job(vec![step(8, 1)]));
             while cell.progress(1).state != JobState::Failed {
@@ -176,7 +176,7 @@
     cell.make_crash(task(1, 0, 2), CrashHabit::default());
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { gang: true, ..step(4, 2) }]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
-    for _ in 0..SEVERAL_CRASHES {
+    for _ in 0..TURNS_OF_SEVERAL_CRASHES {
         turns(&mut cell, &mut lead, 1);
         cell.break_gangs();
     }
@@ -188,61 +188,61 @@
 }
 
 #[test]
-fn a_lasting_task_that_crashes_its_workers_is_given_up() {
+fn a_long_running_task_that_crashes_its_workers_is_given_up() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { after: TimeSpan(700), ..CrashHabit::default() };
-    cell.make_crash(task(1, 0, 0), habit);
+    let crash_habit = CrashHabit { after: TimeSpan(700), ..CrashHabit::default() };
+    cell.make_crash(task(1, 0, 0), crash_habit);
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { long_running: true, ..step(2, 1) }]));
-    turns(&mut cell, &mut lead, SEVERAL_CRASHES);
+    turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES);
     assert_eq!(cell.progress(1).state, JobState::Failed);
     assert_eq!(cell.crashes_under(task(1, 0, 0)), 3);
-    // What else ran of the job was stopped.
+    // The other task of the job is stopped.
     assert_eq!(cell.place(task(1, 0, 1)), None);
 }
 
-// A worker under a lasting task crashes by itself once in a quarter of an hour.
+// The worker of a long-running task crashes by itself every quarter of an hour.
 #[test]
-fn a_lasting_task_is_not_given_up_for_crashes_far_apart() {
+fn a_long_running_task_is_not_given_up_for_crashes_far_apart() {
     let mut cell = FakeCell::new(3, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { long_running: true, ..step(1, 1) }]));
-    for quarter in 1..8 {
+    for quarter_hour in 1..8 {
         turns(&mut cell, &mut lead, 10);
-        let place = cell.place(task(1, 0, 0)).unwrap();
-        cell.crash(place, TimeSpan(3_000));
-        turns(&mut cell, &mut lead, PAST_LEASES);
-        lead.set_wall_clock(quarter * 900_000, cell.now);
+        let holder = cell.place(task(1, 0, 0)).unwrap();
+        cell.crash(holder, TimeSpan(3_000));
+        turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
+        lead.set_wall_clock(quarter_hour * 900_000, cell.now);
     }
     assert_eq!(cell.progress(1).state, JobState::Running);
     assert!(cell.place(task(1, 0, 0)).is_some());
 }
 
 #[test]
-fn a_task_that_crashes_its_first_two_workers_is_done_by_the_third() {
+fn a_task_that_crashes_its_first_two_workers_completes_on_the_third() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
     cell.make_crash(task(1, 0, 0), CrashHabit { runs: 2, ..CrashHabit::default() });
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
-    turns(&mut cell, &mut lead, SEVERAL_CRASHES);
+    turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES);
     cell.end_all();
     turns(&mut cell, &mut lead, 5);
     assert_eq!(cell.progress(1).state, JobState::Completed);
     assert_eq!(cell.starts_of(task(1, 0, 0)), 3);
 }
 
-// Every crash takes down a worker that is full of other tasks: none of their jobs fails, and each task goes on.
+// Every crash hits a worker that is full of other tasks: none of their jobs fails, and each task runs again.
 #[test]
-fn tasks_beside_many_that_crash_their_workers_end_and_none_is_given_up() {
+fn tasks_beside_many_that_crash_their_workers_complete_and_none_is_given_up() {
     let mut cell = FakeCell::new(16, 8);
     let mut lead = cell.lead(false);
-    const GUILTY: u64 = 12;
-    const OTHERS: u64 = 100;
-    for id in 0..GUILTY {
-        let habit = CrashHabit { after: TimeSpan(20 + 150 * id), ..CrashHabit::default() };
-        cell.make_crash(task(id, 0, 0), habit);
+    const CRASHING_JOBS: u64 = 12;
+    const JOBS: u64 = 100;
+    for id in 0..CRASHING_JOBS {
+        let crash_habit = CrashHabit { after: TimeSpan(20 + 150 * id), ..CrashHabit::default() };
+        cell.make_crash(task(id, 0, 0), crash_habit);
     }
-    for id in 0..OTHERS {
+    for id in 0..JOBS {
         cell.submit_led(&mut lead, id, job(vec![step(2, 1)]));
         turns(&mut cell, &mut lead, 10);
     }
@@ -250,17 +250,17 @@
         turns(&mut cell, &mut lead, 50);
         cell.end_older_than(TimeSpan(1_000));
     }
-    for id in 0..OTHERS {
-        let wanted = if id < GUILTY { JobState::Failed } else { JobState::Completed };
-        assert_eq!(cell.progress(id).state, wanted, "job {id}");
+    for id in 0..JOBS {
+        let expected = if id < CRASHING_JOBS { JobState::Failed } else { JobState::Completed };
+        assert_eq!(cell.progress(id).state, expected, "job {id}");
     }
-    let most = (0..GUILTY).map(|id| cell.crashes_under(task(id, 0, 0))).max();
-    assert_eq!(most, Some(3));
+    let max_crashes = (0..CRASHING_JOBS).map(|id| cell.crashes_under(task(id, 0, 0))).max();
+    assert_eq!(max_crashes, Some(3));
 }
 
-// A hall loses power twice: the tasks there run on elsewhere.
+// A third of the workers crash together twice, as in a data hall without power: their tasks run again elsewhere.
 #[test]
-fn a_hall_that_loses_power_twice_fails_no_job() {
+fn two_power_outages_of_a_data_hall_fail_no_job() {
     let mut cell = FakeCell::new(12, 4);
     let mut lead = cell.lead(false);
     for id in 0..12 {
@@ -281,14 +281,14 @@
     }
 }
 
-// Two tasks were there when their worker crashed. On a cell of a single worker the second one waits for the first.
+// Two tasks ran on a worker when it crashed. In a cell of a single worker the second one waits for the first.
 #[test]
-fn suspects_of_one_crash_run_one_after_the_other_where_there_is_one_worker() {
+fn suspects_of_one_crash_run_one_after_the_other_on_a_single_worker() {
     let mut cell = FakeCell::new(1, 4);
     let mut lead = cell.lead(false);
-    begun(&mut cell, &mut lead, 1);
-    let place = begun(&mut cell, &mut lead, 2);
-    cell.crash(place, TimeSpan(1_000));
+    start_job(&mut cell, &mut lead, 1);
+    let holder = start_job(&mut cell, &mut lead, 2);
+    cell.crash(holder, TimeSpan(1_000));
     turns(&mut cell, &mut lead, 100);
     let running = || [1, 2].map(|id| cell.place(task(id, 0, 0)).is_some());
     assert_eq!(running().into_iter().filter(|runs| *runs).count(), 1);
@@ -299,20 +299,20 @@
     assert_eq!([1, 2].map(|id| cell.progress(id).state), [JobState::Completed; 2]);
 }
 
-// The only worker is full of short tasks, and more of them wait. A task that lost two workers gets one of its own.
+// All workers are full of short tasks, and more of them wait. A task that lost two workers gets a worker of its own.
 #[test]
-fn a_suspect_that_wants_a_worker_of_its_own_is_not_kept_waiting() {
+fn a_suspect_that_needs_a_worker_of_its_own_starts_in_time() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
     for _ in 0..2 {
         if cell.starts_of(task(1, 0, 0)) == 0 {
-            begun(&mut cell, &mut lead, 1);
+            start_job(&mut cell, &mut lead, 1);
         }
-        let place = cell.place(task(1, 0, 0)).unwrap();
-        cell.crash(place, TimeSpan(500));
+        let holder = cell.place(task(1, 0, 0)).unwrap();
+        cell.crash(holder, TimeSpan(500));
         turns(&mut cell, &mut lead, 60);
     }
-    // It runs alone by now; it is stopped to begin again in a full cell.
+    // The task runs alone by now. Its run is ended so that it has to start again in a full cell.
     cell.end_anywhere(task(1, 0, 0), RunEnd::Lapsed);
     for id in 2..40 {
         cell.submit_led(&mut lead, id, job(vec![step(4, 1)]));
@@ -323,16 +323,16 @@
         turns(&mut cell, &mut lead, 1);
         cell.end_older_than(TimeSpan(300));
         waited += 1;
-        assert!(waited < 100, "it waited for {waited} turns");
+        assert!(waited < 100, "the suspect waited for {waited} turns");
     }
-    let place = cell.place(task(1, 0, 0)).unwrap();
-    assert_eq!(cell.workers[place].run_count(), 1);
+    let holder = cell.place(task(1, 0, 0)).unwrap();
+    assert_eq!(cell.workers[holder].run_count(), 1);
     turns(&mut cell, &mut lead, 20);
-    assert_eq!(cell.workers[place].run_count(), 1);
+    assert_eq!(cell.workers[holder].run_count(), 1);
 }
 
 #[test]
-fn a_caller_is_told_as_soon_as_the_third_worker_is_known_to_have_crashed() {
+fn a_job_fails_as_soon_as_its_third_crash_is_detected() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
     cell.make_crash(task(1, 0, 0), CrashHabit::default());
@@ -340,18 +340,21 @@
     while cell.crashes_under(task(1, 0, 0)) < 3 {
         turns(&mut cell, &mut lead, 1);
     }
-    // The next life is there after 3 s.
+    // The next life starts after 3 s.
     turns(&mut cell, &mut lead, 153);
     assert_eq!(cell.progress(1).state, JobState::Failed);
-    assert!(cell.progress(1).crash_histories.is_empty(), "nothing is kept of a job that is over");
+    assert!(
+        cell.progress(1).crash_histories.is_empty(),
+        "crash histories of an ended job are dropped"
+    );
 }
 
 #[test]
-fn progress_of_earlier_versions_is_read() {
+fn progress_of_earlier_versions_is_decoded() {
     let progress = JobProgress { may_have_started: true, ..JobProgress::default() };
     let record = CellRecord::Progress(progress);
     let mut earlier = record.encode();
-    // The list of suspects stands last, and is empty.
+    // The list of crash histories is the last field, and is empty.
     assert_eq!(earlier.pop(), Some(0));
     let key = record.key(JobId(7));
     assert_eq!(CellRecord::decode(&key, &earlier).unwrap(), (JobId(7), record.clone()));
@@ -359,9 +362,9 @@
     assert!(CellRecord::decode(&key, &earlier[..1]).is_err());
 }
 
-// Where workers crash by themselves, one crash of a worker that a suspect has for itself may be another of these.
+// Where workers crash by themselves, a single crash of a worker that a suspect has for itself may be a coincidence.
 #[test]
-fn where_workers_crash_by_themselves_one_crash_alone_tells_nothing() {
+fn one_exclusive_crash_is_no_proof_where_workers_crash_by_themselves() {
     let mut cell = FakeCell::new(10, 4);
     let mut lead = cell.lead(false);
     turns(&mut cell, &mut lead, 5);
@@ -372,12 +375,12 @@
     }
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     for id in 2..4 {
-        // Others stand beside it when its first two workers crash.
+        // Other tasks run beside the suspect when its first two workers crash.
         cell.submit_led(&mut lead, id, job(vec![step(40, 1)]));
         turns(&mut cell, &mut lead, 10);
-        let place = cell.place(task(1, 0, 0)).unwrap();
-        assert!(cell.workers[place].run_count() > 1);
-        cell.crash(place, TimeSpan(500));
+        let holder = cell.place(task(1, 0, 0)).unwrap();
+        assert!(cell.workers[holder].run_count() > 1);
+        cell.crash(holder, TimeSpan(500));
         turns(&mut cell, &mut lead, 60);
     }
     cell.end_older_than(TimeSpan(0));
@@ -386,32 +389,33 @@
         cell.end_others(1);
         turns(&mut cell, &mut lead, 100);
         assert_eq!(cell.progress(1).state, JobState::Running, "{known} crashes");
-        let place = cell.place(task(1, 0, 0)).unwrap();
-        cell.crash(place, TimeSpan(500));
+        let holder = cell.place(task(1, 0, 0)).unwrap();
+        cell.crash(holder, TimeSpan(500));
         turns(&mut cell, &mut lead, 60);
     }
     assert_eq!(cell.progress(1).state, JobState::Failed);
 }
 
-// The entry of a worker that crashed goes after some seconds, and nobody asks at its address any more. The next life
-// tells of the crash by answering there.
+// The entry of a crashed worker disappears after some seconds, and its address is not polled any more. The next life
+// reveals the crash by answering there.
 #[test]
-fn a_crash_is_told_by_the_next_life_though_nobody_asks_for_the_last_one() {
+fn the_next_life_reveals_a_crash_though_the_crashed_life_is_not_polled() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    let place = begun(&mut cell, &mut lead, 1);
-    cell.crash(place, TimeSpan(9_000));
+    let holder = start_job(&mut cell, &mut lead, 1);
+    cell.crash(holder, TimeSpan(9_000));
     turns(&mut cell, &mut lead, 225);
-    cell.workers[place].unlisted = true;
+    cell.workers[holder].unlisted = true;
     turns(&mut cell, &mut lead, 195);
-    assert_eq!(counted(&cell, 1), 0);
+    assert_eq!(crash_count(&cell, 1), 0);
     turns(&mut cell, &mut lead, 60);
-    assert_eq!(counted(&cell, 1), 1);
+    assert_eq!(crash_count(&cell, 1), 1);
 }
 
-// A start is lost on its way to a worker that is cut, and its lease lapses. The worker lists neither the run nor an end.
+// A start is lost on its way to a worker that is cut off, and the lease lapses. The worker lists neither the run nor an
+// end.
 #[test]
-fn a_worker_that_never_heard_of_a_run_counts_against_nothing() {
+fn a_worker_that_never_got_a_start_is_no_crash_of_its_task() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
     turns(&mut cell, &mut lead, 5);
@@ -421,17 +425,17 @@
     for order in lead.take_orders() {
         cell.obey(&mut lead, &order);
     }
-    turns(&mut cell, &mut lead, PAST_LEASES);
-    assert!(!cell.progress(1).crash_histories.is_empty(), "it is open whether the worker crashed");
+    turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
+    assert!(!cell.progress(1).crash_histories.is_empty(), "a crash of the worker is unresolved");
     cell.workers.iter_mut().for_each(|worker| worker.cut = false);
     turns(&mut cell, &mut lead, 50);
     assert!(cell.progress(1).crash_histories.is_empty(), "{:?}", cell.progress(1).crash_histories);
     assert!(cell.place(task(1, 0, 0)).is_some());
 }
 
-// Starts that were sent to workers that were down already, and never answered: the task may never have been there.
+// Starts sent to workers that were already down, and never answered: the task may never have run there.
 #[test]
-fn crashes_under_runs_that_were_never_seen_prove_nothing() {
+fn crashes_under_runs_that_were_never_seen_are_no_proof() {
     let crash = |number: u64, seen: bool| WorkerCrash {
         life: format!("w{number}").as_str().into(),
         alone: true,
@@ -439,37 +443,37 @@
         at_unix_ms: number,
     };
     let after = |seen: [bool; 3]| {
-        let mut suspicion = CrashHistory::default();
+        let mut history = CrashHistory::default();
         for (number, seen) in seen.into_iter().enumerate() {
-            suspicion.note_crash(crash(number as u64, seen));
+            history.note_crash(crash(number as u64, seen));
         }
-        suspicion
+        history
     };
     assert!(!after([false, false, false]).is_crash_cause(1));
     assert!(!after([true, false, true]).is_crash_cause(1));
     assert!(after([true, true, true]).is_crash_cause(1));
-    // Three of them with nothing of another job beside it are not enough where four are asked for.
+    // Three crashes without runs of other jobs are not enough where four are required.
     assert!(!after([true, true, true]).is_crash_cause(4));
 }
 
-// A worker is out of touch, and its leases have lapsed. Another writer lists it at the address of another worker: the
-// next lead asks for it there and meets that one. It lives where it was, and has not crashed.
+// A worker is unreachable, and its leases have lapsed. A faulty entry lists it at the address of another worker: the
+// next lead polls that address and gets the answer of the other worker. The worker itself is alive and has not crashed.
 #[test]
-fn another_life_at_a_wrong_address_tells_of_no_crash() {
+fn another_life_at_a_wrong_address_is_no_crash() {
     let mut cell = FakeCell::new(3, 4);
     let mut lead = cell.lead(false);
-    let place = begun(&mut cell, &mut lead, 1);
-    cell.workers[place].cut = true;
-    turns(&mut cell, &mut lead, PAST_LEASES);
-    assert!(!cell.progress(1).crash_histories.is_empty(), "it is open whether the worker crashed");
-    cell.misplace(place, (place + 1) % 3);
+    let holder = start_job(&mut cell, &mut lead, 1);
+    cell.workers[holder].cut = true;
+    turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
+    assert!(!cell.progress(1).crash_histories.is_empty(), "a crash of the worker is unresolved");
+    cell.misplace(holder, (holder + 1) % 3);
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
     turns(&mut cell, &mut next, 50);
-    assert_eq!(counted(&cell, 1), 0);
+    assert_eq!(crash_count(&cell, 1), 0);
 }
 
-/// Has a start go to a worker that is down already, unheard of, and learn of the next life there.
+/// Sends a start to a worker that is already down, and runs turns until the lead learns of the next life there.
 fn lose_unanswered_start(cell: &mut FakeCell, lead: &mut Scheduler) {
     let order = loop {
         cell.now.0 += 20;
@@ -483,21 +487,21 @@
         }
     };
     let CellOrder::Start(start) = &order else { unreachable!() };
-    let place = cell.number(lead, start.worker);
-    cell.workers[place].cut = true;
+    let holder = cell.number(lead, start.worker);
+    cell.workers[holder].cut = true;
     cell.obey(lead, &order);
     cell.forget_late();
-    cell.crash(place, TimeSpan(500));
-    cell.workers[place].cut = false;
+    cell.crash(holder, TimeSpan(500));
+    cell.workers[holder].cut = false;
     turns(cell, lead, 60);
 }
 
-// Three starts of a task came to workers that were down already. Each went unanswered, the next life at the address showed that the
-// worker had crashed, and the task was held for it: `"msg":"crash counted","seen":false,"count":3`, and after two more
-// starts that ended otherwise `"msg":"task given up"`. Its caller was told that the job had failed; no worker ever had
-// crashed under it.
+// Guards against failing a job under which no worker crashed. Three starts of a task go to workers that are already
+// down. Each stays unanswered, and the next life at the address shows that the worker has crashed. Blamed on the task,
+// these crashes gave `"msg":"crash counted","seen":false,"count":3`, and after two more starts that ended otherwise
+// `"msg":"task given up"`.
 #[test]
-fn starts_that_went_unanswered_give_up_no_task() {
+fn unanswered_starts_give_up_no_task() {
     let mut cell = FakeCell::new(8, 4);
     let mut lead = cell.lead(false);
     turns(&mut cell, &mut lead, 5);
@@ -519,18 +523,21 @@
     assert_eq!(cell.progress(1).state, JobState::Completed);
 }
 
-// Whatever part of its starts goes unanswered, a task that crashes each of its workers is given up when the starts that users
-// allow are used up: three crashes and two further starts.
+// Whichever of its starts stay unanswered, a task that crashes each of its workers is given up after the allowed number
+// of starts: three crashes and two further starts.
 #[test]
 fn a_task_that_crashes_each_worker_is_given_up_however_many_answers_are_lost() {
     const LOSSES: u32 = 5;
-    for course in 0..1_u32 << LOSSES {
-        let mut suspicion = CrashHistory::default();
+    for answered_bits in 0..1_u32 << LOSSES {
+        let mut history = CrashHistory::default();
         let mut losses = 0;
-        while !suspicion.is_crash_cause(1) {
-            assert!(losses < LOSSES, "course {course:05b} goes on after {losses} crashes");
-            suspicion.count_start();
-            let answered = course & (1 << losses) != 0;
+        while !history.is_crash_cause(1) {
+            assert!(
+                losses < LOSSES,
+                "starts answered {answered_bits:05b}: not given up after {losses} crashes"
+            );
+            history.count_start();
+            let answered = answered_bits & (1 << losses) != 0;
             let crash = WorkerCrash {
                 life: format!("w{losses}").as_str().into(),
                 alone: true,
@@ -538,8 +545,8 @@
                 at_unix_ms: u64::from(losses),
             };
             match answered {
-                true => suspicion.note_crash(crash),
-                false => suspicion.note_unanswered(crash),
+                true => history.note_crash(crash),
+                false => history.note_unanswered(crash),
             };
             losses += 1;
         }
--- a/crates/sedgehill-cell/tests/testsuite/further_starts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/further_starts.rs
@@ -1,5 +1,8 @@
-//! Orders are carried out late or not at all, and go unanswered. A job was given up that had lost one worker: a second loss may
-//! have come before its start, and two further starts that no worker ever carried out had used up what users allow.
+//! Starts that no worker carried out, after crashes of a task's workers.
+//!
+//! Orders may be carried out late or never, and stay unanswered. Guards against giving up a job that has lost one
+//! worker: its second loss may have come before the start, and two further starts, which no worker carried out, used up
+//! the allowed number.
 //!
 //! ```text
 //! run lost        run=65537 reason="not listed"
@@ -11,26 +14,26 @@
 use sedgehill_cell::scheduler::{CellOrder, RunEnd, Scheduler, WorkerAnswer};
 use sedgehill_core::units::TimeSpan;
 
-use crate::crashing::{begun, counted, turns};
+use crate::crashing::{crash_count, start_job, turns};
 use crate::fake::{FakeCell, task};
 
 #[test]
-fn starts_that_no_worker_carried_out_use_up_nothing() {
+fn starts_that_no_worker_carried_out_do_not_count() {
     let mut cell = FakeCell::new(8, 4);
     let mut lead = cell.lead(false);
-    let place = begun(&mut cell, &mut lead, 1);
-    cell.crash(place, TimeSpan(500));
+    let holder = start_job(&mut cell, &mut lead, 1);
+    cell.crash(holder, TimeSpan(500));
     turns(&mut cell, &mut lead, 100);
-    // Its start goes unanswered, and its worker is lost before that is settled.
-    let place = cell.place(task(1, 0, 0)).unwrap();
-    cell.crash(place, TimeSpan(500));
+    // The start stays unanswered, and the worker is lost before the start is settled.
+    let holder = cell.place(task(1, 0, 0)).unwrap();
+    cell.crash(holder, TimeSpan(500));
     turns(&mut cell, &mut lead, 100);
-    let place = cell.place(task(1, 0, 0)).unwrap();
-    cell.workers[place].entry.draining = true;
+    let holder = cell.place(task(1, 0, 0)).unwrap();
+    cell.workers[holder].entry.draining = true;
     cell.list(&mut lead);
-    cell.begin_anew(place);
+    cell.begin_anew(holder);
     turns(&mut cell, &mut lead, 100);
-    assert_eq!(counted(&cell, 1), 2);
+    assert_eq!(crash_count(&cell, 1), 2);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Stopped);
     for _ in 0..4 {
         lose_next_start(&mut cell, &mut lead);
@@ -42,7 +45,7 @@
     assert_eq!(cell.progress(1).state, JobState::Completed);
 }
 
-/// The next start reaches no worker, and is not answered.
+/// Drops the next start order on its way to the worker, so that it stays unanswered.
 fn lose_next_start(cell: &mut FakeCell, lead: &mut Scheduler) {
     for _ in 0..200 {
         cell.now.0 += 20;
@@ -50,19 +53,19 @@
         cell.look(lead);
         cell.record(lead);
         lead.schedule(cell.now);
-        let mut lost = false;
+        let mut start_lost = false;
         for order in lead.take_orders() {
             match &order {
                 CellOrder::Start(start) => {
                     lead.start_answered(start, WorkerAnswer::Unknown, cell.now);
-                    lost = true;
+                    start_lost = true;
                 }
                 _ => cell.obey(lead, &order),
             }
         }
-        if lost {
+        if start_lost {
             return;
         }
     }
-    panic!("nothing was started");
+    panic!("no start was ordered");
 }
