--- a/crates/sedgehill-cell/tests/testsuite/lives.rs
+++ b/crates/sedgehill-cell/tests/testsuite/lives.rs
@@ -1,11 +1,12 @@
-//! A third of the workers of a cell started again at once, under the ids that they had. The lead kept the number of the last
-//! end that it had read by the id of a worker, and a worker counts its ends anew from each start: with the next account it
-//! told the new life to forget ends that nobody had read. Their tasks were taken as gone and were started again, after they had
-//! ended as done and that had been acknowledged. The same happened on each such worker until it had counted past the
-//! number of its earlier life.
+//! Workers that restart under the same id.
 //!
-//! What settled it are the losses of the lead, all by the same reason and all on workers that had started again. The account
-//! that listed neither the run nor its end had waited its whole 700 ms for an end, so the worker had none left to list:
+//! Guards against ends that are acknowledged before the lead has read them. A worker counts its ends anew in each
+//! life. A lead that keeps the number of the last end that it has read by the id of the worker acknowledges ends of the
+//! new life that it has not read, until that life has counted past the number of the earlier one. After a third of the
+//! workers of a cell had restarted at the same time, tasks that had ended as done were taken as lost and started again.
+//!
+//! All these losses had the same reason and were on restarted workers. The report that listed neither the run nor its
+//! end had waited its whole 700 ms for an end, so the worker had none left to list:
 //!
 //! ```text
 //! 6.139 to 6.964  run 1 of the task on i-ee3a4c7fa5, which began at 5.824: done
@@ -24,7 +25,7 @@
 use crate::fake::{CrashHabit, FakeCell, job, step, task, worker_entry};
 
 #[test]
-fn ends_of_a_worker_that_started_again_are_read() {
+fn ends_of_a_restarted_worker_are_read() {
     let mut cell = FakeCell::with_lasting_ids(1, 8);
     let mut lead = cell.lead(false);
     run_to_end(&mut cell, &mut lead, 1, 8);
@@ -50,10 +51,10 @@
     assert_eq!(cell.crashes_under(task(1, 0, 0)), 3);
 }
 
-// A lease counts on the worker's clock. Of a life whose clock began anew, behind that of the one before, the lead asked
-// for leases that ended far later than it believed.
+// A lease counts on the worker's clock. The clock of a new life starts behind that of the earlier life. With the
+// readings of the earlier clock, the lead would request leases that end far later than it assumes.
 #[test]
-fn leases_go_by_the_clock_of_the_life_that_answers() {
+fn leases_use_the_clock_of_the_life_that_answers() {
     let mut cell = FakeCell::with_lasting_ids(2, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 50);
@@ -62,15 +63,15 @@
     cell.turns(&mut lead, 60);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 5);
-    let place = cell.place(task(1, 0, 0)).unwrap();
-    cell.workers[place].cut = true;
+    let holder = cell.place(task(1, 0, 0)).unwrap();
+    cell.workers[holder].cut = true;
     cell.turns(&mut lead, 800);
     assert_eq!(cell.starts_of(task(1, 0, 0)), 2);
 }
 
-// The entry of the earlier life says that it leaves. Kept for the next one, that would get no work for good.
+// The entry of the earlier life is draining. If the lead kept that for the next life, it would never get work.
 #[test]
-fn a_worker_that_drained_and_started_again_gets_work() {
+fn a_worker_that_drained_and_restarted_gets_work() {
     let mut cell = FakeCell::with_lasting_ids(1, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 30);
@@ -84,8 +85,8 @@
     assert_eq!(cell.starts_of(task(1, 0, 0)), 1);
 }
 
-// What the service says is of the life that is there. A worker starts again while it is asked about, and once it is known:
-// each time it is asked about anew, and no start brings a ticket of the earlier life.
+// An answer of the advice service is about one life. A worker that restarts, while a question about it is under way or
+// later, is asked about again, and no start carries a ticket of the earlier life.
 #[test]
 fn tickets_of_an_earlier_life_are_not_used() {
     let policy =
@@ -127,8 +128,8 @@
     assert_eq!(cell.starts_of(task(1, 0, 0)), 1);
 }
 
-// An account that was asked of the earlier life is carried out by the next one, seconds late, after that has ended a run of its
-// own: it would forget an end that nobody has read.
+// A request for a report of the earlier life reaches the next life seconds late, after that has ended a run of its own.
+// If it accepted the acknowledgement, it would forget an end that the lead has not read.
 #[test]
 fn a_late_acknowledgement_is_refused_by_the_next_life() {
     let mut cell = FakeCell::with_lasting_ids(1, 8);
@@ -148,11 +149,11 @@
     assert_eq!(cell.starts_of(task(2, 0, 0)), 1);
 }
 
-// A worker is back before anybody noticed that it was gone. A start meets the next life and ends there, and the next account
-// would have that forget the end by the number of the earlier life. Seen with real boxes, once in fifty runs of six
-// seconds: the lead had no account of the worker for 1.7 s, while its starts were answered.
+// A worker is back before its restart is noticed. A start reaches the next life, and its run ends there. The next
+// request for a report would acknowledge that end by the number of the earlier life. Seen with real boxes once in fifty
+// runs of six seconds: the lead had no report of the worker for 1.7 s, while its starts were answered.
 #[test]
-fn an_end_on_a_life_that_was_met_by_a_start_is_read() {
+fn an_end_on_a_life_discovered_by_a_start_is_read() {
     let mut cell = FakeCell::with_lasting_ids(1, 8);
     let mut lead = cell.lead(false);
     run_to_end(&mut cell, &mut lead, 1, 8);
@@ -169,8 +170,7 @@
     assert_eq!(cell.starts_of(task(2, 0, 0)), 1);
 }
 
-// A start that was sent to the earlier life and not answered is carried out by the next one, after the task was begun
-// elsewhere.
+// An unanswered start to the earlier life reaches the next life after the task was started elsewhere.
 #[test]
 fn a_late_start_is_refused_by_the_next_life() {
     let mut cell = FakeCell::with_lasting_ids(2, 4);
@@ -188,9 +188,9 @@
     assert_eq!(cell.starts_of(task(1, 0, 0)), 1);
 }
 
-// The same, but the next life carries it out before it is heard: the run is taken over, not begun a second time.
+// The next life carries out a start to the earlier life before its first report: the run is adopted, not started twice.
 #[test]
-fn a_start_that_the_next_life_carries_out_before_it_is_heard_is_taken_over() {
+fn a_start_that_the_next_life_carries_out_before_its_first_report_is_adopted() {
     let mut cell = FakeCell::with_lasting_ids(2, 4);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 30);
@@ -198,7 +198,7 @@
     let order = next_start(&mut cell, &mut lead);
     let number = cell.number(&lead, order.worker);
     cell.start_again(number);
-    // The lead learns of the next life, decides, and is about to call it.
+    // The lead learns of the next life and schedules, but has not yet got its report.
     cell.look_at(&mut lead, order.worker);
     lead.schedule(cell.now);
     for order in lead.take_orders() {
@@ -213,9 +213,9 @@
     assert_eq!(cell.starts_of(task(1, 0, 0)), 1);
 }
 
-// What a worker had says nothing of what it has when it starts again.
+// The capacity of the earlier life says nothing about that of the next life.
 #[test]
-fn a_worker_that_starts_again_smaller_gets_work_by_its_own_size() {
+fn a_worker_that_restarts_smaller_gets_work_by_its_new_capacity() {
     let mut cell = FakeCell::with_lasting_ids(1, 8);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 30);
@@ -226,7 +226,7 @@
     assert_eq!(cell.workers[0].run_count(), 2);
 }
 
-// The store lists another life under the id, and nobody has answered as that yet: one of the two is not there.
+// The store lists another life under the id, which has not answered yet: only one of the two lives exists.
 #[test]
 fn a_worker_gets_no_work_while_another_life_is_listed_under_its_id() {
     let mut cell = FakeCell::with_lasting_ids(1, 8);
@@ -239,13 +239,13 @@
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     lead.schedule(cell.now);
     assert!(lead.take_orders().is_empty());
-    // It was an entry of another writer.
+    // The entry of the other life was faulty.
     lead.update_workers(vec![entry], &[], cell.now);
     cell.turns(&mut lead, 5);
     assert_eq!(cell.starts_of(task(1, 0, 0)), 1);
 }
 
-/// Hands in a job, whose tasks begin and end, and which is heard of.
+/// Submits a job and runs turns until its tasks have started and ended and the lead has read the ends.
 fn run_to_end(cell: &mut FakeCell, lead: &mut Scheduler, id: u64, tasks: u16) {
     cell.submit_led(lead, id, job(vec![step(tasks, 1)]));
     cell.turns(lead, 3);
@@ -253,7 +253,7 @@
     cell.turns(lead, 3);
 }
 
-/// Turns until something is to be started; the order is not carried out.
+/// Runs turns until the lead orders a start, and returns the order without carrying it out.
 fn next_start(cell: &mut FakeCell, lead: &mut Scheduler) -> StartOrder {
     for _ in 0..100 {
         cell.now.0 += 20;
@@ -266,19 +266,19 @@
             }
         }
     }
-    panic!("nothing is started");
+    panic!("no start was ordered");
 }
 
-/// A roster with starts, and what it says without them.
+/// Returns a roster with a start time of a life, and the same roster without it.
 fn rosters() -> (WorkerRoster, WorkerRoster) {
     let life = WorkerLife { id: "w1".into(), start: Some(LifeStart(1_775_841_204_824)) };
-    let told = WorkerEntry { life, ..worker_entry(1, 4) };
+    let restarted = WorkerEntry { life, ..worker_entry(1, 4) };
     let with = |workers| WorkerRoster { workers, shrunk: vec![(0, ResourceSet::default())] };
-    (with(vec![worker_entry(0, 4), told]), with(vec![worker_entry(0, 4), worker_entry(1, 4)]))
+    (with(vec![worker_entry(0, 4), restarted]), with(vec![worker_entry(0, 4), worker_entry(1, 4)]))
 }
 
 #[test]
-fn rosters_with_starts_are_read_by_boxes_of_earlier_releases_and_theirs_by_this_one() {
+fn rosters_with_start_times_are_compatible_with_earlier_releases() {
     #[derive(serde::Serialize, serde::Deserialize)]
     struct EarlierEntry {
         life: String,
@@ -300,10 +300,10 @@
 }
 
 #[test]
-fn a_life_that_an_earlier_release_stored_is_read() {
-    let told = WorkerLife { id: "w1".into(), start: Some(LifeStart(7)) };
-    let stored = postcard::to_stdvec(&told).unwrap();
-    assert_eq!(postcard::from_bytes::<WorkerLife>(&stored).unwrap(), told);
+fn a_life_stored_by_an_earlier_release_is_decoded() {
+    let life = WorkerLife { id: "w1".into(), start: Some(LifeStart(7)) };
+    let stored = postcard::to_stdvec(&life).unwrap();
+    assert_eq!(postcard::from_bytes::<WorkerLife>(&stored).unwrap(), life);
     let earlier = postcard::to_stdvec("w1").unwrap();
     assert_eq!(postcard::from_bytes::<WorkerLife>(&earlier).unwrap(), "w1".into());
 }
