--- a/crates/sedgehill-cell/tests/testsuite/low_rank_steps.rs
+++ b/crates/sedgehill-cell/tests/testsuite/low_rank_steps.rs
@@ -30,7 +30,8 @@
 const RUN_DURATION: TimeSpan = TimeSpan(300);
 /// Time for which all questions fail after the late job was accepted.
 const OUTAGE_MS: u64 = 12_000;
-/// Users allow three seconds without anything running. Two questions of 0.8 s may follow, each up to half as long again.
+/// Users allow three seconds without anything running. Two questions of 0.8 s may follow, each up to half as long
+/// again.
 const MAX_START_DELAY_MS: u64 = 3_000 + 2 * 1_500;
 /// Number of other jobs that wait when the questions succeed again.
 const WAITING_JOBS: u64 = 40;
@@ -46,36 +47,40 @@
 }
 
 /// A cell under a steady load of expensive questions, with a job that is too late to earn anything.
-struct LoadedCell {
+struct RankScenario {
     cell: FakeCell,
     lead: Scheduler,
     service: FakeService,
     other_jobs: u64,
 }
 
-impl LoadedCell {
-    fn new() -> LoadedCell {
+impl RankScenario {
+    fn new() -> RankScenario {
         let mut cell = FakeCell::new(WORKERS, CORES);
         let mut lead = cell.lead(false);
         (1..=HELPERS).for_each(|helper| lead.add_helper(HelperId(helper)));
         let mut service = FakeService::new(EXPENSIVE_ADVICE, |_, _| true);
         let fails = (0..=HELPERS).map(|helper| (HelperId(helper), HelperTrouble::Fails));
         service.troubles.extend(fails);
-        let mut loaded = LoadedCell { cell, lead, service, other_jobs: 0 };
-        loaded.turn();
-        loaded.cell.submit_led(&mut loaded.lead, LATE_JOB, gang(24, 4, EXPENSIVE_ADVICE));
-        let begin = loaded.cell.now;
-        while loaded.cell.now.since(begin).0 < OUTAGE_MS {
-            loaded.turn();
+        let mut scenario = RankScenario { cell, lead, service, other_jobs: 0 };
+        scenario.turn();
+        scenario.cell.submit_led(&mut scenario.lead, LATE_JOB, gang(24, 4, EXPENSIVE_ADVICE));
+        let begin = scenario.cell.now;
+        while scenario.cell.now.since(begin).0 < OUTAGE_MS {
+            scenario.turn();
         }
         // Other jobs wait as well when the questions succeed again.
         for _ in 0..WAITING_JOBS {
-            loaded.other_jobs += 1;
+            scenario.other_jobs += 1;
             let other = gang(4, 1, EXPENSIVE_ADVICE);
-            loaded.cell.submit_led(&mut loaded.lead, FIRST_OTHER_JOB + loaded.other_jobs, other);
+            scenario.cell.submit_led(
+                &mut scenario.lead,
+                FIRST_OTHER_JOB + scenario.other_jobs,
+                other,
+            );
         }
-        loaded.service.troubles.clear();
-        loaded
+        scenario.service.troubles.clear();
+        scenario
     }
 
     fn turn(&mut self) {
@@ -102,31 +107,31 @@
 
 #[test]
 fn a_late_gang_starts_under_steady_load_of_expensive_questions() {
-    let mut loaded = LoadedCell::new();
-    let begin = loaded.cell.now;
-    while loaded.started(LATE_JOB) == 0 && loaded.cell.now.since(begin).0 < MAX_START_DELAY_MS {
-        loaded.submit_other(EXPENSIVE_ADVICE);
-        loaded.turn();
+    let mut scenario = RankScenario::new();
+    let begin = scenario.cell.now;
+    while scenario.started(LATE_JOB) == 0 && scenario.cell.now.since(begin).0 < MAX_START_DELAY_MS {
+        scenario.submit_other(EXPENSIVE_ADVICE);
+        scenario.turn();
     }
-    assert_eq!(loaded.started(LATE_JOB), 24, "all members start within {MAX_START_DELAY_MS} ms");
+    assert_eq!(scenario.started(LATE_JOB), 24, "all members start within {MAX_START_DELAY_MS} ms");
 }
 
 #[test]
 fn cheap_questions_are_answered_beside_late_gangs() {
-    let mut loaded = LoadedCell::new();
+    let mut scenario = RankScenario::new();
     for id in LATE_JOB + 1..LATE_JOB + 20 {
-        loaded.cell.submit_led(&mut loaded.lead, id, gang(24, 1, EXPENSIVE_ADVICE));
+        scenario.cell.submit_led(&mut scenario.lead, id, gang(24, 1, EXPENSIVE_ADVICE));
     }
-    let begin = loaded.cell.now;
-    while loaded.cell.now.since(begin).0 < 8_000 {
-        loaded.submit_other(EXPENSIVE_ADVICE);
-        loaded.turn();
+    let begin = scenario.cell.now;
+    while scenario.cell.now.since(begin).0 < 8_000 {
+        scenario.submit_other(EXPENSIVE_ADVICE);
+        scenario.turn();
     }
     let cheap = FIRST_OTHER_JOB * FIRST_OTHER_JOB;
-    loaded.service.own_costs.insert(JobId(cheap), CHEAP_ADVICE);
-    loaded.cell.submit_led(&mut loaded.lead, cheap, gang(1, 1, CHEAP_ADVICE));
+    scenario.service.own_costs.insert(JobId(cheap), CHEAP_ADVICE);
+    scenario.cell.submit_led(&mut scenario.lead, cheap, gang(1, 1, CHEAP_ADVICE));
     for _ in 0..5 {
-        loaded.turn();
+        scenario.turn();
     }
-    assert_eq!(loaded.started(cheap), 1, "the task starts within 100 ms");
+    assert_eq!(scenario.started(cheap), 1, "the task starts within 100 ms");
 }
