--- a/crates/sedgehill-cell/tests/testsuite/organisations.rs
+++ b/crates/sedgehill-cell/tests/testsuite/organisations.rs
@@ -1,4 +1,4 @@
-//! Who may call, and what an organisation may have running.
+//! Keys of callers, and resource limits of organisations.
 
 use sedgehill_cell::ids::{JobId, OrganisationName};
 use sedgehill_cell::organisation::{
@@ -24,8 +24,8 @@
     OrganisationName::from(text)
 }
 
-fn owner(text: &str, place: usize) -> KeyOwner {
-    KeyOwner { organisation: name(text), index: place }
+fn owner(text: &str, index: usize) -> KeyOwner {
+    KeyOwner { organisation: name(text), index }
 }
 
 fn running(cell: &FakeCell) -> u64 {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_call_needs_a_key_in_force_unless_its_queue_is_public() {
+fn a_call_needs_a_known_key_unless_its_queue_is_public() {
     let mut ring = KeyRing::default();
     let owner = owner(ORG, 0);
     ring.add(digest(1), owner.clone());
@@ -55,20 +55,20 @@
 }
 
 #[test]
-fn a_job_is_its_organisations_alone_also_once_it_is_over_and_told_in_short() {
+fn a_job_is_accessible_only_to_its_organisation_also_after_its_end_and_by_summary() {
     let mut replica = CellReplica::default();
     replica.apply(ID, CellRecord::LeadJob(owned(ORG, 4, job(vec![step(1, 1)]))), NOW);
-    let mut told = CellReplica::default();
-    told.apply_summary(JobSummary::of(&replica, ID), NOW);
-    let over = JobProgress {
+    let mut follower = CellReplica::default();
+    follower.apply_summary(JobSummary::of(&replica, ID), NOW);
+    let completed = JobProgress {
         state: JobState::Completed,
         organisation: Some(name(ORG)),
         ..JobProgress::default()
     };
-    // A box that starts after the end reads the progress alone.
-    let mut late = CellReplica::default();
-    late.apply(ID, CellRecord::Progress(over), NOW);
-    for replica in [&replica, &told, &late] {
+    // A box that starts after the end of the job reads only its progress.
+    let mut late_replica = CellReplica::default();
+    late_replica.apply(ID, CellRecord::Progress(completed), NOW);
+    for replica in [&replica, &follower, &late_replica] {
         let known = replica.job(ID).unwrap();
         assert!(known.is_accessible_to(Some(&name(ORG))));
         assert!(!known.is_accessible_to(Some(&name("other"))));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_progress_of_a_job_that_is_over_says_whose_it_was() {
+fn the_progress_of_an_ended_job_names_its_organisation() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, owned(ORG, 4, job(vec![step(1, 1)])));
@@ -97,7 +97,7 @@
     cell.submit(&mut lead, 1, owned(ORG, 5, job(vec![step(12, 2)])));
     for _ in 0..6 {
         cell.turns(&mut lead, 5);
-        assert_eq!(running(&cell), 4, "two tasks of two cores fit under five");
+        assert_eq!(running(&cell), 4, "two tasks of two cores fit into five cores");
         cell.end_all();
     }
     cell.turns(&mut lead, 5);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_under_the_limit_or_not_at_all() {
+fn a_gang_starts_whole_within_the_limit_or_not_at_all() {
     let mut cell = FakeCell::new(4, 16);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, ORG, 5);
@@ -115,15 +115,16 @@
     cell.turns(&mut lead, 5);
     assert_eq!(running(&cell), 0);
     let events = lead.take_events();
-    let held = events.iter().filter(|event| matches!(event, CellEvent::LimitReached { .. }));
-    assert_eq!(held.count(), 1, "it is told once, not each turn");
+    let limit_reached =
+        events.iter().filter(|event| matches!(event, CellEvent::LimitReached { .. }));
+    assert_eq!(limit_reached.count(), 1, "the event is reported once, not in each turn");
     cell.limit(&mut lead, ORG, 6);
     cell.turns(&mut lead, 5);
     assert_eq!(running(&cell), 6);
 }
 
 #[test]
-fn other_organisations_do_not_wait_for_one_at_its_limit() {
+fn other_organisations_do_not_wait_for_an_organisation_at_its_limit() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, ORG, 2);
@@ -146,7 +147,7 @@
     cell.limit(&mut lead, ORG, 3);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Done);
     cell.turns(&mut lead, 5);
-    assert_eq!(running(&cell), 7, "nothing is stopped, and nothing begins");
+    assert_eq!(running(&cell), 7, "no run is stopped and none is started");
     cell.end_all();
     cell.turns(&mut lead, 5);
     assert_eq!(running(&cell), 3);
@@ -171,15 +172,15 @@
         // The fakes panic if more than four cores ever run for the organisation.
         assert!(running(&cell) <= 4);
     }
-    assert_eq!(running(&cell), 4, "after the lease the room is there again");
+    assert_eq!(running(&cell), 4, "the room is free again after the lease");
 }
 
 #[test]
-fn a_new_lead_counts_what_an_earlier_one_may_have_started_on_workers_not_yet_heard() {
+fn a_new_lead_counts_possible_runs_on_workers_without_a_report_against_the_limit() {
     let mut cell = FakeCell::new(4, 8);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, ORG, 8);
-    // A wide job fills the limit, on whichever workers.
+    // A wide job fills the limit.
     cell.submit_led(&mut lead, 1, owned(ORG, 8, job(vec![step(8, 1)])));
     cell.turns(&mut lead, 4);
     assert_eq!(running(&cell), 8);
@@ -191,7 +192,7 @@
     let mut next = cell.lead(true);
     cell.submit_led(&mut next, 2, owned(ORG, 8, job(vec![step(8, 1)])));
     cell.turns(&mut next, 20);
-    assert_eq!(cell.starts.len(), 8, "all of the limit may be in use, unheard");
+    assert_eq!(cell.starts.len(), 8, "unreachable workers may use the whole limit");
     for holder in holders {
         cell.workers[holder].cut = false;
     }
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn jobs_of_a_dropped_organisation_go_on_under_the_limit_of_their_acceptance() {
+fn jobs_of_a_removed_organisation_continue_under_the_limit_of_their_acceptance() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, ORG, 3);
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn a_limit_says_what_it_admits() {
+fn a_limit_allows_resources_up_to_its_values() {
     let limit = ResourceLimit { cores: Some(CoreCount(4_000)), ..ResourceLimit::default() };
     assert!(limit.allows(&cores(4)));
     assert!(!limit.allows(&cores(5)));
@@ -228,13 +229,14 @@
 }
 
 #[test]
-fn what_an_organisation_sends_beyond_its_due_goes_after_all_that_is_due() {
+fn work_beyond_the_share_of_an_organisation_comes_after_work_within_shares() {
     let mut cell = FakeCell::new(1, 4);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, "hot", 4);
     cell.limit(&mut lead, ORG, 4);
     cell.turns(&mut lead, 3);
-    // Two jobs a second are due to each. The hot one's twenty come first, and one of the other's after them.
+    // The share of each organisation is two jobs per second. Twenty jobs of the first one come before one of the
+    // second.
     for id in 1..=20 {
         cell.submit_led(&mut lead, id, owned("hot", 4, job(vec![step(1, 4)])));
     }
@@ -242,13 +244,13 @@
     let mut turns = 0;
     while cell.place(task(21, 0, 0)).is_none() {
         turns += 1;
-        assert!(turns <= 3, "only the two jobs that are due to the hot one go before it");
+        assert!(turns <= 3, "only two jobs of the other organisation are within its share");
         cell.turns(&mut lead, 3);
         if cell.place(task(21, 0, 0)).is_none() {
             cell.end_all();
         }
     }
-    // Idle room is lent: what is beyond the due runs as well.
+    // Idle room is given to work beyond the shares, so that it runs as well.
     for _ in 0..30 {
         cell.end_all();
         cell.turns(&mut lead, 3);
@@ -257,21 +259,21 @@
 }
 
 #[test]
-fn narrow_work_leaves_the_limit_to_a_gang_that_was_there_first() {
+fn narrow_work_leaves_the_limit_to_a_gang_that_waits_longer() {
     let mut cell = FakeCell::new(4, 16);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, ORG, 8);
     cell.turns(&mut lead, 3);
-    // Narrow work fills the limit, a gang that needs all of it waits, and more narrow work keeps coming.
+    // Narrow work fills the limit, a gang that needs all of it waits, and more narrow work arrives.
     let mut next = 1;
-    let mut narrow = |cell: &mut FakeCell, lead: &mut _| {
+    let mut submit_narrow = |cell: &mut FakeCell, lead: &mut _| {
         let mut record = owned(ORG, 8, job(vec![step(1, 1)]));
         record.policy.priority = 1;
         cell.submit_led(lead, next, record);
         next += 1;
     };
     for _ in 0..8 {
-        narrow(&mut cell, &mut lead);
+        submit_narrow(&mut cell, &mut lead);
     }
     cell.turns(&mut lead, 3);
     assert_eq!(running(&cell), 8);
@@ -279,24 +281,24 @@
     gang.gang = true;
     cell.submit_led(&mut lead, 1_000, owned(ORG, 8, job(vec![gang])));
     for _ in 0..8 {
-        narrow(&mut cell, &mut lead);
+        submit_narrow(&mut cell, &mut lead);
         cell.end_some(0, RunEnd::Done);
         cell.turns(&mut lead, 3);
     }
-    assert!(cell.place(task(1_000, 0, 0)).is_some(), "the gang found the whole limit free");
+    assert!(cell.place(task(1_000, 0, 0)).is_some(), "the gang gets the whole limit");
 }
 
-// A job is cancelled while the worker that runs its task is out of touch, and the lead is lost. The task runs on there
+// A job is cancelled while the worker that runs its task is unreachable, and the lead is lost. The task continues there
 // until its lease ends, and counts against the limit of its organisation.
 #[test]
-fn what_a_cancelled_job_may_still_run_counts_against_the_limit_at_a_later_lead() {
+fn runs_of_a_cancelled_job_count_against_the_limit_at_a_later_lead() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
     cell.limit(&mut lead, "small", 4);
     cell.submit_led(&mut lead, 1, owned("small", 4, job(vec![step(1, 3)])));
     cell.turns(&mut lead, 5);
-    let place = cell.place(task(1, 0, 0)).unwrap();
-    cell.workers[place].cut = true;
+    let holder = cell.place(task(1, 0, 0)).unwrap();
+    cell.workers[holder].cut = true;
     cell.cancel(&mut lead, 1);
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
