--- a/crates/sedgehill-cell/tests/testsuite/outages.rs
+++ b/crates/sedgehill-cell/tests/testsuite/outages.rs
@@ -1,8 +1,8 @@
-//! Workers that are lost together have one cause, and it is no task.
+//! Correlated crashes of many workers, which are not blamed on a task.
 //!
-//! All workers of a cell lost power at one moment, three times within a minute. Each task that ran had then lost three
-//! workers, and was taken as the cause: of 40 jobs that did no harm 30 were shown as failed, and so were five gangs of
-//! twenty, one gang that had the cell for itself, and one task that was alone in it.
+//! Guards against failing harmless jobs after power outages. All workers of a cell lost power at the same time, three
+//! times within a minute. Each running task had then lost three workers and was taken as the cause: 30 of 40 harmless
+//! jobs failed, and so did five gangs of twenty, a gang that was alone in the cell, and a task that was alone in it.
 
 use sedgehill_cell::job::{JobRecord, StepSpec};
 use sedgehill_cell::progress::JobState;
@@ -13,10 +13,11 @@
 
 const WORKERS: u16 = 60;
 const CORES: u64 = 16;
-const CUTS: usize = 3;
-/// Turns of 20 ms between two cuts, and until a worker is back.
-const APART: usize = 300;
-const BACK: TimeSpan = TimeSpan(500);
+const OUTAGE_COUNT: usize = 3;
+/// Number of turns of 20 ms between two outages.
+const TURNS_BETWEEN_OUTAGES: usize = 300;
+/// Time from an outage until the workers are back.
+const RESTART_DELAY: TimeSpan = TimeSpan(500);
 
 fn gang(count: u16) -> JobRecord {
     job(vec![StepSpec { gang: true, ..step(count, 4) }])
@@ -29,8 +30,8 @@
     }
 }
 
-/// Has all workers lose power at one moment, again and again, while jobs run. Returns how many of the jobs failed.
-fn failed_after_cuts(keeps_ids: bool, jobs: Vec<JobRecord>) -> usize {
+/// Lets all workers crash at the same time, repeatedly, while jobs run. Returns how many of the jobs failed.
+fn failed_jobs_after_outages(keeps_ids: bool, jobs: Vec<JobRecord>) -> usize {
     let mut cell = match keeps_ids {
         true => FakeCell::with_lasting_ids(WORKERS, CORES),
         false => FakeCell::new(WORKERS, CORES),
@@ -40,13 +41,13 @@
     for (id, record) in (0..count).zip(jobs) {
         cell.submit_led(&mut lead, id, record);
     }
-    for _ in 0..CUTS {
-        turns(&mut cell, &mut lead, APART);
+    for _ in 0..OUTAGE_COUNT {
+        turns(&mut cell, &mut lead, TURNS_BETWEEN_OUTAGES);
         for number in 0..cell.workers.len() {
-            cell.crash(number, BACK);
+            cell.crash(number, RESTART_DELAY);
         }
     }
-    turns(&mut cell, &mut lead, APART);
+    turns(&mut cell, &mut lead, TURNS_BETWEEN_OUTAGES);
     cell.end_all();
     turns(&mut cell, &mut lead, 50);
     cell.end_all();
@@ -61,37 +62,45 @@
 }
 
 #[test]
-fn jobs_of_single_tasks_outlast_losses_of_all_workers() {
+fn jobs_of_single_tasks_survive_outages_of_all_workers() {
     for keeps_ids in [false, true] {
         let jobs = (0..40).map(|_| job(vec![step(4, 1)])).collect();
-        assert_eq!(failed_after_cuts(keeps_ids, jobs), 0, "of 40, ids kept: {keeps_ids}");
+        assert_eq!(failed_jobs_after_outages(keeps_ids, jobs), 0, "of 40, ids kept: {keeps_ids}");
     }
 }
 
 #[test]
-fn gangs_outlast_losses_of_all_workers() {
+fn gangs_survive_outages_of_all_workers() {
     for keeps_ids in [false, true] {
         let jobs = (0..5).map(|_| gang(20)).collect();
-        assert_eq!(failed_after_cuts(keeps_ids, jobs), 0, "of 5, ids kept: {keeps_ids}");
+        assert_eq!(failed_jobs_after_outages(keeps_ids, jobs), 0, "of 5, ids kept: {keeps_ids}");
     }
 }
 
 #[test]
-fn a_job_that_has_the_cell_for_itself_outlasts_losses_of_all_workers() {
+fn a_job_alone_in_the_cell_survives_outages_of_all_workers() {
     for keeps_ids in [false, true] {
-        assert_eq!(failed_after_cuts(keeps_ids, vec![gang(20)]), 0, "a gang");
-        assert_eq!(failed_after_cuts(keeps_ids, vec![job(vec![step(1, 1)])]), 0, "a task");
+        assert_eq!(
+            failed_jobs_after_outages(keeps_ids, vec![gang(20)]),
+            0,
+            "a gang is alone in the cell"
+        );
+        assert_eq!(
+            failed_jobs_after_outages(keeps_ids, vec![job(vec![step(1, 1)])]),
+            0,
+            "a task is alone in the cell"
+        );
     }
 }
 
-// Its members go down together, each on a worker of its own, while all other workers live.
+// The members crash their workers together, each on a worker of its own, while all other workers stay alive.
 #[test]
 fn a_gang_that_crashes_all_its_workers_is_given_up() {
     let mut cell = FakeCell::with_lasting_ids(WORKERS, CORES);
     let mut lead = cell.lead(false);
-    let habit = CrashHabit { back: BACK, ..CrashHabit::default() };
+    let crash_habit = CrashHabit { back: RESTART_DELAY, ..CrashHabit::default() };
     for index in 0..20 {
-        cell.make_crash(task(1, 0, index), habit);
+        cell.make_crash(task(1, 0, index), crash_habit);
     }
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { gang: true, ..step(20, 16) }]));
     cell.submit_led(&mut lead, 2, job(vec![step(30, 1)]));
@@ -103,9 +112,9 @@
     assert_eq!(cell.progress(2).state, JobState::Completed);
 }
 
-// All workers lose power now and then while a task crashes each worker that starts it.
+// All workers lose power repeatedly while a task crashes each worker that starts it.
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up_among_losses_of_all_workers() {
+fn a_task_that_crashes_its_workers_is_given_up_despite_outages_of_all_workers() {
     for keeps_ids in [false, true] {
         let mut cell = match keeps_ids {
             true => FakeCell::with_lasting_ids(WORKERS, CORES),
@@ -121,7 +130,7 @@
         for _ in 0..6 {
             turns(&mut cell, &mut lead, 230);
             for number in 0..cell.workers.len() {
-                cell.crash(number, BACK);
+                cell.crash(number, RESTART_DELAY);
             }
         }
         turns(&mut cell, &mut lead, 2_000);
@@ -129,10 +138,10 @@
     }
 }
 
-// Many tasks that crash their workers are started in one turn, so that these go down together as in a loss of power. What
-// users allow after three crashes is kept all the same; the fakes count the starts.
+// Many tasks that crash their workers are started in one turn, so that the workers crash together as in a power outage.
+// The bound on starts after three crashes still holds: the fakes count the starts.
 #[test]
-fn tasks_that_crash_their_workers_at_one_moment_are_given_up_in_time() {
+fn tasks_that_crash_their_workers_at_the_same_time_are_given_up_in_time() {
     for keeps_ids in [false, true] {
         let mut cell = match keeps_ids {
             true => FakeCell::with_lasting_ids(24, 4),
@@ -140,9 +149,9 @@
         };
         let mut lead = cell.lead(false);
         turns(&mut cell, &mut lead, 20);
-        let habit = CrashHabit { back: TimeSpan(1_500), ..CrashHabit::default() };
+        let crash_habit = CrashHabit { back: TimeSpan(1_500), ..CrashHabit::default() };
         for id in 0..16 {
-            cell.make_crash(task(id, 0, 0), habit);
+            cell.make_crash(task(id, 0, 0), crash_habit);
             cell.submit_led(&mut lead, id, job(vec![step(1, 4)]));
         }
         turns(&mut cell, &mut lead, 1_500);
@@ -152,15 +161,15 @@
     }
 }
 
-// A lead that follows knows of workers that were lost together.
+// The correlated crash is recorded with the progress of the job, where the next lead finds it.
 #[test]
-fn losses_of_all_workers_are_remembered_by_the_next_lead() {
+fn the_next_lead_knows_of_an_outage_of_all_workers() {
     let mut cell = FakeCell::with_lasting_ids(24, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     turns(&mut cell, &mut lead, 50);
     for number in 0..cell.workers.len() {
-        cell.crash(number, BACK);
+        cell.crash(number, RESTART_DELAY);
     }
     turns(&mut cell, &mut lead, 100);
     assert_eq!(cell.progress(1).correlated_ms.len(), 1);
