--- a/crates/sedgehill-cell/tests/testsuite/predecessor.rs
+++ b/crates/sedgehill-cell/tests/testsuite/predecessor.rs
@@ -1,4 +1,4 @@
-//! What a new lead knows of leads before it that may still give orders.
+//! How a new lead accounts for predecessors that may still give orders.
 
 use sedgehill_cell::authority::{AuthorityTiming, BoxStrength, LeadRecord, LeadWatch};
 use sedgehill_cell::ids::BoxName;
@@ -13,8 +13,8 @@
     LeadWatch::new(BoxName::from(name), life, BoxStrength(250), START)
 }
 
-/// The earlier lead renews the lease of a worker that the later one does not reach.
-fn renew_from_the_other_side(cell: &mut FakeCell, earlier: &mut Scheduler, number: usize) {
+/// Renews the lease of a worker on behalf of the earlier lead. The later lead cannot reach that worker.
+fn renew_lease_as_earlier_lead(cell: &mut FakeCell, earlier: &mut Scheduler, number: usize) {
     let later = std::mem::replace(&mut cell.token.0, 1);
     cell.workers[number].cut = false;
     for key in (0..cell.workers.len()).map(sedgehill_cell::scheduler::WorkerKey) {
@@ -29,10 +29,10 @@
     cell.token.0 = later;
 }
 
-/// A task of the first lead runs on a worker that only this lead still reaches, and goes on being renewed for
-/// as long as the lead's term lasts beyond the fence of the later one. The fake workers panic when the later lead
-/// starts it meanwhile.
-fn no_task_begins_beside_an_earlier_lead(follower: &LeadWatch) {
+/// Runs a task of the first lead on a worker that only this lead still reaches. The first lead renews its lease until
+/// its term is over, after the fence of the later lead. The fake workers panic if the later lead starts the task
+/// meanwhile.
+fn assert_no_task_starts_beside_an_earlier_lead(follower: &LeadWatch) {
     let mut cell = FakeCell::new(2, 4);
     let mut earlier = cell.lead(false);
     cell.submit(&mut earlier, 1, job(vec![step(1, 1)]));
@@ -43,62 +43,62 @@
     later.note_fenced(cell.now);
     let orders_end = cell.now.after(CellTiming::default().authority_term);
     while cell.now < orders_end {
-        renew_from_the_other_side(&mut cell, &mut earlier, number);
+        renew_lease_as_earlier_lead(&mut cell, &mut earlier, number);
         cell.turn(&mut later);
     }
-    // The longest lease, of 6 s, and what a slow clock adds.
+    // The longest lease, of 6 s, and the allowance for a slow clock.
     cell.turns(&mut later, 340);
-    assert!(later.is_settled(), "the later lead does not wait for good");
-    assert_eq!(cell.starts.len(), 2, "the task begins again once its lease is over");
+    assert!(later.is_settled(), "the later lead does not wait forever");
+    assert_eq!(cell.starts.len(), 2, "the task starts again once its lease has ended");
 }
 
-/// A box claimed the lead, and the answer was lost, or the store did not let it fence in time. It read its own
-/// claim, claimed once more, and took this for a lead without a predecessor, since the newest record was its own.
-/// The lead before still held its term and renewed a worker that the new lead did not reach: the task there was
-/// started elsewhere 6.4 s after the fence, while leases that the earlier lead asks for can last for 8.8 s.
+/// Guards against a second start of a task. A box claims the lead, but the answer is lost, or the store does not fence
+/// in time. The box reads its own claim, claims again, and takes itself for a lead without a predecessor, since the
+/// newest record is its own. The predecessor still held its term and renewed the lease of a worker that the new lead
+/// did not reach: the task there was started elsewhere 6.4 s after the fence, but such leases can last for 8.8 s.
 #[test]
-fn claims_of_its_own_that_came_to_nothing_do_not_hide_the_lead_before_them() {
+fn unsuccessful_own_claims_do_not_hide_the_predecessor() {
     let mut unanswered = watch("b", 2);
     unanswered.note_record(watch("a", 1).next_claim("127.0.0.1:1"), START);
     let claim = unanswered.next_claim("127.0.0.1:2");
     unanswered.note_record(claim.clone(), START);
     assert!(unanswered.is_holder());
-    no_task_begins_beside_an_earlier_lead(&unanswered);
+    assert_no_task_starts_beside_an_earlier_lead(&unanswered);
     let mut unfenced = watch("b", 2);
     unfenced.note_record(watch("a", 1).next_claim("127.0.0.1:1"), START);
     unfenced.note_own_record(claim, START, 2, &AuthorityTiming::default());
     unfenced.step_down();
-    no_task_begins_beside_an_earlier_lead(&unfenced);
+    assert_no_task_starts_beside_an_earlier_lead(&unfenced);
 }
 
-/// A box takes its own earlier life as dead, which it is, but that life had led only for moments.
+/// The earlier life of a restarted box has ended, but had led for less than the term of its own predecessor.
 #[test]
-fn a_box_that_restarts_after_a_short_lead_still_has_a_predecessor() {
+fn a_box_that_restarts_after_a_short_time_as_lead_still_has_a_predecessor() {
     let mut short_lived = watch("b", 2);
     short_lived.note_record(watch("a", 1).next_claim("127.0.0.1:1"), START);
     let mut restarted = watch("b", 3);
     restarted.note_record(short_lived.next_claim("127.0.0.1:2"), START);
-    no_task_begins_beside_an_earlier_lead(&restarted);
+    assert_no_task_starts_beside_an_earlier_lead(&restarted);
 }
 
-/// The same with a lead that resigned before the term of the one before it had ended.
+/// A lead resigns before the term of its own predecessor has ended.
 #[test]
-fn a_resignation_soon_after_a_claim_does_not_hide_the_lead_before_it() {
+fn a_resignation_soon_after_a_claim_does_not_hide_the_predecessor() {
     let mut short_lived = watch("b", 2);
     short_lived.note_record(watch("a", 1).next_claim("127.0.0.1:1"), START);
     let claim = short_lived.next_claim("127.0.0.1:2");
     let mut follower = watch("c", 3);
     follower.note_record(LeadRecord { resigned: true, ..claim }, START);
-    no_task_begins_beside_an_earlier_lead(&follower);
+    assert_no_task_starts_beside_an_earlier_lead(&follower);
 }
 
 #[test]
-fn the_first_lead_of_all_and_whoever_follows_its_resignation_have_none() {
+fn the_first_lead_and_the_successor_of_its_resignation_have_no_predecessor() {
     let mut first = watch("a", 1);
     assert!(!first.has_predecessor());
     let claim = first.next_claim("127.0.0.1:1");
     first.note_own_record(claim.clone(), START.after(TimeSpan(1)), 1, &AuthorityTiming::default());
-    assert!(!first.has_predecessor(), "its own earlier lead gives no orders");
+    assert!(!first.has_predecessor(), "an earlier claim of the box itself is no predecessor");
     let mut follower = watch("b", 2);
     follower.note_record(claim.clone(), START);
     assert!(follower.has_predecessor());
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn a_lead_whose_predecessors_terms_are_over_says_so() {
+fn a_lead_reports_when_the_terms_of_all_predecessors_are_over() {
     let timing = CellTiming::default();
     let mut cell = FakeCell::new(1, 4);
     let mut later = cell.lead(true);
     let fenced = cell.now.after(TimeSpan(500));
     let over = fenced.after(timing.authority_term).after(TimeSpan(48));
-    assert!(!later.is_sole_lead(over), "not before it has fenced");
+    assert!(!later.is_sole_lead(over), "it has not fenced yet");
     later.note_fenced(fenced);
     assert!(!later.is_sole_lead(Moment(over.0 - 1)));
     assert!(later.is_sole_lead(over));
