--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -1,6 +1,6 @@
-//! Random courses of boxes that fail, are silent or slow in questions, of a service that names nobody for a time, of
-//! workers that fail what they run, and of leads that are lost: once all is well again, every job that fits ends within
-//! a time that follows from what its steps and their questions take.
+//! Random sequences of faults: boxes whose questions fail, stay unanswered or are slow, an advice service that allows
+//! no worker for a time, failed runs, and lost leads. Once the faults are over, every job that fits ends within a time
+//! computed from the durations of its steps and their questions.
 
 use proptest::prelude::*;
 use sedgehill_cell::ids::{StepId, WorkerId};
@@ -13,18 +13,18 @@
 
 const WORKERS: u16 = 12;
 const CORES: u64 = 16;
-/// Boxes that ask beside the lead's own.
+/// Number of helper boxes beside the lead's own box.
 const HELPERS: u64 = 3;
-const DEAR: AdvicePolicy =
+const EXPENSIVE_ADVICE: AdvicePolicy =
     AdvicePolicy { per_question_us: 480_000, per_worker_us: 6_800, valid: TimeSpan(2_000) };
-/// Half of the workers are good for a step.
-const GOOD_ONE_IN: u64 = 2;
-/// How long a run takes.
-const RUN: TimeSpan = TimeSpan(500);
-/// The longest that answers are left undoubted once they are right again, and that a step waits for an earlier lead.
-const BELIEF_MOST: u64 = 16_000 + 9_000;
-/// What a step takes at the most besides: a question, asked again once it is overdue, the run, and some turns.
-const STEP_MOST: u64 = 2 * (1_500 + 600) + RUN.0 + 500;
+/// One worker in this many is allowed for a step.
+const ONE_ALLOWED_IN: u64 = 2;
+/// Duration of a run.
+const RUN_DURATION: TimeSpan = TimeSpan(500);
+/// Longest time for which outdated answers are used, plus the longest wait for an earlier lead.
+const MAX_RECOVERY_DELAY_MS: u64 = 16_000 + 9_000;
+/// Longest duration of a step: a question that is repeated once it is overdue, the run, and some turns.
+const MAX_STEP_DURATION_MS: u64 = 2 * (1_500 + 600) + RUN_DURATION.0 + 500;
 
 #[derive(Debug, Clone)]
 enum Move {
@@ -35,16 +35,16 @@
         chained: bool,
     },
     Trouble(u64, Option<HelperTrouble>),
-    /// The service names nobody for so long.
+    /// The service allows no worker for this many milliseconds.
     Nobody(u64),
-    /// Some runs fail.
+    /// This many runs fail.
     Fail(usize),
-    /// Turns of 20 ms.
+    /// Runs this many turns of 20 ms.
     Turns(usize),
     NewLead,
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn any_move() -> impl Strategy<Value = Move> {
     let trouble = prop_oneof![
         Just(HelperTrouble::Fails),
         Just(HelperTrouble::Silent),
@@ -63,8 +63,8 @@
     ]
 }
 
-/// A cell in the middle of a course.
-struct Course {
+/// A cell with its lead, its advice service and the counts of submitted jobs and steps.
+struct FaultScenario {
     cell: FakeCell,
     lead: Scheduler,
     service: FakeService,
@@ -72,24 +72,24 @@
     steps: u64,
 }
 
-fn is_good(step: &StepId, life: &WorkerId) -> bool {
+fn is_allowed(step: &StepId, life: &WorkerId) -> bool {
     let number: u64 = life.0.trim_start_matches('w').parse().unwrap();
-    (number + step.job.0 + u64::from(step.step)).is_multiple_of(GOOD_ONE_IN)
+    (number + step.job.0 + u64::from(step.step)).is_multiple_of(ONE_ALLOWED_IN)
 }
 
-impl Course {
-    fn new() -> Course {
+impl FaultScenario {
+    fn new() -> FaultScenario {
         let mut cell = FakeCell::new(WORKERS, CORES);
         let mut lead = cell.lead(false);
         add_helpers(&mut lead);
-        let service = FakeService::new(DEAR, is_good);
-        Course { cell, lead, service, jobs: 0, steps: 0 }
+        let service = FakeService::new(EXPENSIVE_ADVICE, is_allowed);
+        FaultScenario { cell, lead, service, jobs: 0, steps: 0 }
     }
 
     fn submit(&mut self, members: u16, need: u64, gang: bool, chained: bool) {
-        let good = u64::from(WORKERS) / GOOD_ONE_IN;
-        let most = good * (CORES / need);
-        let members = members.min(u16::try_from(most).unwrap());
+        let allowed = u64::from(WORKERS) / ONE_ALLOWED_IN;
+        let max_members = allowed * (CORES / need);
+        let members = members.min(u16::try_from(max_members).unwrap());
         let mut steps = vec![StepSpec { gang, ..step(members, need) }];
         if chained {
             steps.push(StepSpec { gang: true, after: vec![0], ..step(members, need) });
@@ -97,19 +97,19 @@
         self.steps += steps.len() as u64;
         self.jobs += 1;
         let mut record: JobRecord = job(steps);
-        record.policy.advice = Some(DEAR);
-        // Their workers fail them here, not their own fault.
+        record.policy.advice = Some(EXPENSIVE_ADVICE);
+        // Failed runs are injected faults, and must not exhaust the attempts.
         record.policy.max_attempts = 1_000;
         self.cell.submit_led(&mut self.lead, self.jobs, record);
     }
 
     fn turn(&mut self) {
         self.cell.turn_advised(&mut self.lead, &mut self.service);
-        self.cell.end_old(RUN);
+        self.cell.end_old(RUN_DURATION);
     }
 
-    fn take(&mut self, taken: Move) {
-        match taken {
+    fn apply(&mut self, chosen: Move) {
+        match chosen {
             Move::Submit { members, need, gang, chained } => {
                 self.submit(members, need, gang, chained);
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn all_completed(&self) -> bool {
         (1..=self.jobs).all(|id| self.cell.progress(id).state == JobState::Completed)
     }
 }
@@ -149,25 +149,25 @@
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_job_ends_in_time_once_all_is_well(course in prop::collection::vec(moves(), 1..40)) {
-        let mut cell = Course::new();
-        for taken in course {
-            cell.take(taken);
+    fn every_job_ends_in_time_once_all_faults_are_over(moves in prop::collection::vec(any_move(), 1..40)) {
+        let mut scenario = FaultScenario::new();
+        for chosen in moves {
+            scenario.apply(chosen);
         }
-        cell.service.troubles.clear();
-        cell.service.nobody_until = Moment(0);
-        // What was asked of a silent box stays unanswered; what a slow one works on has to end first.
-        let busy = cell.service.busy_until().0.saturating_sub(cell.cell.now.0);
-        let limit = BELIEF_MOST + busy + cell.steps * STEP_MOST;
-        let well = cell.cell.now;
-        while !cell.is_over() && cell.cell.now < well.after(TimeSpan(limit)) {
-            cell.turn();
+        scenario.service.troubles.clear();
+        scenario.service.nobody_until = Moment(0);
+        // Questions to a silent box stay unanswered. The questions that a slow box works on have to end first.
+        let busy = scenario.service.busy_until().0.saturating_sub(scenario.cell.now.0);
+        let limit = MAX_RECOVERY_DELAY_MS + busy + scenario.steps * MAX_STEP_DURATION_MS;
+        let healed_at = scenario.cell.now;
+        while !scenario.all_completed() && scenario.cell.now < healed_at.after(TimeSpan(limit)) {
+            scenario.turn();
         }
-        let left: Vec<u64> = (1..=cell.jobs)
-            .filter(|id| cell.cell.progress(*id).state != JobState::Completed)
+        let left: Vec<u64> = (1..=scenario.jobs)
+            .filter(|id| scenario.cell.progress(*id).state != JobState::Completed)
             .collect();
-        let figures = cell.lead.stall_stats(cell.cell.now);
-        prop_assert!(left.is_empty(), "jobs {left:?} have not ended {limit} ms later: {figures:?}");
-        prop_assert!(cell.cell.place(task(1, 0, 0)).is_none(), "nothing runs of a job that ended");
+        let stats = scenario.lead.stall_stats(scenario.cell.now);
+        prop_assert!(left.is_empty(), "jobs {left:?} have not ended {limit} ms after the faults: {stats:?}");
+        prop_assert!(scenario.cell.place(task(1, 0, 0)).is_none(), "a task of an ended job still runs");
     }
 }
