--- a/crates/sedgehill-cell/tests/testsuite/repetitions.rs
+++ b/crates/sedgehill-cell/tests/testsuite/repetitions.rs
@@ -1,4 +1,4 @@
-//! Jobs whose steps run again and again at their times.
+//! Jobs whose steps are repeated at set times.
 
 use sedgehill_cell::ids::{CellTask, JobId, StepId};
 use sedgehill_cell::job::RepeatSpec;
@@ -8,7 +8,7 @@
 use crate::fake::{FakeCell, job, step, task};
 
 #[test]
-fn repetitions_start_when_their_time_has_come() {
+fn repetitions_start_when_they_are_due() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     lead.set_wall_clock(1_000_000, cell.now);
@@ -17,7 +17,7 @@
     record.spec.repeat = Some(repeat);
     cell.submit(&mut lead, 1, record);
     cell.turns(&mut lead, 45);
-    assert!(cell.starts.is_empty(), "100 ms before its time");
+    assert!(cell.starts.is_empty(), "the first repetition is due in 100 ms");
     cell.turns(&mut lead, 10);
     assert_eq!(cell.starts.len(), 1);
     cell.turns(&mut lead, 80);
@@ -27,8 +27,8 @@
     assert_eq!(cell.starts[1].0.step.repetition, 1);
 }
 
-/// Each repetition is judged from the time at which it is due. Reckoned from the acceptance of the job, the later ones counted as
-/// earning nothing any more before their time had come, and came after all other work.
+/// The rank of a repetition counts from the time at which it is due. Counted from the acceptance of the job, later
+/// repetitions rank as too late to earn anything before they are due, and come after all other work.
 #[test]
 fn a_later_repetition_keeps_its_place_by_priority() {
     let mut cell = FakeCell::new(1, 4);
@@ -50,12 +50,12 @@
         cell.end_all();
     }
     run_until(&mut cell, &mut lead, 39_000);
-    // Something else runs as the third one is due, and less urgent work waits besides.
+    // Another job runs when the third repetition is due, and less urgent work waits as well.
     cell.submit_led(&mut lead, 2, job(vec![step(1, 4)]));
     run_until(&mut cell, &mut lead, 40_500);
-    let mut other = job(vec![step(1, 4)]);
-    other.policy.priority = 2;
-    cell.submit_led(&mut lead, 3, other);
+    let mut low_priority = job(vec![step(1, 4)]);
+    low_priority.policy.priority = 2;
+    cell.submit_led(&mut lead, 3, low_priority);
     run_until(&mut cell, &mut lead, 41_000);
     cell.end_anywhere(task(2, 0, 0), RunEnd::Done);
     run_until(&mut cell, &mut lead, 41_200);
