--- a/crates/sedgehill-cell/tests/testsuite/replica.rs
+++ b/crates/sedgehill-cell/tests/testsuite/replica.rs
@@ -1,4 +1,4 @@
-//! What every box knows of jobs.
+//! The replica of the cell's jobs that every box keeps.
 
 use sedgehill_cell::ids::JobId;
 use sedgehill_cell::progress::{JobProgress, JobState};
@@ -12,7 +12,7 @@
 const NOW: Moment = Moment(1_000);
 
 #[test]
-fn records_are_read_back_as_written() {
+fn records_are_decoded_as_encoded() {
     let records = [
         CellRecord::Job(job(vec![step(2, 1)])),
         CellRecord::LeadJob(job(vec![step(2, 1)])),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn jobs_wait_until_a_task_has_begun() {
+fn a_job_counts_as_waiting_until_a_task_has_started() {
     let mut replica = CellReplica::default();
     let record = job(vec![step(1, 1)]);
     let queue = record.queue.clone();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_job_that_a_lead_accepted_counts_as_ordered_whichever_copy_is_heard_first() {
+fn a_job_that_a_lead_accepted_may_have_started_whichever_copy_is_read_first() {
     let record = job(vec![step(1, 1)]);
     let copies = [CellRecord::Job(record.clone()), CellRecord::LeadJob(record.clone())];
     assert_ne!(copies[0].key(ID), copies[1].key(ID));
@@ -77,26 +77,26 @@
 }
 
 #[test]
-fn an_ended_job_is_known_by_its_state_alone_and_forgotten_after_a_time() {
-    let over =
+fn an_ended_job_keeps_only_its_state_and_is_forgotten_after_a_time() {
+    let completed =
         CellRecord::Progress(JobProgress { state: JobState::Completed, ..JobProgress::default() });
     let mut replica = CellReplica::default();
     replica.apply(ID, CellRecord::LeadJob(job(vec![step(1, 1)])), NOW);
-    replica.apply(ID, over.clone(), NOW);
+    replica.apply(ID, completed.clone(), NOW);
     assert!(replica.job(ID).unwrap().record.is_none());
     assert_eq!(replica.jobs().count(), 0);
     assert_eq!(replica.ended_before(NOW, 10), Vec::new());
     assert_eq!(replica.ended_before(NOW.after(TimeSpan(1)), 10), [ID]);
-    // A box that starts later finds only the end.
+    // A box that starts later reads only the final progress.
     let mut later = CellReplica::default();
-    later.apply(ID, over, NOW);
+    later.apply(ID, completed, NOW);
     assert_eq!(later.job(ID).unwrap().state(), JobState::Completed);
     later.forget(ID);
     assert!(later.job(ID).is_none() && later.ended_before(Moment(u64::MAX), 10).is_empty());
 }
 
 #[test]
-fn neither_an_old_record_nor_a_late_copy_undoes_an_end() {
+fn neither_an_old_record_nor_a_late_copy_reopens_an_ended_job() {
     let progress = |state| CellRecord::Progress(JobProgress { state, ..JobProgress::default() });
     let mut replica = CellReplica::default();
     let copy = CellRecord::Job(job(vec![step(1, 1)]));
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn a_job_whose_own_copy_would_outlast_its_end_is_not_forgotten() {
-    let over = JobProgress { state: JobState::Completed, ..JobProgress::default() };
+fn an_ended_job_with_a_directly_submitted_copy_is_not_forgotten() {
+    let completed = JobProgress { state: JobState::Completed, ..JobProgress::default() };
     let mut replica = CellReplica::default();
-    replica.apply(ID, CellRecord::Progress(over), NOW);
+    replica.apply(ID, CellRecord::Progress(completed), NOW);
     assert_eq!(replica.ended_before(Moment(u64::MAX), 10), [ID]);
     replica.apply(ID, CellRecord::Job(job(vec![step(1, 1)])), NOW);
     assert_eq!(replica.ended_before(Moment(u64::MAX), 10), Vec::new());
 }
 
 #[test]
-fn a_job_whose_progress_alone_is_known_is_told_as_begun() {
+fn a_job_of_which_only_the_progress_is_known_may_have_started() {
     let mut replica = CellReplica::default();
     assert!(!replica.may_have_started(ID));
     let progress = JobProgress { may_have_started: true, ..JobProgress::default() };
@@ -129,19 +129,19 @@
 }
 
 #[test]
-fn a_roster_tells_when_it_was_read_and_from_where() {
+fn a_roster_keeps_the_time_and_offset_of_its_source() {
     let mut replica = CellReplica::default();
     assert_eq!(replica.roster_source(), None);
-    for from in [None, Some(12)] {
-        let sign = RosterSource { read_at: NOW, offset: from };
-        replica.apply_roster(WorkerRoster::default(), sign);
-        assert_eq!(replica.roster_source(), Some(sign));
+    for offset in [None, Some(12)] {
+        let source = RosterSource { read_at: NOW, offset };
+        replica.apply_roster(WorkerRoster::default(), source);
+        assert_eq!(replica.roster_source(), Some(source));
     }
 }
 
-/// A box that was away for longer than the store keeps its history reads the newest record of each key. A job that
-/// ended and was dropped meanwhile has none, and the box went on taking it as running: as a lead it would have
-/// begun its tasks once more.
+/// Guards against restarting a finished job. A box that was away for longer than the store keeps its history reads the
+/// newest record of each key. A job that ended and was dropped meanwhile has no record. A box that goes on taking it as
+/// running would start its tasks again as lead.
 #[test]
 fn a_job_that_was_dropped_while_a_box_was_away_is_forgotten() {
     let mut replica = CellReplica::default();
@@ -152,7 +152,7 @@
     }
     replica.apply(direct, CellRecord::Job(job(vec![step(1, 1)])), NOW);
     let before = replica.lead_accepted_ids();
-    // Taken in while the newest records were being read, which do not hold it yet.
+    // Accepted while the newest records are being read, which do not contain it yet.
     replica.apply(new, CellRecord::LeadJob(job(vec![step(1, 1)])), NOW);
     replica.forget_missing(&before, &[running].into());
     let left: std::collections::BTreeSet<JobId> = replica.jobs().map(|(id, _)| id).collect();
