--- a/crates/sedgehill-cell/tests/testsuite/roster.rs
+++ b/crates/sedgehill-cell/tests/testsuite/roster.rs
@@ -1,11 +1,11 @@
-//! Which workers a lead and its successors take as there.
+//! Which workers a lead and its successors count as present.
 
 use sedgehill_cell::job::StepSpec;
 use sedgehill_cell::scheduler::Scheduler;
 
 use crate::fake::{FakeCell, job, step, task};
 
-/// Turns of a lead that shows the store's list to the scheduler as often as the daemon does.
+/// Runs turns in which the lead passes the store's list to the scheduler as often as the daemon does.
 fn turns_with_lists(cell: &mut FakeCell, lead: &mut Scheduler, count: usize) {
     for turn in 0..count {
         if turn % 20 == 0 {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_worker_that_drained_empty_does_not_hold_up_a_later_lead() {
+fn a_later_lead_does_not_wait_for_a_drained_worker() {
     let mut cell = FakeCell::new(3, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(2, 1), after_first(step(2, 1))]));
@@ -25,7 +25,7 @@
     cell.end_all();
     turns_with_lists(&mut cell, &mut lead, 60);
     cell.end_all();
-    // It has ended, though the store still lists it.
+    // The worker has ended, though the store still lists it.
     cell.workers[2].cut = true;
     cell.now.0 += 20;
     let mut next = cell.lead(true);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_worker_out_of_touch_whose_runs_have_lapsed_does_not_hold_up_a_later_lead() {
+fn a_later_lead_does_not_wait_for_an_unreachable_worker_without_runs() {
     let mut cell = FakeCell::new(3, 16);
     let mut lead = cell.lead(false);
     turns_with_lists(&mut cell, &mut lead, 40);
@@ -43,19 +43,20 @@
     let mut next = cell.lead(true);
     cell.turns(&mut next, 10);
     assert!(next.is_settled());
-    // Back in touch it gets work again.
+    // The worker gets work again once it is reachable.
     cell.workers[1].cut = false;
     cell.submit(&mut next, 2, job(vec![step(3, 16)]));
     turns_with_lists(&mut cell, &mut next, 60);
     assert_eq!(cell.starts.len(), 3);
 }
 
-/// With entries in the list that name no worker, jobs of an earlier lead had nothing running for nine seconds after each
-/// change of the lead: `"msg":"take-over settled","by":"time","after_ms":8852,"heard":40,"unheard":3`, and
-/// `"msg":"step stalled","reason":"earlier_lead","places":419,"waiting":3`. The roster held every listed life, whether it had
-/// ever answered or not, and a start goes only to one that has.
+/// Guards against a roster with every listed life: a start goes only to a life that has answered, so a new lead need
+/// not wait for others. With entries in the list that belong to no worker, jobs of an earlier lead had nothing running
+/// for nine seconds after each change of the lead:
+/// `"msg":"take-over settled","by":"time","after_ms":8852,"heard":40,"unheard":3`, and
+/// `"msg":"step stalled","reason":"earlier_lead","places":419,"waiting":3`.
 #[test]
-fn an_entry_at_which_nobody_ever_answered_does_not_hold_up_a_later_lead() {
+fn a_later_lead_does_not_wait_for_an_entry_that_never_answered() {
     let mut cell = FakeCell::new(3, 16);
     cell.workers[2].cut = true;
     let mut lead = cell.lead(false);
@@ -76,13 +77,13 @@
     turns_with_lists(&mut cell, &mut lead, 20);
     assert_eq!(cell.starts.len(), 1);
     cell.workers[1].cut = false;
-    // The time for which a worker that did not answer is left alone, and some turns.
+    // Longer than the pause after which a worker that did not answer is polled again.
     cell.turns(&mut lead, 20);
     assert_eq!(cell.starts.len(), 2);
 }
 
-/// A cell whose lead is lost while a task runs on one of two workers; the store also lists an earlier life
-/// at the address of that worker.
+/// Loses the lead while a task runs on one of two workers and the store also lists an earlier life at the address of
+/// that worker, and checks that the next lead starts nothing.
 fn reused_address(earlier_first: bool) {
     let mut cell = FakeCell::new(3, 4);
     cell.workers[2].unlisted = true;
@@ -90,9 +91,9 @@
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 3);
     let number = cell.place(task(1, 0, 0)).unwrap();
-    let earlier = &mut cell.workers[2];
-    earlier.unlisted = false;
-    earlier.cut = true;
+    let earlier_life = &mut cell.workers[2];
+    earlier_life.unlisted = false;
+    earlier_life.cut = true;
     cell.workers[2].entry.address = cell.workers[number].entry.address;
     cell.workers[number].cut = true;
     if earlier_first {
@@ -100,11 +101,11 @@
     }
     let mut next = cell.lead(true);
     cell.turns(&mut next, 10);
-    assert_eq!(cell.starts.len(), 1, "the task may still run where it was begun");
+    assert_eq!(cell.starts.len(), 1, "the task may still run where it was started");
 }
 
 #[test]
-fn a_reused_address_does_not_tell_a_new_lead_which_life_has_ended() {
+fn a_reused_address_does_not_show_a_new_lead_which_life_has_ended() {
     reused_address(false);
     reused_address(true);
 }
