--- a/crates/sedgehill-cell/tests/testsuite/scheduler.rs
+++ b/crates/sedgehill-cell/tests/testsuite/scheduler.rs
@@ -1,4 +1,4 @@
-//! What the lead of a cell does.
+//! Basic decisions of the lead: starts, ends, attempts, gangs, silent workers and changes of the lead.
 
 use sedgehill_cell::ids::JobId;
 use sedgehill_cell::progress::JobState;
@@ -9,7 +9,7 @@
 use crate::fake::{FakeCell, job, step, task};
 
 #[test]
-fn a_job_runs_and_its_end_is_acknowledged_once_recorded() {
+fn a_job_runs_and_its_ends_are_acknowledged_once_recorded() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(2, 1)]));
@@ -18,7 +18,7 @@
     cell.end_anywhere(task(1, 0, 0), RunEnd::Done);
     cell.end_anywhere(task(1, 0, 1), RunEnd::Done);
     cell.look(&mut lead);
-    // The end was seen but is not in the store yet, so the worker must go on listing it.
+    // The lead has read the ends, but they are not in the store yet, so the worker must go on listing them.
     cell.look(&mut lead);
     assert_eq!(cell.listed_ends(0) + cell.listed_ends(1), 2);
     cell.turns(&mut lead, 2);
@@ -37,7 +37,7 @@
     cell.look(&mut lead);
     cell.record(&mut lead);
     assert_eq!(cell.progress(1).tasks[0].failed_runs.len(), 1);
-    // The lead is lost before it acknowledges the end, so the worker lists it to the next one.
+    // The lead is lost before it acknowledges the end, so the worker lists the end to the next lead.
     let mut next = cell.lead(false);
     cell.look(&mut next);
     cell.record(&mut next);
@@ -97,7 +97,7 @@
     assert!(runs.iter().all(|run| *run == runs[0]), "the members share a run");
     cell.end_anywhere(task(2, 0, 1), RunEnd::Done);
     cell.turns(&mut lead, 3);
-    assert_eq!(cell.progress(2).state, JobState::Completed, "one end stands for all");
+    assert_eq!(cell.progress(2).state, JobState::Completed, "the end of one member ends the gang");
 }
 
 #[test]
@@ -115,14 +115,14 @@
     for order in lead.take_orders() {
         cell.obey(&mut lead, &order);
     }
-    assert_eq!(cell.starts.len(), 1, "it was carried out, and nobody heard");
+    assert_eq!(cell.starts.len(), 1, "the start was carried out, but its answer was lost");
     for worker in &mut cell.workers {
         worker.mute = false;
     }
     // The fake panics if the task ever runs in two places.
     cell.turns(&mut lead, 200);
-    let stops = cell.starts.len();
-    assert!(stops >= 2, "it runs again once the first run was stopped");
+    let starts = cell.starts.len();
+    assert!(starts >= 2, "the task runs again once the first run was stopped");
 }
 
 #[test]
@@ -133,14 +133,14 @@
     cell.turns(&mut lead, 3);
     let number = cell.place(task(1, 0, 0)).unwrap();
     cell.workers[number].cut = true;
-    // The lapse is applied when the worker is looked at, which a cut worker never is: the fake
-    // panics if the task starts elsewhere while it runs there, so time alone must pass first.
-    let begun = cell.now;
+    // The fake ends a lapsed run when its worker is called, which never happens to a worker that is cut off. The fake
+    // panics if the task starts elsewhere while it runs there, so the test ends the run after 4 s.
+    let begin = cell.now;
     while cell.starts.len() == 1 {
         cell.now.0 += 20;
         cell.list(&mut lead);
         for number in 0..2 {
-            if cell.now.0 - begun.0 > 4_000 {
+            if cell.now.0 - begin.0 > 4_000 {
                 cell.workers[number].expire_for_test();
             }
         }
@@ -150,13 +150,13 @@
         for order in lead.take_orders() {
             cell.obey(&mut lead, &order);
         }
-        assert!(cell.now.0 - begun.0 < 10_000, "the task never ran again");
+        assert!(cell.now.0 - begin.0 < 10_000, "the task did not run again");
     }
-    assert!(cell.now.0 - begun.0 >= 4_000);
+    assert!(cell.now.0 - begin.0 >= 4_000);
 }
 
 #[test]
-fn a_new_lead_starts_nothing_ordered_before_while_a_worker_is_silent() {
+fn a_new_lead_starts_no_earlier_job_while_a_worker_is_silent() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
@@ -167,19 +167,19 @@
     cell.submit(&mut next, 2, job(vec![step(1, 1)]));
     cell.turns(&mut next, 10);
     assert_eq!(cell.starts.len(), 2, "no earlier lead can have started the second job");
-    let begun = cell.now;
-    while cell.now.0 - begun.0 < 2_000 {
+    let begin = cell.now;
+    while cell.now.0 - begin.0 < 2_000 {
         cell.turn(&mut next);
     }
     assert_eq!(cell.starts.len(), 2);
     cell.workers[number].cut = false;
     cell.turns(&mut next, 5);
     assert!(next.is_settled());
-    assert_eq!(cell.starts.len(), 2, "the run was found where it is");
+    assert_eq!(cell.starts.len(), 2, "the next lead found the run");
 }
 
 #[test]
-fn a_leaving_worker_gets_no_new_work() {
+fn a_draining_worker_gets_no_new_work() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.workers[0].entry.draining = true;
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn failed_runs_are_counted_in_whatever_order_a_new_lead_hears_of_them() {
+fn failed_runs_are_counted_in_whatever_order_a_new_lead_reads_them() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
@@ -227,7 +227,7 @@
     assert_eq!(cell.starts.len(), 3);
     let later = cell.starts[1].2 != cell.workers[0].entry.life;
     let mut next = cell.lead(false);
-    // The account that holds the later end is heard first.
+    // The next lead reads the report with the later end first.
     let order = if later { [1, 0] } else { [0, 1] };
     for number in order {
         cell.look_at(&mut next, WorkerKey(number));
@@ -237,12 +237,12 @@
 }
 
 #[test]
-fn a_worker_that_runs_something_unknown_gets_no_work_until_that_is_gone() {
+fn a_worker_with_an_unknown_run_gets_no_work_until_the_run_ends() {
     let mut cell = FakeCell::new(1, 4);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(1, 4)]));
     cell.turns(&mut lead, 3);
-    // The job is over by what is kept, so the next lead does not know what its run takes.
+    // The job is over by its record, so the next lead does not know the resources of its run.
     cell.store.get_mut(&JobId(1)).unwrap().1.state = JobState::Failed;
     let mut next = cell.lead(false);
     cell.submit(&mut next, 2, job(vec![step(1, 4)]));
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_what_it_runs_is_shunned_and_then_tried_with_one_run() {
+fn a_worker_that_fails_its_runs_is_suspended_and_then_tried_with_one_run() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     for id in 1..=3 {
@@ -272,24 +272,24 @@
         cell.end_anywhere(task(id, 0, 0), RunEnd::Failed);
     }
     cell.turns(&mut lead, 50);
-    assert_eq!(cell.starts.len(), 3, "nothing more is started there for a time");
+    assert_eq!(cell.starts.len(), 3, "a suspended worker gets no start");
     cell.turns(&mut lead, 100);
-    assert_eq!(cell.starts.len(), 4, "one run tries it");
-    let tried = cell.starts[3].0;
-    cell.end_anywhere(tried, RunEnd::Done);
+    assert_eq!(cell.starts.len(), 4, "the worker is tried with one run");
+    let trial = cell.starts[3].0;
+    cell.end_anywhere(trial, RunEnd::Done);
     cell.turns(&mut lead, 5);
-    assert_eq!(cell.starts.len(), 6, "it gets work again");
+    assert_eq!(cell.starts.len(), 6, "the worker gets work again");
 }
 
 #[test]
-fn a_run_that_hardly_gets_on_is_moved_off_a_worker_that_is_slow_in_general() {
+fn overdue_runs_are_moved_off_a_slow_worker() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(3, 1)]));
     cell.turns(&mut lead, 3);
     let slow = cell.place(task(1, 0, 0)).unwrap();
     assert!((0..3).all(|index| cell.place(task(1, 0, index)) == Some(slow)));
-    // Each was guessed at 1 s and stands still.
+    // The estimate of each task is 1 s, and none makes progress.
     cell.turns(&mut lead, 400);
     for index in 0..3 {
         assert_eq!(cell.place(task(1, 0, index)), Some(1 - slow), "task {index} was moved");
@@ -306,16 +306,16 @@
     cell.turns(&mut lead, 150);
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
     cell.turns(&mut lead, 10);
-    assert!(cell.starts.is_empty(), "it has been gone for longer than an outage explains");
+    assert!(cell.starts.is_empty(), "the worker has been unlisted for longer than an outage lasts");
     cell.workers[0].unlisted = false;
     cell.list(&mut lead);
-    // It has left the roster meanwhile, and is in it again with the reading after its first answer.
+    // The worker has left the roster meanwhile, and returns to it with the list read after its first answer.
     cell.turns(&mut lead, 30);
     assert_eq!(cell.starts.len(), 1);
 }
 
 #[test]
-fn a_worker_that_answers_gets_work_while_its_entry_is_away_for_a_moment() {
+fn a_worker_that_answers_gets_work_while_its_entry_is_briefly_missing() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 3);
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_worker_that_has_left_does_not_hold_up_a_later_lead() {
+fn a_later_lead_does_not_wait_for_a_worker_that_has_left() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 3);
@@ -359,12 +359,12 @@
 }
 
 #[test]
-fn a_lasting_task_starts_again_however_it_ends() {
+fn a_long_running_task_starts_again_after_failed_runs() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
-    let mut lasting = step(1, 1);
-    lasting.long_running = true;
-    cell.submit(&mut lead, 1, job(vec![lasting]));
+    let mut long_running = step(1, 1);
+    long_running.long_running = true;
+    cell.submit(&mut lead, 1, job(vec![long_running]));
     for _ in 0..6 {
         cell.turns(&mut lead, 10);
         cell.end_anywhere(task(1, 0, 0), RunEnd::Failed);
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn no_task_starts_before_its_job_is_recorded_as_ordered() {
+fn no_task_starts_before_the_record_that_its_job_may_have_started() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 3);
@@ -383,13 +383,13 @@
     for _ in 0..5 {
         cell.turn_unrecorded(&mut lead);
     }
-    assert!(cell.starts.is_empty(), "a later lead would not know that it may run");
+    assert!(cell.starts.is_empty(), "a later lead would not know that the task may run");
     cell.turns(&mut lead, 2);
     assert_eq!(cell.starts.len(), 1);
 }
 
 #[test]
-fn leads_that_begin_from_the_same_records_use_different_runs() {
+fn leads_that_start_from_the_same_records_use_different_runs() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.submit(&mut lead, 1, job(vec![step(1, 1)]));
@@ -410,14 +410,14 @@
 }
 
 #[test]
-fn accounts_are_short_while_calls_to_workers_get_lost() {
+fn report_waits_are_short_while_calls_to_workers_get_lost() {
     let mut cell = FakeCell::new(40, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 20);
     let key = lead.add_roster(&cell.roster.clone(), cell.now).first().copied();
-    assert_eq!(key, None, "all workers are watched");
-    let watched = WorkerKey(0);
-    let usual = lead.hold_order(watched, true, cell.now).wait;
+    assert_eq!(key, None, "all workers are polled");
+    let polled = WorkerKey(0);
+    let usual_wait = lead.hold_order(polled, true, cell.now).wait;
     // One call in ten is lost, at another worker each time.
     for round in 0..60 {
         cell.workers[round % 40].mute = round % 10 == 0;
@@ -426,25 +426,28 @@
         cell.workers[round % 40].mute = false;
         cell.look_at(&mut lead, WorkerKey(round % 40));
     }
-    let lossy = lead.hold_order(watched, true, cell.now).wait;
-    assert!(lossy.0 * 4 <= usual.0, "{usual} against {lossy}");
+    let lossy_wait = lead.hold_order(polled, true, cell.now).wait;
+    assert!(
+        lossy_wait.0 * 4 <= usual_wait.0,
+        "usual wait {usual_wait}, wait with lost calls {lossy_wait}"
+    );
     cell.turns(&mut lead, 20);
-    assert_eq!(lead.hold_order(watched, true, cell.now).wait, usual);
+    assert_eq!(lead.hold_order(polled, true, cell.now).wait, usual_wait);
 }
 
 #[test]
-fn a_worker_that_is_out_of_touch_does_not_shorten_the_accounts_of_others() {
+fn an_unreachable_worker_does_not_shorten_the_report_waits_of_others() {
     let mut cell = FakeCell::new(10, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 20);
-    let usual = lead.hold_order(WorkerKey(0), true, cell.now).wait;
+    let usual_wait = lead.hold_order(WorkerKey(0), true, cell.now).wait;
     cell.workers[3].cut = true;
     cell.turns(&mut lead, 50);
-    assert_eq!(lead.hold_order(WorkerKey(0), true, cell.now).wait, usual);
+    assert_eq!(lead.hold_order(WorkerKey(0), true, cell.now).wait, usual_wait);
 }
 
 #[test]
-fn an_account_after_an_answered_stop_settles_a_run_that_never_began() {
+fn a_report_after_an_answered_stop_settles_a_run_that_never_started() {
     let mut cell = FakeCell::new(2, 16);
     let mut lead = cell.lead(false);
     cell.turns(&mut lead, 2);
@@ -458,17 +461,17 @@
     for order in lead.take_orders() {
         cell.obey(&mut lead, &order);
     }
-    assert!(cell.starts.is_empty(), "the start is on its way");
+    assert!(cell.starts.is_empty(), "the start has not arrived");
     let ordered =
         lead.take_events().into_iter().any(|event| matches!(event, CellEvent::Placed { .. }));
     assert!(ordered, "the start was sent");
     for worker in &mut cell.workers {
         worker.cut = false;
     }
-    let begun = cell.now;
+    let begin = cell.now;
     while cell.starts.is_empty() {
         cell.turn(&mut lead);
-        assert!(cell.now.since(begun) < TimeSpan(400), "the task waits too long");
+        assert!(cell.now.since(begin) < TimeSpan(400), "the task waits too long");
     }
     // The fake panics if the late copy begins as well.
     cell.carry_out_late();
