--- /dev/null
+++ b/crates/sedgehilld/src/cell/lead_metrics.rs
@@ -0,0 +1,81 @@
+//! Exports metrics of organisations, stalled steps and late restarts while this box leads.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use sedgehill_cell::scheduler::{OrganisationStats, RestartStats, StallReason, StallStats};
+use sedgehill_core::units::{CoreCount, ResourceSet};
+
+use super::lead::LeadSession;
+use crate::{clock, telemetry};
+
+/// Interval at which the metrics are updated.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// The units of core counts and of organisation weights are thousandths.
+const THOUSANDTHS_PER_UNIT: f64 = 1_000.0;
+/// Milliseconds in a second.
+const MILLIS_PER_SECOND: f64 = 1_000.0;
+/// The value of a limit that is not set, which Prometheus writes as `+Inf`.
+const NO_LIMIT: f64 = f64::INFINITY;
+
+/// Updates the metrics until the lead ends. [`reset`] then clears them.
+pub async fn run(session: &LeadSession) {
+    let mut exported = BTreeSet::new();
+    loop {
+        tokio::time::sleep(UPDATE_INTERVAL).await;
+        set_organisation_metrics(&session.scheduler.borrow().organisation_stats());
+        set_stall_metrics(&session.scheduler.borrow().stall_stats(clock::now()), &mut exported);
+        set_restart_metrics(session.scheduler.borrow().restart_stats(clock::now()));
+    }
+}
+
+/// Sets the metrics of stalled steps. A reason that was exported before and no longer applies is
+/// set to zero.
+fn set_stall_metrics(stats: &[StallStats], exported: &mut BTreeSet<StallReason>) {
+    for stall in stats {
+        exported.insert(stall.reason);
+        telemetry::set_stalled(
+            stall.reason.name(),
+            stall.steps,
+            stall.longest.0 as f64 / MILLIS_PER_SECOND,
+        );
+    }
+    for reason in
+        exported.iter().filter(|reason| stats.iter().all(|stall| stall.reason != **reason))
+    {
+        telemetry::set_stalled(reason.name(), 0, 0.0);
+    }
+}
+
+/// Sets the metrics of long-running tasks that have no run.
+fn set_restart_metrics(stats: RestartStats) {
+    telemetry::set_restarts(stats.tasks, stats.longest.0 as f64 / MILLIS_PER_SECOND);
+}
+
+/// Clears the metrics of a lead that has ended, since nothing runs by its orders any more.
+pub fn reset(session: &LeadSession) {
+    let mut stats = session.scheduler.borrow().organisation_stats();
+    for organisation in &mut stats {
+        (organisation.running, organisation.open_jobs) = (ResourceSet::default(), 0);
+    }
+    set_organisation_metrics(&stats);
+    let stalls = session.scheduler.borrow().stall_stats(clock::now());
+    set_stall_metrics(&[], &mut stalls.iter().map(|stall| stall.reason).collect());
+    set_restart_metrics(RestartStats::default());
+}
+
+fn set_organisation_metrics(stats: &[OrganisationStats]) {
+    for organisation in stats.iter().take(telemetry::MAX_LABELLED_ORGANISATIONS) {
+        let cores = |count: CoreCount| count.0 as f64 / THOUSANDTHS_PER_UNIT;
+        let set =
+            |metric, value| telemetry::set_organisation_gauge(metric, &organisation.name.0, value);
+        set("sedgehill_cell_organisation_running_cores", cores(organisation.running.cores));
+        let limit = organisation.limit.cores.map_or(NO_LIMIT, cores);
+        set("sedgehill_cell_organisation_limit_cores", limit);
+        set("sedgehill_cell_organisation_open_jobs", organisation.open_jobs as f64);
+        set(
+            "sedgehill_cell_organisation_share",
+            organisation.weight.0 as f64 / THOUSANDTHS_PER_UNIT,
+        );
+    }
+}
--- a/crates/sedgehilld/src/controllers/log_writer.rs
+++ b/crates/sedgehilld/src/controllers/log_writer.rs
@@ -1,7 +1,7 @@
-//! Appends records in batches and keeps each until it is read back.
+//! Appends records to the log in batches, and keeps each until it is read back.
 //!
-//! An append whose answer is lost may have taken effect, so its records are appended again with the
-//! same ids; the fold gives a second copy no effect.
+//! An append whose answer is lost may have taken effect, so its records are appended again with the same ids. The fold
+//! ignores a second record with the same id.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use sedgehill_core::record::{LogRecord, RecordBatch, RecordBody};
 use sedgehill_core::state::RecordVerdict;
 use sedgehill_core::units::{Moment, TimeSpan};
-use sedgehill_platform::caller::CallError;
+use sedgehill_platform::client::CallError;
 use sedgehill_platform::log::LogClient;
 use tokio::sync::oneshot;
 use uuid::Uuid;
@@ -20,120 +20,122 @@
 use crate::clock;
 use crate::telemetry;
 
-/// The most records in one append.
-const MAX_BATCH: usize = 500;
-/// How long a record that nobody waits for is appended again before it is given up.
-const UNATTENDED_LIMIT: TimeSpan = TimeSpan(120_000);
-/// The pause after a failed append, in milliseconds; it doubles up to [`MAX_PAUSE_MS`].
-const FIRST_PAUSE_MS: u64 = 50;
-/// The longest pause after a failed append, in milliseconds.
-const MAX_PAUSE_MS: u64 = 1_000;
+/// Maximum number of records in one append.
+const MAX_BATCH_RECORDS: usize = 500;
+/// How long a record without a waiting task is appended again before it is dropped.
+const UNATTENDED_TIMEOUT: TimeSpan = TimeSpan(120_000);
+/// Delay after the first failed append, in milliseconds. It doubles up to [`MAX_RETRY_DELAY_MS`].
+const MIN_RETRY_DELAY_MS: u64 = 50;
+/// Maximum delay after a failed append, in milliseconds, without the random part.
+const MAX_RETRY_DELAY_MS: u64 = 1_000;
 
-/// A record on its way to the log and back.
+/// A record that is not yet read back from the log.
 #[derive(Debug)]
 pub struct PendingRecord {
     /// The record.
     pub record: LogRecord,
-    /// When it was first sent, if it was.
+    /// When the record was first sent; `None` if no append of it can have taken effect.
     pub first_sent: Option<Moment>,
-    /// Who waits for its verdict.
+    /// Sender to the task that waits for the verdict, if there is one.
     pub reply: Option<oneshot::Sender<RecordVerdict>>,
-    /// When it is given up.
-    give_up: Moment,
-    /// Where it stands, once the log has said so.
+    /// When the writer drops the record.
+    expires_at: Moment,
+    /// Offset at which the log has acknowledged the record.
     acknowledged: Option<Offset>,
 }
 
-/// The records that are on their way.
+/// The pending records of a box: to be appended, or appended and not yet read back.
 #[derive(Debug)]
 pub struct LogWriter {
-    me: BoxId,
+    own_id: BoxId,
     pending: BTreeMap<RecordId, PendingRecord>,
 }
 
 impl LogWriter {
-    /// A writer of a box, with nothing on its way.
-    pub fn new(me: BoxId) -> LogWriter {
-        LogWriter { me, pending: BTreeMap::new() }
+    /// Creates a writer without pending records for the box `own_id`.
+    pub fn new(own_id: BoxId) -> LogWriter {
+        LogWriter { own_id, pending: BTreeMap::new() }
     }
 
-    /// A new id. Ids of one box ascend, and records are appended in the order of their ids.
+    /// Returns a new record id. The ids of a box ascend, and records are appended in the order of their ids.
     pub fn new_id() -> RecordId {
         RecordId(Uuid::now_v7())
     }
 
-    /// Hands over a record whose verdict someone waits for until `give_up`.
+    /// Adds a record and returns the receiver of its verdict. The record is dropped at `expires_at`.
     pub fn submit(
         &mut self,
         id: RecordId,
         body: RecordBody,
-        give_up: Moment,
+        expires_at: Moment,
     ) -> oneshot::Receiver<RecordVerdict> {
-        let (reply, replied) = oneshot::channel();
-        self.insert(id, body, give_up, Some(reply));
-        replied
+        let (reply, verdict) = oneshot::channel();
+        self.insert(id, body, expires_at, Some(reply));
+        verdict
     }
 
-    /// Hands over a record that nobody waits for.
+    /// Adds a record for whose verdict no task waits.
     pub fn submit_unattended(&mut self, body: RecordBody, now: Moment) {
-        self.insert(Self::new_id(), body, now.after(UNATTENDED_LIMIT), None);
+        self.insert(Self::new_id(), body, now.after(UNATTENDED_TIMEOUT), None);
     }
 
-    /// Hands over a record that is worthless after `give_up`.
-    pub fn submit_until(&mut self, body: RecordBody, give_up: Moment) {
-        self.insert(Self::new_id(), body, give_up, None);
+    /// Adds a record that has no use after `expires_at`, and for whose verdict no task waits.
+    pub fn submit_until(&mut self, body: RecordBody, expires_at: Moment) {
+        self.insert(Self::new_id(), body, expires_at, None);
     }
 
     fn insert(
         &mut self,
         id: RecordId,
         body: RecordBody,
-        give_up: Moment,
+        expires_at: Moment,
         reply: Option<oneshot::Sender<RecordVerdict>>,
     ) {
-        let record = LogRecord { id, by: self.me.clone(), body };
+        let record = LogRecord { id, by: self.own_id.clone(), body };
         let pending =
-            PendingRecord { record, first_sent: None, reply, give_up, acknowledged: None };
+            PendingRecord { record, first_sent: None, reply, expires_at, acknowledged: None };
         self.pending.insert(id, pending);
     }
 
-    /// Takes out a record whose verdict was read.
-    pub fn settle(&mut self, id: &RecordId) -> Option<PendingRecord> {
+    /// Removes a record whose verdict was read.
+    pub fn remove(&mut self, id: &RecordId) -> Option<PendingRecord> {
         self.pending.remove(id)
     }
 
-    /// Takes out a record that nobody waits for any more. Returns whether it may take effect yet.
+    /// Removes a record for which no task waits any more. Returns whether it may still take effect.
     pub fn withdraw(&mut self, id: &RecordId) -> bool {
         self.pending.remove(id).is_some_and(|pending| pending.first_sent.is_some())
     }
 
-    /// Whether a snapshot is on its way.
+    /// Returns whether a snapshot is pending.
     pub fn has_snapshot(&self) -> bool {
         self.has_pending(|body| matches!(body, RecordBody::Snapshot { .. }))
     }
 
-    /// Whether a record on its way fits a check.
-    pub fn has_pending(&self, check: impl Fn(&RecordBody) -> bool) -> bool {
-        self.pending.values().any(|pending| check(&pending.record.body))
+    /// Returns whether a pending record satisfies the predicate.
+    pub fn has_pending(&self, predicate: impl Fn(&RecordBody) -> bool) -> bool {
+        self.pending.values().any(|pending| predicate(&pending.record.body))
     }
 
-    /// Records on their way.
-    pub fn pending(&self) -> usize {
+    /// Returns the number of pending records.
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// The records to append now, each noted as sent.
+    /// Drops expired records, and returns the records to append next, which it marks as sent.
     fn next_batch(&mut self, now: Moment) -> RecordBatch {
-        self.pending.retain(|_, pending| pending.give_up > now);
-        let wanted = self.pending.values_mut().filter(|pending| pending.acknowledged.is_none());
+        self.pending.retain(|_, pending| pending.expires_at > now);
+        let unacknowledged =
+            self.pending.values_mut().filter(|pending| pending.acknowledged.is_none());
         let mut batch = RecordBatch::default();
-        for pending in wanted.take(MAX_BATCH) {
+        for pending in unacknowledged.take(MAX_BATCH_RECORDS) {
             pending.first_sent.get_or_insert(now);
             batch.records.push(pending.record.clone());
         }
         batch
     }
 
+    /// Records that the log has acknowledged a batch.
     fn acknowledge(&mut self, batch: &RecordBatch, offset: Offset) {
         for record in &batch.records {
             if let Some(pending) = self.pending.get_mut(&record.id) {
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Forgets that records were sent, after an append that surely had no effect.
-    fn unsend(&mut self, batch: &RecordBatch, sent: Moment) {
+    /// Marks records as not sent, after their first append surely had no effect.
+    fn mark_unsent(&mut self, batch: &RecordBatch, sent: Moment) {
         for record in &batch.records {
             if let Some(pending) = self.pending.get_mut(&record.id) {
                 pending.first_sent = pending.first_sent.filter(|first| *first != sent);
@@ -151,23 +153,24 @@
         }
     }
 
-    /// Sends records again that the log said it has, but that were not there to read.
-    fn doubt(&mut self, applied: Offset) {
+    /// Marks acknowledged records for another append if the log was applied beyond their offset without them.
+    fn resend_missing(&mut self, applied: Offset) {
         for pending in self.pending.values_mut() {
             pending.acknowledged = pending.acknowledged.filter(|offset| *offset >= applied);
         }
     }
 }
 
-/// Appends for as long as the box runs.
+/// Appends pending records until the process ends.
 pub async fn run(context: ControlContext) {
-    let client = LogClient::new(context.caller.clone(), context.shared.settings.platform.log);
-    let every = Duration::from_millis(context.shared.settings.log.append_every.as_millis());
-    let mut pause = FIRST_PAUSE_MS;
+    let client = LogClient::new(context.client.clone(), context.shared.settings.platform.log);
+    let append_interval =
+        Duration::from_millis(context.shared.settings.log.append_every.as_millis());
+    let mut retry_delay_ms = MIN_RETRY_DELAY_MS;
     loop {
         let batch = next_batch(&mut context.state.borrow_mut());
         if batch.records.is_empty() {
-            context.write_wanted.notified().await;
+            context.writer_notify.notified().await;
             continue;
         }
         let sent = clock::now();
@@ -175,14 +178,14 @@
             Ok(offset) => {
                 telemetry::count_append("acknowledged");
                 context.state.borrow_mut().writer.acknowledge(&batch, offset);
-                pause = FIRST_PAUSE_MS;
-                tokio::time::sleep(every).await;
+                retry_delay_ms = MIN_RETRY_DELAY_MS;
+                tokio::time::sleep(append_interval).await;
             }
             Err(error) => {
-                note_failure(&context, &batch, &error, sent);
-                let jitter = rand::rng().random_range(0..pause);
-                tokio::time::sleep(Duration::from_millis(pause + jitter)).await;
-                pause = (pause * 2).min(MAX_PAUSE_MS);
+                record_failure(&context, &batch, &error, sent);
+                let jitter = rand::rng().random_range(0..retry_delay_ms);
+                tokio::time::sleep(Duration::from_millis(retry_delay_ms + jitter)).await;
+                retry_delay_ms = (retry_delay_ms * 2).min(MAX_RETRY_DELAY_MS);
             }
         }
     }
@@ -190,16 +193,16 @@
 
 fn next_batch(state: &mut ControlState) -> RecordBatch {
     if let Some(applied) = state.cluster().map(|cluster| cluster.next) {
-        state.writer.doubt(applied);
+        state.writer.resend_missing(applied);
     }
     state.writer.next_batch(clock::now())
 }
 
-fn note_failure(context: &ControlContext, batch: &RecordBatch, error: &CallError, sent: Moment) {
-    match error.is_certain() {
+fn record_failure(context: &ControlContext, batch: &RecordBatch, error: &CallError, sent: Moment) {
+    match error.is_not_done() {
         true => {
             telemetry::count_append("refused");
-            context.state.borrow_mut().writer.unsend(batch, sent);
+            context.state.borrow_mut().writer.mark_unsent(batch, sent);
         }
         false => telemetry::count_append("unknown"),
     }
--- a/crates/sedgehilld/src/controllers/mod.rs
+++ b/crates/sedgehilld/src/controllers/mod.rs
@@ -1,15 +1,15 @@
-//! The controllers: each keeps one part of the state right. All run on one thread, so they share
-//! the state without locks; what other threads need, they publish.
+//! The controllers, each of which maintains one part of the state of a box. All run on one thread, so they share the
+//! state without locks, and publish what the other threads need.
 
 mod leads;
 mod log_reader;
 mod log_writer;
 mod members;
-mod operators;
 mod placement;
-mod proof;
 mod publish;
+mod refresh;
 mod reports;
+mod requests;
 mod shutdown;
 
 use std::cell::RefCell;
@@ -25,97 +25,98 @@
 use sedgehill_core::units::{Moment, TimeSpan};
 use sedgehill_peer::{ClaimStatus, PeerLink, PeerRequest};
 use sedgehill_platform::admin::{ChangeReply, ChangeRequest, DecisionRecord};
-use sedgehill_platform::caller::JsonCaller;
+use sedgehill_platform::client::JsonClient;
 use sedgehill_platform::list::PlatformList;
 use tokio::sync::{Notify, Semaphore, mpsc, oneshot};
 
 use crate::clock;
 use crate::shared::SharedState;
 use log_writer::LogWriter;
-use placement::OrderLine;
+use placement::OrderChannel;
 
-/// Requests to the control thread that wait before traffic is told that it is busy.
+/// Capacity of the queue of requests to the control thread. Traffic threads treat a full queue as a failure; operators'
+/// requests wait for a free place in it.
 pub const CONTROL_QUEUE_LENGTH: usize = 4_096;
-/// Orders under way to workers at once.
-const ORDERS_AT_ONCE: usize = 32;
-/// Decisions that are remembered for reading back.
-const KEPT_DECISIONS: usize = 4_096;
+/// Maximum number of start orders to workers in flight at once.
+const MAX_CONCURRENT_ORDERS: usize = 32;
+/// Maximum number of placement decisions that are kept for operators.
+const MAX_DECISIONS: usize = 4_096;
 
-/// What other threads ask of the control thread.
+/// A request of another thread to the control thread.
 pub enum ControlRequest {
-    /// Claim a once-only request.
+    /// Claims the idempotency key of a once-only request in the log.
     ClaimKey {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The key.
+        /// Key to claim.
         key: IdempotencyKey,
-        /// When the caller gives up.
+        /// Deadline of the caller's request.
         deadline: Moment,
-        /// Where the answer goes.
+        /// Receives the result.
         reply: oneshot::Sender<ClaimReply>,
     },
-    /// Bring the view up to date with all that was in the log at a moment.
-    ProveView {
+    /// Updates the view so that it includes every entry that was in the log at a moment.
+    RefreshView {
         /// The moment.
         since: Moment,
-        /// Where the answer goes: whether it worked.
+        /// Receives whether the view was updated in time.
         reply: oneshot::Sender<bool>,
     },
-    /// Find out whether a key is claimed.
+    /// Finds out whether an idempotency key is claimed.
     FindClaim {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The key.
+        /// Key to look up.
         key: IdempotencyKey,
-        /// When its request came.
+        /// When the request with this key arrived.
         since: Moment,
-        /// Where the answer goes.
+        /// Receives the status of the key.
         reply: oneshot::Sender<ClaimStatus>,
     },
-    /// Give a claim back.
+    /// Releases the claim of a key whose request surely did not run.
     ReleaseKey {
-        /// The organisation of the caller.
+        /// Organisation of the caller.
         organisation: OrgName,
-        /// The key.
+        /// Claimed key.
         key: IdempotencyKey,
-        /// The record of the claim.
+        /// Id of the claim's record.
         claim: RecordId,
     },
-    /// Make an operator's change.
+    /// Executes an operator's change.
     Change {
         /// The change.
         change: ChangeRequest,
-        /// Where the answer goes.
+        /// Receives the result.
         reply: oneshot::Sender<ChangeReply>,
     },
-    /// Read the state.
+    /// Calls a function with the state, to read from it.
     Read(Box<dyn FnOnce(&ControlState) + Send>),
 }
 
-/// What became of a claim.
+/// The result of claiming a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimReply {
-    /// The request may run, once.
+    /// The claim is recorded under this id, and the request may run once.
     Granted(RecordId),
-    /// It may not.
+    /// The log contains the claim, but it is void. The request must not run.
     Void(VoidReason),
-    /// The claim was not read back in time. The request does not run.
+    /// The claim was not read back from the log in time. The request must not run.
     NotRecorded,
 }
 
-/// Reaches the control thread from other threads.
+/// Sends requests from other threads to the control thread.
 #[derive(Clone)]
 pub struct ControlHandle {
     sender: mpsc::Sender<ControlRequest>,
 }
 
 impl ControlHandle {
-    /// A handle that sends to `sender`.
+    /// Creates a handle that sends to `sender`.
     pub fn new(sender: mpsc::Sender<ControlRequest>) -> ControlHandle {
         ControlHandle { sender }
     }
 
-    /// Claims a once-only request.
+    /// Claims the idempotency key of a once-only request.
     pub async fn claim_key(
         &self,
         organisation: OrgName,
@@ -130,14 +131,15 @@
         replied.await.unwrap_or(ClaimReply::NotRecorded)
     }
 
-    /// Brings the view up to date with all that was in the log at `since`. Returns whether that worked in time.
-    pub async fn prove_view(&self, since: Moment) -> bool {
+    /// Updates the view so that it includes every entry that was in the log at `since`. Returns whether that was done
+    /// in time.
+    pub async fn refresh_view(&self, since: Moment) -> bool {
         let (reply, replied) = oneshot::channel();
-        let sent = self.sender.try_send(ControlRequest::ProveView { since, reply });
+        let sent = self.sender.try_send(ControlRequest::RefreshView { since, reply });
         sent.is_ok() && replied.await.unwrap_or(false)
     }
 
-    /// Finds out whether the key of a request that came at `since` is claimed.
+    /// Finds out whether the key of a request that arrived at `since` is claimed.
     pub async fn find_claim(
         &self,
         organisation: OrgName,
@@ -152,12 +154,13 @@
         }
     }
 
-    /// Gives a claim back. If the control thread is too busy the claim stays, which is safe.
+    /// Releases a claim. If the queue of the control thread is full, the claim remains: the caller cannot retry with
+    /// the key, but no request runs twice.
     pub fn release_key(&self, organisation: OrgName, key: IdempotencyKey, claim: RecordId) {
         let _ = self.sender.try_send(ControlRequest::ReleaseKey { organisation, key, claim });
     }
 
-    /// Makes an operator's change.
+    /// Executes an operator's change and returns its result.
     pub async fn change(&self, change: ChangeRequest) -> ChangeReply {
         let (reply, replied) = oneshot::channel();
         if self.sender.send(ControlRequest::Change { change, reply }).await.is_err() {
@@ -166,49 +169,58 @@
         replied.await.unwrap_or(ChangeReply::Unknown)
     }
 
-    /// Reads something of the state; none if the box is stopping.
+    /// Calls `read` with the state and returns its result, or `None` if the box is stopping.
     pub async fn read<R: Send + 'static>(
         &self,
         read: impl FnOnce(&ControlState) -> R + Send + 'static,
     ) -> Option<R> {
         let (reply, replied) = oneshot::channel();
-        let run = move |state: &ControlState| {
+        let read_and_reply = move |state: &ControlState| {
             let _ = reply.send(read(state));
         };
-        self.sender.send(ControlRequest::Read(Box::new(run))).await.ok()?;
+        self.sender.send(ControlRequest::Read(Box::new(read_and_reply))).await.ok()?;
         replied.await.ok()
     }
 }
 
-/// Everything that the controllers own.
+/// The state that the controllers own.
 pub struct ControlState {
     shared: Arc<SharedState>,
     incarnation: Incarnation,
-    began: Moment,
+    started_at: Moment,
+    /// Folds the log into the state of the cluster.
     fold: LogFold,
-    log_heard: Moment,
+    /// When the log last answered a read.
+    last_log_reply_at: Moment,
+    /// Error of the last failed read of the log.
     log_error: String,
-    snapshot_at: u64,
+    /// Highest offset that a snapshot covers, of those that were read from the log or submitted by this box.
+    last_snapshot: u64,
     writer: LogWriter,
     members: MemberTable,
     list: PlatformList,
-    list_read: bool,
-    /// When the last look at the log that has ended was begun.
-    log_looked: Moment,
-    /// When the last read was begun that reached the end of the log.
-    log_proven: Moment,
-    proofs: proof::ProofQueue,
-    /// When the last look at the list that has ended was begun.
-    list_looked: Moment,
+    /// Whether the platform's list was read at least once.
+    list_loaded: bool,
+    /// When the last finished read of the log, successful or not, was started.
+    log_read_started_at: Moment,
+    /// When the last read that reached the end of the log was started. The state includes every entry that was in the
+    /// log at that time.
+    log_current_as_of: Moment,
+    refreshes: refresh::RefreshQueue,
+    /// When the last finished read of the platform's list, successful or not, was started.
+    list_read_started_at: Moment,
+    /// When the controllers last tried to publish.
     last_published: Moment,
-    /// When the box last woke from a pause, until it has looked at everything again.
-    woke: Option<Moment>,
+    /// When the process resumed after a pause; `None` once the log and the list were read again, or after a timeout.
+    resumed_at: Option<Moment>,
     leads: BTreeMap<HallName, LeadTimer>,
     placers: BTreeMap<HallName, HallPlacer>,
-    order_lines: BTreeMap<HallName, OrderLine>,
+    order_channels: BTreeMap<HallName, OrderChannel>,
     decisions: VecDeque<DecisionRecord>,
+    /// Whether a planned stop has started.
     stopping: bool,
-    handed_over: BTreeSet<HallName>,
+    /// Halls whose lead this box gives up, so that it neither places tasks there nor renews the lead.
+    handed_over_halls: BTreeSet<HallName>,
 }
 
 impl ControlState {
@@ -216,32 +228,32 @@
         let now = clock::now();
         ControlState {
             incarnation: Incarnation(clock::unix_ms()),
-            began: now,
+            started_at: now,
             fold: LogFold::default(),
-            log_heard: now,
+            last_log_reply_at: now,
             log_error: "not asked yet".to_owned(),
-            snapshot_at: 0,
+            last_snapshot: 0,
             writer: LogWriter::new(shared.settings.id.clone()),
             members: MemberTable::new(shared.settings.member),
             list: PlatformList::default(),
-            list_read: false,
-            log_looked: Moment(0),
-            log_proven: Moment(0),
-            proofs: proof::ProofQueue::default(),
-            list_looked: Moment(0),
+            list_loaded: false,
+            log_read_started_at: Moment(0),
+            log_current_as_of: Moment(0),
+            refreshes: refresh::RefreshQueue::default(),
+            list_read_started_at: Moment(0),
             last_published: now,
-            woke: None,
+            resumed_at: None,
             leads: BTreeMap::new(),
             placers: BTreeMap::new(),
-            order_lines: BTreeMap::new(),
+            order_channels: BTreeMap::new(),
             decisions: VecDeque::new(),
             stopping: false,
-            handed_over: BTreeSet::new(),
+            handed_over_halls: BTreeSet::new(),
             shared,
         }
     }
 
-    fn me(&self) -> &BoxId {
+    fn own_id(&self) -> &BoxId {
         &self.shared.settings.id
     }
 
@@ -249,40 +261,41 @@
         self.fold.state()
     }
 
-    /// How long the log has been silent.
+    /// Returns how long the log has not answered.
     fn log_silence(&self, now: Moment) -> TimeSpan {
-        now.since(self.log_heard)
+        now.since(self.last_log_reply_at)
     }
 
-    /// Whether this box is to take no further duties.
+    /// Returns whether this box reports itself as draining and holds no leads, because it stops or an operator drains
+    /// it.
     fn is_leaving(&self) -> bool {
-        let asked = |state: &ClusterState| state.draining.contains(self.me());
-        self.stopping || self.cluster().is_some_and(asked)
+        let is_drained = |state: &ClusterState| state.draining.contains(self.own_id());
+        self.stopping || self.cluster().is_some_and(is_drained)
     }
 
-    fn remember(&mut self, decision: DecisionRecord) {
-        if self.decisions.len() >= KEPT_DECISIONS {
+    fn record_decision(&mut self, decision: DecisionRecord) {
+        if self.decisions.len() >= MAX_DECISIONS {
             self.decisions.pop_front();
         }
         self.decisions.push_back(decision);
     }
 }
 
-/// What the controllers share.
+/// The state and the handles that the controllers share.
 #[derive(Clone)]
 struct ControlContext {
     state: Rc<RefCell<ControlState>>,
     shared: Arc<SharedState>,
     link: PeerLink,
-    caller: JsonCaller,
-    /// Wakes the log writer.
-    write_wanted: Rc<Notify>,
-    /// Wakes the placement controller.
-    place_wanted: Rc<Notify>,
-    /// Wakes the reader that proves that the state is new.
-    proof_wanted: Rc<Notify>,
-    /// Bounds the orders under way to workers: each needs memory for its connection.
-    orders: Rc<Semaphore>,
+    client: JsonClient,
+    /// Wakes the log writer when records are to be appended.
+    writer_notify: Rc<Notify>,
+    /// Wakes the placement controller before its next tick.
+    placement_notify: Rc<Notify>,
+    /// Wakes the refresh controller when a request needs the end of the log.
+    refresh_notify: Rc<Notify>,
+    /// Bounds the start orders in flight, since each needs memory for its connection.
+    order_permits: Rc<Semaphore>,
 }
 
 /// Runs the controllers until the box stops.
@@ -296,22 +309,22 @@
         state: Rc::new(RefCell::new(ControlState::new(shared.clone()))),
         shared,
         link,
-        caller: JsonCaller::new(),
-        write_wanted: Rc::default(),
-        place_wanted: Rc::default(),
-        proof_wanted: Rc::default(),
-        orders: Rc::new(Semaphore::new(ORDERS_AT_ONCE)),
+        client: JsonClient::new(),
+        writer_notify: Rc::default(),
+        placement_notify: Rc::default(),
+        refresh_notify: Rc::default(),
+        order_permits: Rc::new(Semaphore::new(MAX_CONCURRENT_ORDERS)),
     };
     tokio::task::spawn_local(log_reader::run(context.clone()));
-    tokio::task::spawn_local(proof::run(context.clone()));
+    tokio::task::spawn_local(refresh::run(context.clone()));
     tokio::task::spawn_local(log_writer::run(context.clone()));
     tokio::task::spawn_local(members::read_list(context.clone()));
     tokio::task::spawn_local(members::send_heartbeats(context.clone()));
-    tokio::task::spawn_local(members::take_messages(context.clone(), peers));
+    tokio::task::spawn_local(members::handle_messages(context.clone(), peers));
     tokio::task::spawn_local(leads::run(context.clone()));
     tokio::task::spawn_local(placement::run(context.clone()));
     tokio::task::spawn_local(publish::run(context.clone()));
-    tokio::task::spawn_local(operators::run(context.clone(), inbox));
-    tokio::task::spawn_local(shutdown::follow_drain(context.clone()));
+    tokio::task::spawn_local(requests::run(context.clone(), inbox));
+    tokio::task::spawn_local(shutdown::watch_drain(context.clone()));
     shutdown::run(context).await;
 }
--- a/crates/sedgehilld/src/controllers/operators.rs
+++ b/crates/sedgehilld/src/controllers/requests.rs
@@ -1,4 +1,4 @@
-//! Answers what operators and traffic ask.
+//! Handles the requests of other threads: operators' changes and reads, and the claims of traffic threads.
 
 use sedgehill_core::ids::{HallName, IdempotencyKey, OrgName, RecordId};
 use sedgehill_core::job::JobRequest;
@@ -9,36 +9,36 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::log_writer::LogWriter;
-use super::{ClaimReply, ControlContext, ControlRequest, ControlState, proof};
+use super::{ClaimReply, ControlContext, ControlRequest, ControlState, refresh};
 use crate::clock;
 
-/// How long a change is tried before its outcome is reported as unknown.
-const CHANGE_LIMIT: TimeSpan = TimeSpan(5_000);
-/// The longest that a once-only request waits for its claim.
-const CLAIM_LIMIT: TimeSpan = TimeSpan(2_000);
+/// Maximum time that a change waits for its verdict from the log.
+const CHANGE_TIMEOUT: TimeSpan = TimeSpan(5_000);
+/// Maximum time that a once-only request waits for the claim of its key.
+const CLAIM_TIMEOUT: TimeSpan = TimeSpan(2_000);
 
-/// Answers for as long as the box runs.
-pub async fn run(context: ControlContext, mut inbox: mpsc::Receiver<ControlRequest>) {
-    while let Some(request) = inbox.recv().await {
+/// Handles requests until the process ends.
+pub async fn run(context: ControlContext, mut requests: mpsc::Receiver<ControlRequest>) {
+    while let Some(request) = requests.recv().await {
         match request {
             ControlRequest::Read(read) => read(&context.state.borrow()),
             ControlRequest::Change { change, reply } => start_change(&context, change, reply),
             ControlRequest::ClaimKey { organisation, key, deadline, reply } => {
                 start_claim(&context, organisation, key, deadline, reply);
             }
-            ControlRequest::ProveView { since, reply } => {
+            ControlRequest::RefreshView { since, reply } => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
-                    // Whoever asked may have gone.
-                    let _ = reply.send(proof::prove(&context, since).await);
+                    // An error means that the caller has closed its connection.
+                    let _ = reply.send(refresh::refresh_state(&context, since).await);
                 });
             }
             ControlRequest::FindClaim { organisation, key, since, reply } => {
                 let context = context.clone();
                 tokio::task::spawn_local(async move {
-                    let sight = proof::find_claim(&context, &organisation, key, since).await;
-                    // Whoever asked may have gone.
-                    let _ = reply.send(sight);
+                    let status = refresh::find_claim(&context, &organisation, key, since).await;
+                    // An error means that the caller has closed its connection.
+                    let _ = reply.send(status);
                 });
             }
             ControlRequest::ReleaseKey { organisation, key, claim } => {
@@ -56,7 +56,7 @@
 ) {
     let body = RecordBody::ReleaseKey { organisation, key, claim };
     context.state.borrow_mut().writer.submit_unattended(body, clock::now());
-    context.write_wanted.notify_one();
+    context.writer_notify.notify_one();
 }
 
 fn start_claim(
@@ -67,35 +67,36 @@
     reply: oneshot::Sender<ClaimReply>,
 ) {
     let now = clock::now();
-    let give_up = deadline.min(now.after(CLAIM_LIMIT));
+    let expires_at = deadline.min(now.after(CLAIM_TIMEOUT));
     let id = LogWriter::new_id();
     let body = RecordBody::ClaimKey { organisation: organisation.clone(), key };
-    let verdict = context.state.borrow_mut().writer.submit(id, body, give_up);
-    context.write_wanted.notify_one();
+    let verdict = context.state.borrow_mut().writer.submit(id, body, expires_at);
+    context.writer_notify.notify_one();
     let context = context.clone();
     tokio::task::spawn_local(async move {
-        let answer = match wait_until(verdict, give_up).await {
+        let answer = match wait_for_verdict(verdict, expires_at).await {
             Some(RecordVerdict::Accepted { .. }) => ClaimReply::Granted(id),
             Some(RecordVerdict::Void { reason }) => ClaimReply::Void(reason),
             Some(RecordVerdict::Conflict { .. }) | None => ClaimReply::NotRecorded,
         };
-        let may_hold =
+        let may_take_effect =
             answer == ClaimReply::NotRecorded && context.state.borrow_mut().writer.withdraw(&id);
-        let unheard = reply.send(answer).is_err();
-        // The request did not run, so whoever asks again with this key may run it.
-        if may_hold || (unheard && answer == ClaimReply::Granted(id)) {
+        let unreceived = reply.send(answer).is_err();
+        // The request does not run, so a claim that may take effect is released: a retry with this key may run.
+        if may_take_effect || (unreceived && answer == ClaimReply::Granted(id)) {
             release_key(&context, organisation, key, id);
         }
     });
 }
 
-async fn wait_until(
+/// Returns the verdict on a record, or `None` if it was not read from the log in time.
+async fn wait_for_verdict(
     verdict: oneshot::Receiver<RecordVerdict>,
-    give_up: Moment,
+    expires_at: Moment,
 ) -> Option<RecordVerdict> {
-    let left = give_up.since(clock::now());
-    let limit = std::time::Duration::from_millis(left.as_millis());
-    tokio::time::timeout(limit, verdict).await.ok()?.ok()
+    let remaining = expires_at.since(clock::now());
+    let timeout = std::time::Duration::from_millis(remaining.as_millis());
+    tokio::time::timeout(timeout, verdict).await.ok()?.ok()
 }
 
 fn start_change(
@@ -110,12 +111,12 @@
             return;
         }
     };
-    let give_up = clock::now().after(CHANGE_LIMIT);
-    let verdict = context.state.borrow_mut().writer.submit(change.id, body, give_up);
-    context.write_wanted.notify_one();
+    let expires_at = clock::now().after(CHANGE_TIMEOUT);
+    let verdict = context.state.borrow_mut().writer.submit(change.id, body, expires_at);
+    context.writer_notify.notify_one();
     let context = context.clone();
     tokio::task::spawn_local(async move {
-        let answer = match wait_until(verdict, give_up).await {
+        let answer = match wait_for_verdict(verdict, expires_at).await {
             Some(verdict) => ChangeReply::Settled { verdict },
             None => match context.state.borrow_mut().writer.withdraw(&change.id) {
                 true => ChangeReply::Unknown,
@@ -126,6 +127,7 @@
     });
 }
 
+/// Converts a change to a log record. The error message is for the operator.
 fn change_record(state: &ControlState, change: ChangeBody) -> Result<RecordBody, String> {
     let cluster = state.cluster().ok_or("the box has no state yet")?;
     Ok(match change {
@@ -149,12 +151,15 @@
     })
 }
 
+/// Returns the name under which a reason is serialized.
 fn void_text(reason: sedgehill_core::state::VoidReason) -> String {
-    let word = serde_json::to_value(reason).expect("our types serialize");
-    word.as_str().unwrap_or_default().to_owned()
+    let reason_text = serde_json::to_value(reason).expect("our types serialize");
+    reason_text.as_str().unwrap_or_default().to_owned()
 }
 
-/// The allowed hall with the most free room, as the leads say; the room is a hint only.
+/// Chooses the allowed hall with the most free capacity for the tasks of a job. The leads of halls report the capacity
+/// in heartbeats, so it may be outdated. If no lead of an allowed hall has reported, chooses the first allowed hall
+/// that has workers.
 fn choose_hall(state: &ControlState, request: &JobRequest) -> Result<HallName, String> {
     let cluster = state.cluster().ok_or("the box has no state yet")?;
     let parameters =
@@ -166,10 +171,9 @@
         })?;
     let now = clock::now();
     let own = state.placers.iter().map(|(hall, placer)| (hall.clone(), placer.capacity().1));
-    let peers = state
-        .members
-        .heartbeats(now)
-        .flat_map(|beat| beat.capacities.iter().map(|room| (room.hall.clone(), room.free)));
+    let peers = state.members.heartbeats(now).flat_map(|heartbeat| {
+        heartbeat.capacities.iter().map(|capacity| (capacity.hall.clone(), capacity.free))
+    });
     let shape = cluster.task_shape(request).map_err(void_text)?;
     own.chain(peers)
         .filter(|(hall, _)| parameters.allows(hall))
