--- a/crates/sedgehill-cell/tests/testsuite/authority.rs
+++ b/crates/sedgehill-cell/tests/testsuite/authority.rs
@@ -233,8 +233,8 @@
 }
 
 /// Guards against two leads with one token. The store records a renewal of a lead, but the answer arrives after the
-/// lead has read the claim of its successor. A lead that takes its own record for the newest one then goes on giving orders
-/// and claims with the token of its successor, so that the store and the workers cannot tell the two apart.
+/// lead has read the claim of its successor. A lead that takes its own record for the newest one then goes on giving
+/// orders and claims with the token of its successor, so that the store and the workers cannot tell the two apart.
 #[test]
 fn an_answer_that_comes_after_a_later_claim_was_read_gives_no_authority() {
     let timing = AuthorityTiming::default();
--- a/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
@@ -1,6 +1,6 @@
-//! Random courses of a full cell with a long-running job: runs that fail, workers that are silent, crash or shrink, boxes whose
-//! questions fail, leads that are lost. Once faults stop, every task of the job runs again within the time that users allow,
-//! though the load goes on.
+//! Random sequences of faults in a full cell with a long-running job: failed runs, workers that are silent, crash or
+//! shrink, boxes whose questions fail, and lost leads. Once the faults are over, every task of the job runs again
+//! within the time that users allow, under continuing load.
 
 use proptest::prelude::*;
 use sedgehill_cell::scheduler::{HelperId, RunEnd};
@@ -8,12 +8,14 @@
 
 use crate::cases::cases;
 use crate::fake::{HelperTrouble, task};
-use crate::restarts::{Advice, CORES, Course, HELPERS, LONG_RUNNING, Load, TASKS, WORKERS};
+use crate::restarts::{
+    AdvisedQueues, CORES, HELPERS, LONG_RUNNING, Load, RestartScenario, TASKS, WORKERS,
+};
 
-/// What users allow from the last run to the next one, and what they allow on top of it.
-const RESTART_MOST: u64 = 6_000 + 3_000;
-/// The longest that a lead waits for an earlier one, and that a silent worker may hold its runs.
-const TAKE_OVER_MOST: u64 = 9_000;
+/// Longest time that users allow from the last run to the next one, plus their tolerance.
+const MAX_RESTART_DELAY_MS: u64 = 6_000 + 3_000;
+/// Longest time for which a lead waits for an earlier one, or a silent worker holds its runs.
+const MAX_TAKE_OVER_MS: u64 = 9_000;
 
 #[derive(Debug, Clone)]
 enum Move {
@@ -21,7 +23,7 @@
     Fail(u16),
     Cut(usize, bool),
     Mute(usize, bool),
-    /// A worker crashes and is back after so long.
+    /// A worker crashes and is back after this many milliseconds.
     Crash(usize, u64),
     Resize(usize, u64),
     Trouble(u64, Option<HelperTrouble>),
@@ -29,7 +31,7 @@
     NewLead,
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn any_move() -> impl Strategy<Value = Move> {
     let worker = 0..usize::from(WORKERS);
     let trouble = prop_oneof![
         Just(HelperTrouble::Fails),
@@ -49,27 +51,27 @@
     ]
 }
 
-fn take(course: &mut Course, taken: Move) {
-    match taken {
+fn apply(scenario: &mut RestartScenario, chosen: Move) {
+    match chosen {
         Move::Fail(index) => {
-            let one = task(LONG_RUNNING, 0, index);
-            if let Some(number) = course.cell.place(one) {
-                course.cell.end(number, one, RunEnd::Failed);
+            let failed_task = task(LONG_RUNNING, 0, index);
+            if let Some(number) = scenario.cell.place(failed_task) {
+                scenario.cell.end(number, failed_task, RunEnd::Failed);
             }
         }
-        Move::Cut(number, cut) => course.cell.workers[number].cut = cut,
-        Move::Mute(number, mute) => course.cell.workers[number].mute = mute,
+        Move::Cut(number, cut) => scenario.cell.workers[number].cut = cut,
+        Move::Mute(number, mute) => scenario.cell.workers[number].mute = mute,
         Move::Crash(number, back) => {
-            let number = course.cell.living(number);
-            course.cell.crash(number, TimeSpan(back));
+            let number = scenario.cell.living(number);
+            scenario.cell.crash(number, TimeSpan(back));
         }
         Move::Resize(number, cores) => {
-            let number = course.cell.living(number);
-            course.cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
+            let number = scenario.cell.living(number);
+            scenario.cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
-        Move::Trouble(helper, trouble) => course.set_trouble(HelperId(helper), trouble),
-        Move::Turns(count) => (0..count).for_each(|_| course.turn()),
-        Move::NewLead => course.lose_lead(),
+        Move::Trouble(helper, trouble) => scenario.set_trouble(HelperId(helper), trouble),
+        Move::Turns(count) => (0..count).for_each(|_| scenario.turn()),
+        Move::NewLead => scenario.lose_lead(),
     }
 }
 
@@ -77,27 +79,27 @@
     #![proptest_config(cases(24))]
 
     #[test]
-    fn every_long_running_task_runs_again_once_all_is_well(
-        saved in any::<bool>(),
+    fn every_long_running_task_runs_again_once_all_faults_are_over(
+        checkpointed in any::<bool>(),
         advised in any::<bool>(),
-        course in prop::collection::vec(moves(), 1..40),
+        moves in prop::collection::vec(any_move(), 1..40),
     ) {
-        let load = if saved { Load::Saved } else { Load::Urgent };
-        let advice = if advised { Advice::OthersCheap } else { Advice::Nobody };
-        let mut cell = Course::new(load, advice);
-        cell.begin();
-        // That the tasks have begun is in the store.
-        cell.turn();
-        for taken in course {
-            take(&mut cell, taken);
+        let load = if checkpointed { Load::Checkpointed } else { Load::Urgent };
+        let advice = if advised { AdvisedQueues::AllOthersCheap } else { AdvisedQueues::None };
+        let mut scenario = RestartScenario::new(load, advice);
+        scenario.run_until_started();
+        // The store now holds the record that the tasks have started.
+        scenario.turn();
+        for chosen in moves {
+            apply(&mut scenario, chosen);
         }
-        cell.heal();
-        let well = cell.cell.now;
-        cell.run_until(well.after(TimeSpan(TAKE_OVER_MOST + RESTART_MOST)));
+        scenario.heal();
+        let healed_at = scenario.cell.now;
+        scenario.run_until(healed_at.after(TimeSpan(MAX_TAKE_OVER_MS + MAX_RESTART_DELAY_MS)));
         let missing: Vec<u16> = (0..TASKS)
-            .filter(|index| cell.cell.place(task(LONG_RUNNING, 0, *index)).is_none())
+            .filter(|index| scenario.cell.place(task(LONG_RUNNING, 0, *index)).is_none())
             .collect();
-        let state = cell.cell.progress(LONG_RUNNING).state;
-        prop_assert!(missing.is_empty(), "{state:?}, tasks {missing:?}: {:?}", cell.told());
+        let state = scenario.cell.progress(LONG_RUNNING).state;
+        prop_assert!(missing.is_empty(), "{state:?}, tasks {missing:?}: {:?}", scenario.first_late_restart());
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/restarts.rs
@@ -1,7 +1,7 @@
-//! A task of a long-running job that has lost its run is started again in bounded time, however full the cell is.
+//! Restarts of tasks of long-running jobs that lost their run: within a bounded time, however full the cell is.
 //!
-//! On a large cell tasks of long-running jobs had no run for longer than users allow, after runs that had ended `failed` or
-//! `lapsed` at workers that were in touch.
+//! Guards against tasks of long-running jobs that have no run for longer than users allow, as seen on a large cell
+//! after runs that had ended `failed` or `lapsed` at reachable workers.
 
 use sedgehill_cell::ids::JobId;
 use sedgehill_cell::job::{AdvicePolicy, JobRecord, StepSpec};
@@ -14,44 +14,45 @@
 
 pub const WORKERS: u16 = 24;
 pub const CORES: u64 = 16;
-/// Boxes that ask beside the lead's own.
+/// Number of helper boxes beside the lead's own box.
 pub const HELPERS: u64 = 5;
-/// What users allow from the end of a run to the next one.
-const RESTART_WITHIN: TimeSpan = TimeSpan(6_000);
+/// Longest time that users allow from the end of a run to the next one.
+const MAX_RESTART_DELAY: TimeSpan = TimeSpan(6_000);
+/// Number of the long-running job.
 pub const LONG_RUNNING: u64 = 1;
-/// Its tasks.
+/// Number of tasks of the long-running job.
 pub const TASKS: u16 = 4;
-/// Other jobs count from here.
-pub const OTHERS: u64 = 1_000;
-/// Tasks of a job that fills the cell.
-const OTHERS_WIDTH: u16 = 12;
+/// Lowest number of the other jobs.
+pub const FIRST_OTHER_JOB: u64 = 1_000;
+/// Number of tasks of each other job.
+const OTHER_JOB_TASKS: u16 = 12;
 
-const DEAR: AdvicePolicy =
+const EXPENSIVE_ADVICE: AdvicePolicy =
     AdvicePolicy { per_question_us: 560_000, per_worker_us: 8_000, valid: TimeSpan(2_000) };
-const CHEAP: AdvicePolicy =
+const CHEAP_ADVICE: AdvicePolicy =
     AdvicePolicy { per_question_us: 13_000, per_worker_us: 180, valid: TimeSpan(2_000) };
 
-/// What fills the cell beside the long-running job.
+/// Work that fills the cell beside the long-running job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Load {
     None,
-    /// Urgent tasks of two seconds that save nothing.
+    /// Urgent tasks of two seconds without checkpoints.
     Urgent,
-    /// Less urgent tasks of nine seconds that save their state, and urgent ones.
-    Saved,
+    /// Less urgent and urgent tasks of nine seconds, with checkpoints.
+    Checkpointed,
 }
 
-/// Which queues need advice.
+/// The queues that need advice, with the cost of their questions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Advice {
-    Nobody,
-    /// The long-running one dear, the others cheap.
-    OthersCheap,
-    /// All dear.
-    AllDear,
+pub enum AdvisedQueues {
+    None,
+    /// Expensive for the long-running job, cheap for the others.
+    AllOthersCheap,
+    /// Expensive for all jobs.
+    AllExpensive,
 }
 
-/// How the run is lost.
+/// The way in which a run is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Loss {
     Failed,
@@ -62,83 +63,92 @@
     StepSpec { long_running: true, estimate: TimeSpan(500), ..step(count, need) }
 }
 
-pub struct Course {
+pub struct RestartScenario {
     pub cell: FakeCell,
     lead: Scheduler,
     service: FakeService,
     load: Load,
-    /// The load has begun.
+    /// Whether the load has been added.
     loaded: bool,
-    advice: Advice,
-    others: u64,
+    advice: AdvisedQueues,
+    other_jobs: u64,
     seen_starts: usize,
-    waiting: usize,
+    waiting_tasks: usize,
 }
 
-impl Course {
-    pub fn new(load: Load, advice: Advice) -> Course {
+impl RestartScenario {
+    pub fn new(load: Load, advice: AdvisedQueues) -> RestartScenario {
         let mut cell = FakeCell::new(WORKERS, CORES);
         let mut lead = cell.lead(false);
         (1..=HELPERS).for_each(|helper| lead.add_helper(HelperId(helper)));
-        // One worker in three is good for the long-running job, as for the users' queue of that kind.
-        let service = FakeService::new(DEAR, |step, life| {
+        // One worker in three is allowed for the long-running job, as in the users' queue of that kind.
+        let service = FakeService::new(EXPENSIVE_ADVICE, |step, life| {
             let number: u64 = life.0.trim_start_matches('w').parse().unwrap();
             step.job != JobId(LONG_RUNNING) || number.is_multiple_of(3)
         });
-        let (loaded, others, seen_starts, waiting) = (false, 0, 0, 0);
-        let mut course =
-            Course { cell, lead, service, load, loaded, advice, others, seen_starts, waiting };
-        course.turn();
+        let (loaded, other_jobs, seen_starts, waiting_tasks) = (false, 0, 0, 0);
+        let mut scenario = RestartScenario {
+            cell,
+            lead,
+            service,
+            load,
+            loaded,
+            advice,
+            other_jobs,
+            seen_starts,
+            waiting_tasks,
+        };
+        scenario.turn();
         let mut record =
             job(vec![StepSpec { long_running: true, estimate: TimeSpan(500), ..step(4, 4) }]);
         record.policy.priority = 1;
         record.policy.stretch_milli = 2_200;
         record.policy.target_latency = TimeSpan(2_500);
-        record.policy.advice = (advice != Advice::Nobody).then_some(DEAR);
-        course.cell.submit_led(&mut course.lead, LONG_RUNNING, record);
-        course
+        record.policy.advice = (advice != AdvisedQueues::None).then_some(EXPENSIVE_ADVICE);
+        scenario.cell.submit_led(&mut scenario.lead, LONG_RUNNING, record);
+        scenario
     }
 
     fn filler(&self) -> JobRecord {
-        let spec = step(OTHERS_WIDTH, 4);
+        let spec = step(OTHER_JOB_TASKS, 4);
         let mut record = match self.load {
-            Load::Saved if self.others.is_multiple_of(2) => {
+            Load::Checkpointed if self.other_jobs.is_multiple_of(2) => {
                 let estimate = TimeSpan(9_000);
                 let mut record = job(vec![StepSpec { checkpointing: true, estimate, ..spec }]);
                 record.policy.priority = 2;
                 record
             }
-            Load::Saved => {
+            Load::Checkpointed => {
                 job(vec![StepSpec { checkpointing: true, estimate: TimeSpan(9_000), ..spec }])
             }
             _ => job(vec![StepSpec { estimate: TimeSpan(2_000), ..spec }]),
         };
         record.policy.advice = match self.advice {
-            Advice::Nobody => None,
-            Advice::OthersCheap => Some(CHEAP),
-            Advice::AllDear => Some(DEAR),
+            AdvisedQueues::None => None,
+            AdvisedQueues::AllOthersCheap => Some(CHEAP_ADVICE),
+            AdvisedQueues::AllExpensive => Some(EXPENSIVE_ADVICE),
         };
         record
     }
 
     pub fn turn(&mut self) {
-        let length = if self.load == Load::Saved { 9_000 } else { 2_000 };
+        let length = if self.load == Load::Checkpointed { 9_000 } else { 2_000 };
         self.cell.end_old(TimeSpan(length));
-        // A third of what fits waits at all times.
+        // Keeps a third as many tasks waiting as fit into the cell.
         let places = usize::from(WORKERS) * CORES as usize / 4;
-        while self.loaded && self.load != Load::None && self.waiting < places / 3 {
-            self.others += 1;
-            let (id, record) = (OTHERS + self.others, self.filler());
-            if record.policy.advice == Some(CHEAP) {
-                self.service.own_costs.insert(JobId(id), CHEAP);
+        while self.loaded && self.load != Load::None && self.waiting_tasks < places / 3 {
+            self.other_jobs += 1;
+            let (id, record) = (FIRST_OTHER_JOB + self.other_jobs, self.filler());
+            if record.policy.advice == Some(CHEAP_ADVICE) {
+                self.service.own_costs.insert(JobId(id), CHEAP_ADVICE);
             }
             self.cell.submit_led(&mut self.lead, id, record);
-            self.waiting += usize::from(OTHERS_WIDTH);
+            self.waiting_tasks += usize::from(OTHER_JOB_TASKS);
         }
         self.cell.turn_advised(&mut self.lead, &mut self.service);
         let new = &self.cell.starts[self.seen_starts..];
         let others = new.iter().filter(|(task, ..)| task.step.job != JobId(LONG_RUNNING));
-        self.waiting = self.waiting.saturating_sub(others.count());
+        self.waiting_tasks = self.waiting_tasks.saturating_sub(others.count());
         self.seen_starts = self.cell.starts.len();
     }
 
@@ -148,21 +158,24 @@
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn all_tasks_run(&self) -> bool {
         (0..TASKS).all(|index| self.cell.place(task(LONG_RUNNING, 0, index)).is_some())
     }
 
-    /// Runs until the long-running job is whole; the load begins then.
-    pub fn begin(&mut self) {
-        let begun = self.cell.now;
-        while !self.is_whole() {
-            assert!(self.cell.now < begun.after(TimeSpan(10_000)), "it never began");
+    /// Runs until all tasks of the long-running job run, and then adds the load.
+    pub fn run_until_started(&mut self) {
+        let begin = self.cell.now;
+        while !self.all_tasks_run() {
+            assert!(
+                self.cell.now < begin.after(TimeSpan(10_000)),
+                "the long-running job has not started"
+            );
             self.turn();
         }
         self.loaded = true;
     }
 
-    /// The questions of a box fare worse, or well again.
+    /// Sets or clears a fault of the questions of a box.
     pub fn set_trouble(&mut self, helper: HelperId, trouble: Option<HelperTrouble>) {
         match trouble {
             Some(trouble) => self.service.troubles.insert(helper, trouble),
@@ -170,7 +183,7 @@
         };
     }
 
-    /// The lead is lost, and the next one takes over.
+    /// Replaces the lead by its successor.
     pub fn lose_lead(&mut self) {
         self.service.forget_questions();
         self.lead = self.cell.lead(true);
@@ -187,23 +200,23 @@
         }
     }
 
-    /// Runs until the long-running job is whole and of some age, and takes a run of it. Tells when it was whole again.
+    /// Runs the long-running job up to an age, loses a run of it, and returns the time until all its tasks run again.
     fn restart(&mut self, age: TimeSpan, loss: Loss) -> Option<TimeSpan> {
-        let begun = self.cell.now;
-        self.begin();
-        self.run_until(begun.after(age));
+        let begin = self.cell.now;
+        self.run_until_started();
+        self.run_until(begin.after(age));
         let lost = self.cell.now;
         let number = self.cell.place(task(LONG_RUNNING, 0, 0)).unwrap();
         match loss {
             Loss::Failed => self.cell.end(number, task(LONG_RUNNING, 0, 0), RunEnd::Failed),
             Loss::Silent => self.cell.workers[number].cut = true,
         }
-        let runs = |cell: &FakeCell| {
+        let count_starts = |cell: &FakeCell| {
             let starts = cell.starts.iter();
-            starts.filter(|(one, ..)| *one == task(LONG_RUNNING, 0, 0)).count()
+            starts.filter(|(started, ..)| *started == task(LONG_RUNNING, 0, 0)).count()
         };
-        let before = runs(&self.cell);
-        while runs(&self.cell) == before || !self.is_whole() {
+        let before = count_starts(&self.cell);
+        while count_starts(&self.cell) == before || !self.all_tasks_run() {
             if self.cell.now >= lost.after(TimeSpan(40_000)) {
                 return None;
             }
@@ -212,8 +225,8 @@
         Some(self.cell.now.since(lost))
     }
 
-    /// What was told first of a task without a run: the gate, steps ahead, tickets.
-    pub fn told(&mut self) -> Option<(StallReason, usize, usize)> {
+    /// Returns the first report of a task without a run: the reason, the number of steps ahead and that of tickets.
+    pub fn first_late_restart(&mut self) -> Option<(StallReason, usize, usize)> {
         self.lead.take_events().into_iter().find_map(|event| match event {
             CellEvent::RestartLate { reason, ahead, details, .. } => {
                 Some((reason, ahead, details.tickets))
@@ -224,93 +237,97 @@
 }
 
 #[track_caller]
-fn assert_restarts(load: Load, advices: &[Advice], loss: Loss) {
-    let mut late = Vec::new();
-    for advice in advices {
+fn assert_restarts(load: Load, advised_queues: &[AdvisedQueues], loss: Loss) {
+    let mut late_restarts = Vec::new();
+    for advice in advised_queues {
         for age in [1_000, 20_000, 60_000] {
-            let mut course = Course::new(load, *advice);
-            let took = course.restart(TimeSpan(age), loss);
-            if took.is_none_or(|took| took > RESTART_WITHIN) {
-                late.push(format!("{advice:?}, age {age}, {took:?}; told: {:?}", course.told()));
+            let mut scenario = RestartScenario::new(load, *advice);
+            let restart_delay = scenario.restart(TimeSpan(age), loss);
+            if restart_delay.is_none_or(|delay| delay > MAX_RESTART_DELAY) {
+                late_restarts.push(format!(
+                    "{advice:?}, age {age}, {restart_delay:?}; first report: {:?}",
+                    scenario.first_late_restart()
+                ));
             }
         }
     }
-    assert!(late.is_empty(), "time to the next run: {late:#?}");
+    assert!(late_restarts.is_empty(), "time to the next run: {late_restarts:#?}");
 }
 
-const ALL: [Advice; 3] = [Advice::Nobody, Advice::OthersCheap, Advice::AllDear];
+const ALL_ADVICE: [AdvisedQueues; 3] =
+    [AdvisedQueues::None, AdvisedQueues::AllOthersCheap, AdvisedQueues::AllExpensive];
 
 #[test]
-fn a_failed_run_is_followed_by_the_next_in_an_idle_cell() {
-    assert_restarts(Load::None, &ALL, Loss::Failed);
+fn a_failed_run_is_restarted_in_time_in_an_idle_cell() {
+    assert_restarts(Load::None, &ALL_ADVICE, Loss::Failed);
 }
 
 #[test]
-fn a_silent_worker_s_run_is_followed_by_the_next_in_an_idle_cell() {
-    assert_restarts(Load::None, &ALL, Loss::Silent);
+fn a_run_of_a_silent_worker_is_restarted_in_time_in_an_idle_cell() {
+    assert_restarts(Load::None, &ALL_ADVICE, Loss::Silent);
 }
 
 #[test]
-fn a_failed_run_is_followed_by_the_next_beside_urgent_work() {
-    assert_restarts(Load::Urgent, &ALL, Loss::Failed);
+fn a_failed_run_is_restarted_in_time_beside_urgent_work() {
+    assert_restarts(Load::Urgent, &ALL_ADVICE, Loss::Failed);
 }
 
 #[test]
-fn a_silent_worker_s_run_is_followed_by_the_next_beside_urgent_work() {
-    assert_restarts(Load::Urgent, &ALL, Loss::Silent);
+fn a_run_of_a_silent_worker_is_restarted_in_time_beside_urgent_work() {
+    assert_restarts(Load::Urgent, &ALL_ADVICE, Loss::Silent);
 }
 
 #[test]
-fn a_failed_run_is_followed_by_the_next_beside_saved_work() {
-    assert_restarts(Load::Saved, &ALL, Loss::Failed);
+fn a_failed_run_is_restarted_in_time_beside_checkpointed_work() {
+    assert_restarts(Load::Checkpointed, &ALL_ADVICE, Loss::Failed);
 }
 
 #[test]
-fn a_silent_worker_s_run_is_followed_by_the_next_beside_saved_work() {
-    assert_restarts(Load::Saved, &ALL, Loss::Silent);
+fn a_run_of_a_silent_worker_is_restarted_in_time_beside_checkpointed_work() {
+    assert_restarts(Load::Checkpointed, &ALL_ADVICE, Loss::Silent);
 }
 
-/// What is told of tasks without a run.
-fn told(lead: &mut Scheduler) -> Vec<(RestartCause, TimeSpan, StallReason)> {
+/// Returns the reports of tasks without a run.
+fn reported_restarts(lead: &mut Scheduler) -> Vec<(RestartCause, TimeSpan, StallReason)> {
     let events = lead.take_events().into_iter();
-    let late = events.filter_map(|event| match event {
+    let late_restarts = events.filter_map(|event| match event {
         CellEvent::RestartLate { cause, without_run, reason, .. } => {
             Some((cause, without_run, reason))
         }
         _ => None,
     });
-    late.collect()
+    late_restarts.collect()
 }
 
 #[test]
-fn a_task_that_no_worker_can_run_is_told_of_with_what_took_its_run() {
+fn a_task_that_no_worker_can_run_is_reported_with_the_cause_and_the_reason() {
     let mut cell = FakeCell::new(1, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(1, 4)]));
     cell.turns(&mut lead, 5);
     assert_eq!(lead.restart_stats(cell.now).tasks, 0);
-    // The worker has shrunk to less than the task needs.
+    // The worker shrinks to less than the task needs.
     cell.workers[0].entry.capacity = cores(2);
     cell.turns(&mut lead, 30);
     cell.end(0, task(LONG_RUNNING, 0, 0), RunEnd::Failed);
     cell.turns(&mut lead, 2);
-    assert_eq!(told(&mut lead), []);
+    assert_eq!(reported_restarts(&mut lead), []);
     cell.turns(&mut lead, 150);
-    let told = told(&mut lead);
-    assert_eq!(told.len(), 1, "{told:?}");
-    let (cause, without_run, reason) = told[0];
+    let reported = reported_restarts(&mut lead);
+    assert_eq!(reported.len(), 1, "{reported:?}");
+    let (cause, without_run, reason) = reported[0];
     assert_eq!((cause, reason), (RestartCause::Ended(RunEnd::Failed), StallReason::NoRoom));
     assert!((3_000..3_100).contains(&without_run.0), "{without_run}");
-    let figures = lead.restart_stats(cell.now);
-    assert_eq!(figures.tasks, 1);
-    assert!(figures.longest >= without_run);
+    let stats = lead.restart_stats(cell.now);
+    assert_eq!(stats.tasks, 1);
+    assert!(stats.longest >= without_run);
     cell.cancel(&mut lead, LONG_RUNNING);
     cell.turns(&mut lead, 2);
     assert_eq!(lead.restart_stats(cell.now).tasks, 0);
 }
 
 #[test]
-fn the_next_run_tells_how_long_there_was_none() {
+fn the_next_run_reports_the_time_without_a_run() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(1, 4)]));
@@ -327,7 +344,7 @@
 }
 
 #[test]
-fn a_new_lead_finds_tasks_that_lost_their_run_meanwhile() {
+fn a_new_lead_restarts_tasks_that_lost_their_run_before_it() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(2, 4)]));
@@ -345,40 +362,41 @@
 }
 
 #[test]
-fn a_ticket_is_asked_for_before_the_lease_of_a_silent_worker_has_ended() {
-    let mut course = Course::new(Load::None, Advice::AllDear);
-    while !course.is_whole() {
-        course.turn();
+fn a_ticket_is_requested_before_the_lease_of_a_silent_worker_has_ended() {
+    let mut scenario = RestartScenario::new(Load::None, AdvisedQueues::AllExpensive);
+    while !scenario.all_tasks_run() {
+        scenario.turn();
     }
-    course.run_until(course.cell.now.after(TimeSpan(5_000)));
-    let lost = course.cell.now;
-    let number = course.cell.place(task(LONG_RUNNING, 0, 0)).unwrap();
-    course.cell.workers[number].cut = true;
-    let asked = course.service.asked.len();
-    let starts = course.cell.starts.len();
-    while course.cell.starts.len() == starts {
-        assert!(course.cell.now < lost.after(RESTART_WITHIN));
-        course.turn();
+    scenario.run_until(scenario.cell.now.after(TimeSpan(5_000)));
+    let lost = scenario.cell.now;
+    let number = scenario.cell.place(task(LONG_RUNNING, 0, 0)).unwrap();
+    scenario.cell.workers[number].cut = true;
+    let asked = scenario.service.asked.len();
+    let starts = scenario.cell.starts.len();
+    while scenario.cell.starts.len() == starts {
+        assert!(scenario.cell.now < lost.after(MAX_RESTART_DELAY));
+        scenario.turn();
     }
-    let question = &course.service.asked[asked];
+    let question = &scenario.service.asked[asked];
     let lease_ended = lost.after(TimeSpan(4_000));
     assert!(question.0 < lease_ended, "asked {} after", question.0.since(lost));
-    assert!(course.cell.now < lost.after(TimeSpan(4_700)), "{}", course.cell.now.since(lost));
+    assert!(scenario.cell.now < lost.after(TimeSpan(4_700)), "{}", scenario.cell.now.since(lost));
 }
 
 #[test]
-fn a_new_lead_knows_of_tasks_that_began_after_others_of_their_job() {
+fn a_new_lead_knows_of_tasks_that_started_after_others_of_their_job() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
-    cell.submit_led(&mut lead, OTHERS, job(vec![step(1, 4)]));
+    cell.submit_led(&mut lead, FIRST_OTHER_JOB, job(vec![step(1, 4)]));
     cell.turns(&mut lead, 3);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(2, 4)]));
     cell.turns(&mut lead, 30);
-    cell.end_anywhere(task(OTHERS, 0, 0), RunEnd::Done);
+    cell.end_anywhere(task(FIRST_OTHER_JOB, 0, 0), RunEnd::Done);
     cell.turns(&mut lead, 30);
-    let late = (0..2).map(|index| task(LONG_RUNNING, 0, index));
-    let late = late.into_iter().max_by_key(|one| cell.starts.iter().position(|(t, ..)| t == one));
-    let number = cell.place(late.unwrap()).unwrap();
+    let tasks = (0..2).map(|index| task(LONG_RUNNING, 0, index));
+    let last_started =
+        tasks.into_iter().max_by_key(|started| cell.starts.iter().position(|(t, ..)| t == started));
+    let number = cell.place(last_started.unwrap()).unwrap();
     cell.begin_anew(number);
     let mut next = cell.lead(false);
     cell.turns(&mut next, 5);
@@ -389,76 +407,81 @@
     assert!(restarted);
 }
 
-/// The estimate of a long-running task is the time that its start takes. Taken as the time of a run, each such run counted as
-/// one that takes far too long: three of them had their worker shunned after 1.9 s ("worker … is slow"), and it got one
-/// run at a time until one ended well, which long-running ones never do.
+/// Guards against suspending workers of long-running tasks. The estimate of such a task is the time that its start
+/// takes. Taken as the duration of a run, three of them suspended their worker after 1.9 s ("worker … is slow"), which
+/// then got one run at a time until one ended well, which long-running ones never do.
 #[test]
 fn long_running_tasks_do_not_count_against_their_worker() {
     let mut cell = FakeCell::new(1, 16);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(4, 1)]));
     cell.turns(&mut lead, 300);
-    cell.submit_led(&mut lead, OTHERS, job(vec![step(6, 1)]));
+    cell.submit_led(&mut lead, FIRST_OTHER_JOB, job(vec![step(6, 1)]));
     cell.turns(&mut lead, 3);
     assert_eq!(cell.workers[0].run_count(), 10);
 }
 
-/// A job that has long-running tasks which never began counted as one that earns nothing any more once it had waited for three
-/// objectives, and came after all others for good. It earns from whenever it begins, so its priority alone counts.
+/// Guards against starvation of long-running jobs. Such a job earns from its start on, however late, so only its
+/// priority counts. Ranked as too late to earn anything after three objectives of waiting, it would come after all
+/// others forever.
 #[test]
-fn a_long_running_job_that_waits_for_long_keeps_its_place_by_priority() {
-    for (priority, goes_first) in [(2, true), (1, true), (0, false)] {
+fn a_long_running_job_keeps_its_rank_by_priority_while_it_waits() {
+    for (priority, runs_first) in [(2, true), (1, true), (0, false)] {
         let mut cell = FakeCell::new(1, 4);
         let mut lead = cell.lead(false);
         let filling = StepSpec { estimate: TimeSpan(60_000), ..step(4, 1) };
-        cell.submit_led(&mut lead, OTHERS, job(vec![filling]));
+        cell.submit_led(&mut lead, FIRST_OTHER_JOB, job(vec![filling]));
         cell.turns(&mut lead, 3);
         let mut record = job(vec![long_running(1, 4)]);
         record.policy.priority = 1;
         cell.submit_led(&mut lead, LONG_RUNNING, record);
         cell.turns(&mut lead, 1_000);
-        let mut young = job(vec![step(1, 4)]);
-        young.policy.priority = priority;
-        cell.submit_led(&mut lead, OTHERS + 1, young);
+        let mut newer = job(vec![step(1, 4)]);
+        newer.policy.priority = priority;
+        cell.submit_led(&mut lead, FIRST_OTHER_JOB + 1, newer);
         cell.end_all();
         cell.turns(&mut lead, 3);
         let first = cell.place(task(LONG_RUNNING, 0, 0)).is_some();
-        assert_eq!(first, goes_first, "beside priority {priority}");
+        assert_eq!(first, runs_first, "beside priority {priority}");
     }
 }
 
-/// The lead was killed half a second after a third of the workers had crashed, one of which was gone for good. The next lead
-/// waited for that one by time, and no task of an earlier job was started meanwhile:
-/// `"msg":"take-over settled","by":"time","after_ms":13023,"heard":36,"ended":12,"unheard":1,"jobs":68`. Long-running tasks of
-/// workers that were known to have ended had no run for 14 s.
+/// Guards against long-running tasks without a run for 14 s although their workers were known to have ended. The lead
+/// was killed half a second after a third of the workers had crashed, one of which never came back. The next lead
+/// waited for that one and started no task of an earlier job meanwhile:
+/// `"msg":"take-over settled","by":"time","after_ms":13023,"heard":36,"ended":12,"unheard":1,"jobs":68`.
 #[test]
-fn a_worker_that_is_gone_for_good_does_not_hold_up_tasks_of_others_after_a_change_of_leads() {
+fn a_new_lead_restarts_tasks_of_ended_workers_while_it_waits_for_a_lost_one() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(2, 4)]));
     cell.turns(&mut lead, 30);
-    let places = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
-    // One worker starts again with nothing, the other is gone.
-    cell.begin_anew(places[0]);
-    cell.workers[places[1]].cut = true;
+    let holders = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
+    // One worker restarts without its runs, the other is lost.
+    cell.begin_anew(holders[0]);
+    cell.workers[holders[1]].cut = true;
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
     cell.turns(&mut next, 30);
     assert!(!next.is_settled());
-    assert!(cell.place(task(LONG_RUNNING, 0, 0)).is_some_and(|number| number != places[1]));
-    assert_eq!(cell.place(task(LONG_RUNNING, 0, 1)), Some(places[1]), "it may run there");
+    assert!(cell.place(task(LONG_RUNNING, 0, 0)).is_some_and(|number| number != holders[1]));
+    assert_eq!(
+        cell.place(task(LONG_RUNNING, 0, 1)),
+        Some(holders[1]),
+        "the task may still run there"
+    );
 }
 
 #[test]
-fn a_task_is_waited_for_if_a_lead_between_may_have_started_it_elsewhere() {
+fn a_task_waits_for_the_take_over_if_a_lead_in_between_may_have_started_it() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(2, 4)]));
     cell.turns(&mut lead, 30);
-    let places = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
-    cell.begin_anew(places[0]);
-    cell.workers[places[1]].cut = true;
-    // Another lead has claimed, and recorded nothing.
+    let holders = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
+    cell.begin_anew(holders[0]);
+    cell.workers[holders[1]].cut = true;
+    // Another lead claimed in between and recorded nothing.
     drop(cell.lead(true));
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
