--- a/crates/sedgehill-cell/tests/testsuite/capacity.rs
+++ b/crates/sedgehill-cell/tests/testsuite/capacity.rs
@@ -151,8 +151,8 @@
 fn a_start_that_waits_for_its_record_is_not_sent_to_a_worker_that_shrank() {
     let mut cell = FakeCell::new(2, 4);
     let mut lead = cell.lead(false);
-    let crash_habit = CrashHabit { runs: 1, back: TimeSpan(500), ..CrashHabit::default() };
-    cell.make_crash(task(1, 0, 0), crash_habit);
+    let crash_rule = CrashHabit { runs: 1, back: TimeSpan(500), ..CrashHabit::default() };
+    cell.make_crash(task(1, 0, 0), crash_rule);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 2)]));
     // The turn that counts the crash also decides on the next start, which waits for the record of the crash.
     while cell.progress(1).crash_histories.is_empty() {
--- a/crates/sedgehill-cell/tests/testsuite/crashing.rs
+++ b/crates/sedgehill-cell/tests/testsuite/crashing.rs
@@ -129,8 +129,8 @@
 fn a_crash_detected_after_the_lease_counts() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    let crash_habit = CrashHabit { back: TimeSpan(9_000), ..CrashHabit::default() };
-    cell.make_crash(task(1, 0, 0), crash_habit);
+    let crash_rule = CrashHabit { back: TimeSpan(9_000), ..CrashHabit::default() };
+    cell.make_crash(task(1, 0, 0), crash_rule);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES * 2);
     assert_eq!(cell.progress(1).state, JobState::Failed);
@@ -143,8 +143,8 @@
         for lost_after in [1, 30, 149, 151] {
             let mut cell = FakeCell::new(8, 4);
             let mut lead = cell.lead(false);
-            let crash_habit = CrashHabit { back: TimeSpan(back), ..CrashHabit::default() };
-            cell.make_crash(task(1, 0, 0), crash_habit);
+            let crash_rule = CrashHabit { back: TimeSpan(back), ..CrashHabit::default() };
+            cell.make_crash(task(1, 0, 0), crash_rule);
             cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
             cell.submit_led(&mut lead, 2, job(vec![step(8, 1)]));
             while cell.progress(1).state != JobState::Failed {
@@ -191,8 +191,8 @@
 fn a_long_running_task_that_crashes_its_workers_is_given_up() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
-    let crash_habit = CrashHabit { after: TimeSpan(700), ..CrashHabit::default() };
-    cell.make_crash(task(1, 0, 0), crash_habit);
+    let crash_rule = CrashHabit { after: TimeSpan(700), ..CrashHabit::default() };
+    cell.make_crash(task(1, 0, 0), crash_rule);
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { long_running: true, ..step(2, 1) }]));
     turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES);
     assert_eq!(cell.progress(1).state, JobState::Failed);
@@ -239,8 +239,8 @@
     const CRASHING_JOBS: u64 = 12;
     const JOBS: u64 = 100;
     for id in 0..CRASHING_JOBS {
-        let crash_habit = CrashHabit { after: TimeSpan(20 + 150 * id), ..CrashHabit::default() };
-        cell.make_crash(task(id, 0, 0), crash_habit);
+        let crash_rule = CrashHabit { after: TimeSpan(20 + 150 * id), ..CrashHabit::default() };
+        cell.make_crash(task(id, 0, 0), crash_rule);
     }
     for id in 0..JOBS {
         cell.submit_led(&mut lead, id, job(vec![step(2, 1)]));
--- a/crates/sedgehill-cell/tests/testsuite/outages.rs
+++ b/crates/sedgehill-cell/tests/testsuite/outages.rs
@@ -98,9 +98,9 @@
 fn a_gang_that_crashes_all_its_workers_is_given_up() {
     let mut cell = FakeCell::with_lasting_ids(WORKERS, CORES);
     let mut lead = cell.lead(false);
-    let crash_habit = CrashHabit { back: RESTART_DELAY, ..CrashHabit::default() };
+    let crash_rule = CrashHabit { back: RESTART_DELAY, ..CrashHabit::default() };
     for index in 0..20 {
-        cell.make_crash(task(1, 0, index), crash_habit);
+        cell.make_crash(task(1, 0, index), crash_rule);
     }
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { gang: true, ..step(20, 16) }]));
     cell.submit_led(&mut lead, 2, job(vec![step(30, 1)]));
@@ -149,9 +149,9 @@
         };
         let mut lead = cell.lead(false);
         turns(&mut cell, &mut lead, 20);
-        let crash_habit = CrashHabit { back: TimeSpan(1_500), ..CrashHabit::default() };
+        let crash_rule = CrashHabit { back: TimeSpan(1_500), ..CrashHabit::default() };
         for id in 0..16 {
-            cell.make_crash(task(id, 0, 0), crash_habit);
+            cell.make_crash(task(id, 0, 0), crash_rule);
             cell.submit_led(&mut lead, id, job(vec![step(1, 4)]));
         }
         turns(&mut cell, &mut lead, 1_500);
--- a/crates/sedgehill-cell/tests/testsuite/overlapping.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlapping.rs
@@ -267,7 +267,8 @@
 }
 
 // Workers fall silent one after the other, and their leases end. Each end has to be confirmed by a record. A roster
-// recorded for that in every batch makes 60 rosters for 60 workers. A batch under way confirms ends as well: 30 rosters.
+// recorded for that in every batch makes 60 rosters for 60 workers. A batch under way confirms ends as well: 30
+// rosters.
 #[test]
 fn a_batch_under_way_confirms_the_ends_of_leases() {
     let mut cell = FakeCell::new(60, 4);
--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -149,7 +149,9 @@
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_job_ends_in_time_once_all_faults_are_over(moves in prop::collection::vec(any_move(), 1..40)) {
+    fn every_job_ends_in_time_once_all_faults_are_over(
+        moves in prop::collection::vec(any_move(), 1..40),
+    ) {
         let mut scenario = FaultScenario::new();
         for chosen in moves {
             scenario.apply(chosen);
@@ -167,7 +169,13 @@
             .filter(|id| scenario.cell.progress(*id).state != JobState::Completed)
             .collect();
         let stats = scenario.lead.stall_stats(scenario.cell.now);
-        prop_assert!(left.is_empty(), "jobs {left:?} have not ended {limit} ms after the faults: {stats:?}");
-        prop_assert!(scenario.cell.place(task(1, 0, 0)).is_none(), "a task of an ended job still runs");
+        prop_assert!(
+            left.is_empty(),
+            "jobs {left:?} have not ended {limit} ms after the faults: {stats:?}"
+        );
+        prop_assert!(
+            scenario.cell.place(task(1, 0, 0)).is_none(),
+            "a task of an ended job still runs"
+        );
     }
 }
--- a/crates/sedgehill-cell/tests/testsuite/random.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random.rs
@@ -1,7 +1,7 @@
-//! Random courses of a cell: leads that are lost, workers that are cut or mute or not listed or listed wrongly, runs
-//! that end in any way, orders that are carried out late, tasks that crash their workers, workers that crash by
-//! themselves, that shrink and grow. The fakes panic when a task runs twice,
-//! after its end, beyond a worker's size, or beyond the highest limit that its organisation has had.
+//! Random sequences of faults in a cell: lost leads, workers that are cut off, mute, unlisted or listed wrongly, runs
+//! with any kind of end, orders that are carried out late, tasks that crash their workers, and workers that crash by
+//! themselves, shrink or grow. The fakes panic when a task runs twice or after its end, or when runs exceed the
+//! capacity of a worker or the highest limit that their organisation has had.
 
 use proptest::prelude::*;
 use sedgehill_cell::ids::JobId;
@@ -14,70 +14,71 @@
 
 const WORKERS: u16 = 4;
 const CORES: u64 = 4;
-/// Organisations of the courses, with their limits in cores at first.
+/// Organisations with their initial limits in cores.
 const ORGANISATIONS: [(&str, u64); 2] = [("large", 9), ("small", 4)];
 
 #[derive(Debug, Clone)]
-enum Step {
+enum Move {
     Submit {
         count: u16,
         need: u64,
         gang: bool,
         chained: bool,
         owner: usize,
-        /// Its first task crashes the workers that start it, mostly.
+        /// Whether and how the first task crashes the workers that start it.
         crashes: Option<CrashHabit>,
     },
-    /// A worker crashes by itself, and is back after so long.
+    /// A worker crashes by itself, and is back after this many milliseconds.
     Crash(usize, u64),
-    /// All workers crash at one moment, and are back after so long.
+    /// All workers crash at the same time, and are back after this many milliseconds.
     CrashAll(u64),
-    /// A worker has so many cores from now on.
+    /// Sets the number of cores of a worker.
     Resize(usize, u64),
     Cancel(u64),
-    /// The limit of an organisation becomes so many cores.
+    /// Sets the limit of an organisation in cores.
     Limit(usize, u64),
     Cut(usize, bool),
     Mute(usize, bool),
-    Unlist(usize, bool),
-    /// The entry of a worker cannot be read, or can be again.
-    Spoil(usize, bool),
-    /// A worker is listed at the address of another one, or of itself.
+    SetUnlisted(usize, bool),
+    /// Makes the entry of a worker unreadable or readable.
+    SetUnreadable(usize, bool),
+    /// Lists a worker at the address of another worker or at its own.
     Misplace(usize, usize),
-    /// A life ends, and another one begins at its address.
-    BeginAnew(usize),
-    /// A worker starts again under its id, where workers tell when they began.
-    StartAgain(usize),
+    /// A life ends, and another life starts at its address.
+    ReplaceWorker(usize),
+    /// A worker restarts under its id, in cells whose workers keep their ids.
+    RestartWorker(usize),
     End {
         pick: usize,
         end: RunEnd,
     },
-    /// Turns of the lead, of 20 ms each.
+    /// Runs this many turns of the lead, of 20 ms each.
     Turns(usize),
-    /// The lead decides and gives orders, but records nothing.
-    Unrecorded,
-    /// Accounts are heard after orders that were carried out later.
-    StaleAccounts,
-    /// The answers to the orders of a turn are lost, and then one worker cannot be reached.
+    /// Runs a turn in which the lead gives orders but records nothing.
+    TurnUnrecorded,
+    /// Runs a turn in which the lead reads reports that are older than the orders carried out.
+    StaleReports,
+    /// Loses the answers to the orders of a turn, and then cuts off one worker.
     LoseAnswers(usize),
-    /// Orders that were lost are carried out now.
+    /// Carries out the orders that were lost.
     CarryOutLate,
-    /// The lead is lost with all that it has not recorded.
+    /// Replaces the lead, which loses all that it has not recorded.
     NewLead,
 }
 
-/// Mostly none. A task crashes its workers at once or later, each time or the first times only.
-fn habits() -> impl Strategy<Value = Option<CrashHabit>> {
+/// Generates `None` in most cases. Otherwise a task crashes its workers at once or later, each time or only the first
+/// times.
+fn any_crash_rule() -> impl Strategy<Value = Option<CrashHabit>> {
     let runs = prop_oneof![3 => Just(usize::MAX), 1 => 1usize..4];
-    let habit = (0u64..2_000, 20u64..8_000, runs).prop_map(|(after, back, runs)| CrashHabit {
+    let crash_rule = (0u64..2_000, 20u64..8_000, runs).prop_map(|(after, back, runs)| CrashHabit {
         after: TimeSpan(after),
         back: TimeSpan(back),
         runs,
     });
-    prop::option::weighted(0.15, habit)
+    prop::option::weighted(0.15, crash_rule)
 }
 
-fn steps() -> impl Strategy<Value = Step> {
+fn any_move() -> impl Strategy<Value = Move> {
     let worker = 0..usize::from(WORKERS);
     let end = prop_oneof![
         6 => Just(RunEnd::Done),
@@ -85,52 +86,52 @@
         1 => Just(RunEnd::Stopped),
     ];
     prop_oneof![
-        4 => (1u16..5, 1u64..4, any::<bool>(), any::<bool>(), 0usize..3, habits()).prop_map(
+        4 => (1u16..5, 1u64..4, any::<bool>(), any::<bool>(), 0usize..3, any_crash_rule()).prop_map(
             |(count, need, gang, chained, owner, crashes)| {
-                Step::Submit { count, need, gang, chained, owner, crashes }
+                Move::Submit { count, need, gang, chained, owner, crashes }
             }
         ),
-        1 => (worker.clone(), 20u64..9_000).prop_map(|(number, back)| Step::Crash(number, back)),
-        1 => (20u64..4_000).prop_map(Step::CrashAll),
-        2 => (worker.clone(), 0u64..6).prop_map(|(number, cores)| Step::Resize(number, cores)),
-        1 => (0usize..2, 3u64..16).prop_map(|(owner, most)| Step::Limit(owner, most)),
-        1 => (0u64..12).prop_map(Step::Cancel),
-        2 => (worker.clone(), any::<bool>()).prop_map(|(number, cut)| Step::Cut(number, cut)),
-        2 => (worker.clone(), any::<bool>()).prop_map(|(number, mute)| Step::Mute(number, mute)),
-        2 => (worker.clone(), any::<bool>()).prop_map(|(number, gone)| Step::Unlist(number, gone)),
-        2 => (worker.clone(), any::<bool>()).prop_map(|(number, bad)| Step::Spoil(number, bad)),
-        2 => (worker.clone(), worker.clone()).prop_map(|(number, at)| Step::Misplace(number, at)),
-        1 => worker.clone().prop_map(Step::BeginAnew),
-        2 => worker.prop_map(Step::StartAgain),
-        6 => (0usize..16, end).prop_map(|(pick, end)| Step::End { pick, end }),
-        8 => (1usize..40).prop_map(Step::Turns),
-        1 => (200usize..500).prop_map(Step::Turns),
-        2 => Just(Step::Unrecorded),
-        2 => Just(Step::StaleAccounts),
-        3 => (0..usize::from(WORKERS)).prop_map(Step::LoseAnswers),
-        2 => Just(Step::CarryOutLate),
-        1 => Just(Step::NewLead),
+        1 => (worker.clone(), 20u64..9_000).prop_map(|(number, back)| Move::Crash(number, back)),
+        1 => (20u64..4_000).prop_map(Move::CrashAll),
+        2 => (worker.clone(), 0u64..6).prop_map(|(number, cores)| Move::Resize(number, cores)),
+        1 => (0usize..2, 3u64..16).prop_map(|(owner, max_cores)| Move::Limit(owner, max_cores)),
+        1 => (0u64..12).prop_map(Move::Cancel),
+        2 => (worker.clone(), any::<bool>()).prop_map(|(number, cut)| Move::Cut(number, cut)),
+        2 => (worker.clone(), any::<bool>()).prop_map(|(number, mute)| Move::Mute(number, mute)),
+        2 => (worker.clone(), any::<bool>()).prop_map(|(number, set)| Move::SetUnlisted(number, set)),
+        2 => (worker.clone(), any::<bool>()).prop_map(|(number, set)| Move::SetUnreadable(number, set)),
+        2 => (worker.clone(), worker.clone()).prop_map(|(number, at)| Move::Misplace(number, at)),
+        1 => worker.clone().prop_map(Move::ReplaceWorker),
+        2 => worker.prop_map(Move::RestartWorker),
+        6 => (0usize..16, end).prop_map(|(pick, end)| Move::End { pick, end }),
+        8 => (1usize..40).prop_map(Move::Turns),
+        1 => (200usize..500).prop_map(Move::Turns),
+        2 => Just(Move::TurnUnrecorded),
+        2 => Just(Move::StaleReports),
+        3 => (0..usize::from(WORKERS)).prop_map(Move::LoseAnswers),
+        2 => Just(Move::CarryOutLate),
+        1 => Just(Move::NewLead),
     ]
 }
 
-fn take(cell: &mut FakeCell, lead: &mut Scheduler, jobs: &mut u64, taken: Step) {
-    match taken {
-        Step::Submit { count, need, gang, chained, owner, crashes } => {
-            if let Some(habit) = crashes {
-                cell.make_crash(task(*jobs, 0, 0), habit);
+fn apply(cell: &mut FakeCell, lead: &mut Scheduler, jobs: &mut u64, chosen: Move) {
+    match chosen {
+        Move::Submit { count, need, gang, chained, owner, crashes } => {
+            if let Some(crash_rule) = crashes {
+                cell.make_crash(task(*jobs, 0, 0), crash_rule);
             }
             let mut first = step(count, need);
             first.gang = gang;
-            let mut all = vec![first];
+            let mut steps = vec![first];
             if chained {
                 let mut second = step(2, 1);
                 second.after = vec![0];
-                all.push(second);
+                steps.push(second);
             }
-            // Every other job comes through the lead, which needs no mark to start it.
+            // Every other job is accepted by the lead, which starts it without a further record.
             let record = match ORGANISATIONS.get(owner) {
-                Some((name, most)) => owned(name, *most, job(all)),
-                None => job(all),
+                Some((name, max_cores)) => owned(name, *max_cores, job(steps)),
+                None => job(steps),
             };
             match jobs.is_multiple_of(2) {
                 true => cell.submit_led(lead, *jobs, record),
@@ -138,57 +139,57 @@
             }
             *jobs += 1;
         }
-        Step::Crash(number, back) => {
+        Move::Crash(number, back) => {
             let number = cell.living(number);
             cell.crash(number, TimeSpan(back));
         }
-        Step::CrashAll(back) => {
+        Move::CrashAll(back) => {
             (0..cell.workers.len()).for_each(|number| cell.crash(number, TimeSpan(back)));
         }
-        Step::Resize(number, cores) => {
+        Move::Resize(number, cores) => {
             let number = cell.living(number);
             cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
-        Step::Cancel(id) => cell.cancel(lead, id),
-        Step::Limit(owner, most) => cell.limit(lead, ORGANISATIONS[owner].0, most),
-        Step::Cut(number, cut) => cell.workers[number].cut = cut,
-        Step::Mute(number, mute) => cell.workers[number].mute = mute,
-        Step::Unlist(number, gone) => cell.workers[number].unlisted = gone,
-        Step::Spoil(number, bad) => cell.workers[number].unreadable = bad,
-        Step::Misplace(number, at) => cell.misplace(number, at),
-        Step::BeginAnew(number) => cell.begin_anew(number),
-        Step::StartAgain(number) if cell.keeps_ids => cell.start_again(number),
-        Step::StartAgain(_) => {}
-        Step::End { pick, end } => cell.end_some(pick, end),
-        Step::Turns(count) => {
+        Move::Cancel(id) => cell.cancel(lead, id),
+        Move::Limit(owner, max_cores) => cell.limit(lead, ORGANISATIONS[owner].0, max_cores),
+        Move::Cut(number, cut) => cell.workers[number].cut = cut,
+        Move::Mute(number, mute) => cell.workers[number].mute = mute,
+        Move::SetUnlisted(number, unlisted) => cell.workers[number].unlisted = unlisted,
+        Move::SetUnreadable(number, unreadable) => cell.workers[number].unreadable = unreadable,
+        Move::Misplace(number, at) => cell.misplace(number, at),
+        Move::ReplaceWorker(number) => cell.begin_anew(number),
+        Move::RestartWorker(number) if cell.keeps_ids => cell.start_again(number),
+        Move::RestartWorker(_) => {}
+        Move::End { pick, end } => cell.end_some(pick, end),
+        Move::Turns(count) => {
             cell.list(lead);
             cell.turns(lead, count);
             cell.break_gangs();
         }
-        Step::Unrecorded => cell.turn_unrecorded(lead),
-        Step::StaleAccounts => cell.turn_with_stale_accounts(lead),
-        Step::LoseAnswers(number) => {
+        Move::TurnUnrecorded => cell.turn_unrecorded(lead),
+        Move::StaleReports => cell.turn_with_stale_accounts(lead),
+        Move::LoseAnswers(number) => {
             cell.turn_losing_answers(lead);
             cell.workers[number].cut = true;
         }
-        Step::CarryOutLate => cell.carry_out_late(),
-        Step::NewLead => *lead = cell.lead(true),
+        Move::CarryOutLate => cell.carry_out_late(),
+        Move::NewLead => *lead = cell.lead(true),
     }
 }
 
-/// Plays a course in a new cell, and checks that every job ends and how.
-fn play(keeps_ids: bool, course: Vec<Step>) -> Result<(), TestCaseError> {
+/// Applies moves to a new cell, ends all faults, and checks that every job ends and in which state.
+fn run_moves(keeps_ids: bool, moves: Vec<Move>) -> Result<(), TestCaseError> {
     let mut cell = match keeps_ids {
         true => FakeCell::with_lasting_ids(WORKERS, CORES),
         false => FakeCell::new(WORKERS, CORES),
     };
     let mut lead = cell.lead(false);
-    for (name, most) in ORGANISATIONS {
-        cell.limit(&mut lead, name, most);
+    for (name, max_cores) in ORGANISATIONS {
+        cell.limit(&mut lead, name, max_cores);
     }
     let mut jobs = 0;
-    for taken in course {
-        take(&mut cell, &mut lead, &mut jobs, taken);
+    for chosen in moves {
+        apply(&mut cell, &mut lead, &mut jobs, chosen);
     }
     for worker in &mut cell.workers {
         (worker.cut, worker.mute, worker.unlisted) = (false, false, false);
@@ -219,38 +220,38 @@
     #![proptest_config(cases(200))]
 
     #[test]
-    fn no_course_breaks_a_rule_and_every_job_ends(
+    fn random_faults_break_no_rule_and_every_job_ends(
         keeps_ids in any::<bool>(),
-        course in prop::collection::vec(steps(), 1..120),
+        moves in prop::collection::vec(any_move(), 1..120),
     ) {
-        play(keeps_ids, course)?;
+        run_moves(keeps_ids, moves)?;
     }
 }
 
 // A task may be started at most twice after three workers have crashed under it; here it is started three times.
-// Workers 1 and 3 crash under the task, and their next lives are not heard, since worker 1 is cut and worker 3 is mute.
-// Both runs are dropped when they have been unresolved for 20 s, so the lead knows only of the crash of worker 0 when
-// it starts run 4 and does not count that start. The lead after it counts two more starts.
+// Workers 1 and 3 crash under the task, and their next lives stay silent, since worker 1 is cut off and worker 3 is
+// mute. Both runs are dropped when they have been unresolved for 20 s, so the lead knows only of the crash of worker 0
+// when it starts run 4 and does not count that start. The next lead counts two more starts.
 #[test]
 fn a_task_is_started_twice_at_most_after_three_crashes_seed_0cec81e8() {
-    let habit = CrashHabit { after: TimeSpan(1_161), back: TimeSpan(7_641), runs: usize::MAX };
-    let course = vec![
-        Step::Spoil(2, true),
-        Step::Crash(0, 20),
-        Step::Submit {
+    let crash_rule = CrashHabit { after: TimeSpan(1_161), back: TimeSpan(7_641), runs: usize::MAX };
+    let moves = vec![
+        Move::SetUnreadable(2, true),
+        Move::Crash(0, 20),
+        Move::Submit {
             count: 1,
             need: 1,
             gang: false,
             chained: false,
             owner: 0,
-            crashes: Some(habit),
+            crashes: Some(crash_rule),
         },
-        Step::Turns(409),
-        Step::Mute(3, true),
-        Step::LoseAnswers(1),
-        Step::Turns(477),
-        Step::Turns(487),
-        Step::NewLead,
+        Move::Turns(409),
+        Move::Mute(3, true),
+        Move::LoseAnswers(1),
+        Move::Turns(477),
+        Move::Turns(487),
+        Move::NewLead,
     ];
-    play(true, course).unwrap();
+    run_moves(true, moves).unwrap();
 }
--- a/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
@@ -100,6 +100,10 @@
             .filter(|index| scenario.cell.place(task(LONG_RUNNING, 0, *index)).is_none())
             .collect();
         let state = scenario.cell.progress(LONG_RUNNING).state;
-        prop_assert!(missing.is_empty(), "{state:?}, tasks {missing:?}: {:?}", scenario.first_late_restart());
+        prop_assert!(
+            missing.is_empty(),
+            "{state:?}, tasks {missing:?}: {:?}",
+            scenario.first_late_restart()
+        );
     }
 }
