--- a/crates/sedgehill-cell/tests/testsuite/advice.rs
+++ b/crates/sedgehill-cell/tests/testsuite/advice.rs
@@ -122,7 +122,7 @@
     let mut asked = Vec::new();
     for _ in 0..8 {
         cell.now.0 += 10;
-        cell.look(&mut lead);
+        cell.poll_workers(&mut lead);
         cell.record(&mut lead);
         lead.schedule(cell.now);
         for order in lead.take_orders() {
--- a/crates/sedgehill-cell/tests/testsuite/crashing.rs
+++ b/crates/sedgehill-cell/tests/testsuite/crashing.rs
@@ -20,7 +20,7 @@
 use sedgehill_cell::scheduler::{CellOrder, RunEnd, Scheduler};
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{CrashHabit, FakeCell, job, step, task};
+use crate::fake::{CrashRule, FakeCell, job, step, task};
 
 /// Number of turns in which a crashed worker returns several times.
 const TURNS_OF_SEVERAL_CRASHES: usize = 1_500;
@@ -29,7 +29,7 @@
 fn a_task_that_crashes_its_workers_is_given_up_and_others_continue() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit::default());
+    cell.make_crash(task(1, 0, 0), CrashRule::default());
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
     for _ in 0..TURNS_OF_SEVERAL_CRASHES {
@@ -101,7 +101,7 @@
             }
             cell.list(&mut lead);
             turns(&mut cell, &mut lead, 10);
-            cell.begin_anew(holder);
+            cell.replace_worker(holder);
         }
         turns(&mut cell, &mut lead, 10);
         assert_eq!(cell.progress(1).state, JobState::Running);
@@ -129,7 +129,7 @@
 fn a_crash_detected_after_the_lease_counts() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    let crash_rule = CrashHabit { back: TimeSpan(9_000), ..CrashHabit::default() };
+    let crash_rule = CrashRule { back: TimeSpan(9_000), ..CrashRule::default() };
     cell.make_crash(task(1, 0, 0), crash_rule);
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES * 2);
@@ -143,7 +143,7 @@
         for lost_after in [1, 30, 149, 151] {
             let mut cell = FakeCell::new(8, 4);
             let mut lead = cell.lead(false);
-            let crash_rule = CrashHabit { back: TimeSpan(back), ..CrashHabit::default() };
+            let crash_rule = CrashRule { back: TimeSpan(back), ..CrashRule::default() };
             cell.make_crash(task(1, 0, 0), crash_rule);
             cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
             cell.submit_led(&mut lead, 2, job(vec![step(8, 1)]));
@@ -173,7 +173,7 @@
 fn a_gang_with_a_member_that_crashes_its_workers_is_given_up() {
     let mut cell = FakeCell::new(8, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 2), CrashHabit::default());
+    cell.make_crash(task(1, 0, 2), CrashRule::default());
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { gang: true, ..step(4, 2) }]));
     cell.submit_led(&mut lead, 2, job(vec![step(6, 1)]));
     for _ in 0..TURNS_OF_SEVERAL_CRASHES {
@@ -191,7 +191,7 @@
 fn a_long_running_task_that_crashes_its_workers_is_given_up() {
     let mut cell = FakeCell::new(6, 4);
     let mut lead = cell.lead(false);
-    let crash_rule = CrashHabit { after: TimeSpan(700), ..CrashHabit::default() };
+    let crash_rule = CrashRule { after: TimeSpan(700), ..CrashRule::default() };
     cell.make_crash(task(1, 0, 0), crash_rule);
     cell.submit_led(&mut lead, 1, job(vec![StepSpec { long_running: true, ..step(2, 1) }]));
     turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES);
@@ -222,7 +222,7 @@
 fn a_task_that_crashes_its_first_two_workers_completes_on_the_third() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit { runs: 2, ..CrashHabit::default() });
+    cell.make_crash(task(1, 0, 0), CrashRule { runs: 2, ..CrashRule::default() });
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     turns(&mut cell, &mut lead, TURNS_OF_SEVERAL_CRASHES);
     cell.end_all();
@@ -239,7 +239,7 @@
     const CRASHING_JOBS: u64 = 12;
     const JOBS: u64 = 100;
     for id in 0..CRASHING_JOBS {
-        let crash_rule = CrashHabit { after: TimeSpan(20 + 150 * id), ..CrashHabit::default() };
+        let crash_rule = CrashRule { after: TimeSpan(20 + 150 * id), ..CrashRule::default() };
         cell.make_crash(task(id, 0, 0), crash_rule);
     }
     for id in 0..JOBS {
@@ -335,7 +335,7 @@
 fn a_job_fails_as_soon_as_its_third_crash_is_detected() {
     let mut cell = FakeCell::new(4, 4);
     let mut lead = cell.lead(false);
-    cell.make_crash(task(1, 0, 0), CrashHabit::default());
+    cell.make_crash(task(1, 0, 0), CrashRule::default());
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     while cell.crashes_under(task(1, 0, 0)) < 3 {
         turns(&mut cell, &mut lead, 1);
@@ -369,7 +369,7 @@
     let mut lead = cell.lead(false);
     turns(&mut cell, &mut lead, 5);
     for _ in 0..4 {
-        let number = cell.living(9);
+        let number = cell.living_worker(9);
         cell.crash(number, TimeSpan(500));
         turns(&mut cell, &mut lead, 60);
     }
@@ -423,7 +423,7 @@
     cell.submit_led(&mut lead, 1, job(vec![step(1, 1)]));
     lead.schedule(cell.now);
     for order in lead.take_orders() {
-        cell.obey(&mut lead, &order);
+        cell.carry_out(&mut lead, &order);
     }
     turns(&mut cell, &mut lead, TURNS_PAST_LEASES);
     assert!(!cell.progress(1).crash_histories.is_empty(), "a crash of the worker is unresolved");
@@ -477,7 +477,7 @@
 fn lose_unanswered_start(cell: &mut FakeCell, lead: &mut Scheduler) {
     let order = loop {
         cell.now.0 += 20;
-        cell.look(lead);
+        cell.poll_workers(lead);
         cell.record(lead);
         lead.schedule(cell.now);
         let orders = lead.take_orders();
@@ -489,8 +489,8 @@
     let CellOrder::Start(start) = &order else { unreachable!() };
     let holder = cell.number(lead, start.worker);
     cell.workers[holder].cut = true;
-    cell.obey(lead, &order);
-    cell.forget_late();
+    cell.carry_out(lead, &order);
+    cell.discard_late_starts();
     cell.crash(holder, TimeSpan(500));
     cell.workers[holder].cut = false;
     turns(cell, lead, 60);
--- a/crates/sedgehill-cell/tests/testsuite/diagnostics.rs
+++ b/crates/sedgehill-cell/tests/testsuite/diagnostics.rs
@@ -270,7 +270,7 @@
     assert_eq!(known_state_of(&cell, &mut lead, row(9, 1)), KnownTaskState::Unknown);
     lead.cancel_job(JobId(2), cell.now);
     cell.end_anywhere(task(2, 0, 0), RunEnd::Stopped);
-    cell.look_at(&mut lead, WorkerKey(0));
+    cell.poll_worker(&mut lead, WorkerKey(0));
     let over = known_state_of(&cell, &mut lead, row(2, 5));
     assert_eq!(over, KnownTaskState::JobOver(JobState::Cancelled));
 }
--- a/crates/sedgehill-cell/tests/testsuite/further_starts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/further_starts.rs
@@ -31,7 +31,7 @@
     let holder = cell.place(task(1, 0, 0)).unwrap();
     cell.workers[holder].entry.draining = true;
     cell.list(&mut lead);
-    cell.begin_anew(holder);
+    cell.replace_worker(holder);
     turns(&mut cell, &mut lead, 100);
     assert_eq!(crash_count(&cell, 1), 2);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Stopped);
@@ -50,7 +50,7 @@
     for _ in 0..200 {
         cell.now.0 += 20;
         cell.list(lead);
-        cell.look(lead);
+        cell.poll_workers(lead);
         cell.record(lead);
         lead.schedule(cell.now);
         let mut start_lost = false;
@@ -60,7 +60,7 @@
                     lead.start_answered(start, WorkerAnswer::Unknown, cell.now);
                     start_lost = true;
                 }
-                _ => cell.obey(lead, &order),
+                _ => cell.carry_out(lead, &order),
             }
         }
         if start_lost {
--- a/crates/sedgehill-cell/tests/testsuite/low_rank_steps.rs
+++ b/crates/sedgehill-cell/tests/testsuite/low_rank_steps.rs
@@ -14,7 +14,7 @@
 use sedgehill_cell::scheduler::{HelperId, Scheduler};
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, job, step};
+use crate::fake::{FakeCell, FakeService, HelperFault, job, step};
 
 /// Cost of a question at the most expensive of the users' small sites.
 const EXPENSIVE_ADVICE: AdvicePolicy =
@@ -60,8 +60,8 @@
         let mut lead = cell.lead(false);
         (1..=HELPERS).for_each(|helper| lead.add_helper(HelperId(helper)));
         let mut service = FakeService::new(EXPENSIVE_ADVICE, |_, _| true);
-        let fails = (0..=HELPERS).map(|helper| (HelperId(helper), HelperTrouble::Fails));
-        service.troubles.extend(fails);
+        let fails = (0..=HELPERS).map(|helper| (HelperId(helper), HelperFault::Fails));
+        service.faults.extend(fails);
         let mut scenario = RankScenario { cell, lead, service, other_jobs: 0 };
         scenario.turn();
         scenario.cell.submit_led(&mut scenario.lead, LATE_JOB, gang(24, 4, EXPENSIVE_ADVICE));
@@ -79,7 +79,7 @@
                 other,
             );
         }
-        scenario.service.troubles.clear();
+        scenario.service.faults.clear();
         scenario
     }
 
--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -9,7 +9,7 @@
 use sedgehill_cell::scheduler::{HelperId, RunEnd, Scheduler};
 use sedgehill_core::units::{Moment, TimeSpan};
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, job, step, task};
+use crate::fake::{FakeCell, FakeService, HelperFault, job, step, task};
 
 const WORKERS: u16 = 12;
 const CORES: u64 = 16;
@@ -34,7 +34,7 @@
         gang: bool,
         chained: bool,
     },
-    Trouble(u64, Option<HelperTrouble>),
+    Trouble(u64, Option<HelperFault>),
     /// The service allows no worker for this many milliseconds.
     Nobody(u64),
     /// This many runs fail.
@@ -46,9 +46,9 @@
 
 fn any_move() -> impl Strategy<Value = Move> {
     let trouble = prop_oneof![
-        Just(HelperTrouble::Fails),
-        Just(HelperTrouble::Silent),
-        (2u64..12).prop_map(HelperTrouble::Slow),
+        Just(HelperFault::Fails),
+        Just(HelperFault::Silent),
+        (2u64..12).prop_map(HelperFault::Slow),
     ];
     prop_oneof![
         5 => (1u16..25, 1u64..9, any::<bool>(), any::<bool>()).prop_map(
@@ -116,19 +116,19 @@
             Move::Trouble(helper, trouble) => {
                 let helper = HelperId(helper);
                 match trouble {
-                    Some(trouble) => self.service.troubles.insert(helper, trouble),
-                    None => self.service.troubles.remove(&helper),
+                    Some(trouble) => self.service.faults.insert(helper, trouble),
+                    None => self.service.faults.remove(&helper),
                 };
             }
             Move::Nobody(span) => {
-                self.service.nobody_until = self.cell.now.after(TimeSpan(span));
+                self.service.none_allowed_until = self.cell.now.after(TimeSpan(span));
             }
             Move::Fail(count) => {
                 (0..count).for_each(|pick| self.cell.end_some(pick, RunEnd::Failed));
             }
             Move::Turns(count) => (0..count).for_each(|_| self.turn()),
             Move::NewLead => {
-                self.service.forget_questions();
+                self.service.discard_questions();
                 self.lead = self.cell.lead(true);
                 self.lead.note_fenced(self.cell.now);
                 add_helpers(&mut self.lead);
@@ -156,8 +156,8 @@
         for chosen in moves {
             scenario.apply(chosen);
         }
-        scenario.service.troubles.clear();
-        scenario.service.nobody_until = Moment(0);
+        scenario.service.faults.clear();
+        scenario.service.none_allowed_until = Moment(0);
         // Questions to a silent box stay unanswered. The questions that a slow box works on have to end first.
         let busy = scenario.service.busy_until().0.saturating_sub(scenario.cell.now.0);
         let limit = MAX_RECOVERY_DELAY_MS + busy + scenario.steps * MAX_STEP_DURATION_MS;
--- a/crates/sedgehill-cell/tests/testsuite/random.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random.rs
@@ -10,7 +10,7 @@
 use sedgehill_core::units::{CoreCount, TimeSpan};
 
 use crate::cases::cases;
-use crate::fake::{CrashHabit, FakeCell, job, owned, step, task};
+use crate::fake::{CrashRule, FakeCell, job, owned, step, task};
 
 const WORKERS: u16 = 4;
 const CORES: u64 = 4;
@@ -26,7 +26,7 @@
         chained: bool,
         owner: usize,
         /// Whether and how the first task crashes the workers that start it.
-        crashes: Option<CrashHabit>,
+        crashes: Option<CrashRule>,
     },
     /// A worker crashes by itself, and is back after this many milliseconds.
     Crash(usize, u64),
@@ -68,9 +68,9 @@
 
 /// Generates `None` in most cases. Otherwise a task crashes its workers at once or later, each time or only the first
 /// times.
-fn any_crash_rule() -> impl Strategy<Value = Option<CrashHabit>> {
+fn any_crash_rule() -> impl Strategy<Value = Option<CrashRule>> {
     let runs = prop_oneof![3 => Just(usize::MAX), 1 => 1usize..4];
-    let crash_rule = (0u64..2_000, 20u64..8_000, runs).prop_map(|(after, back, runs)| CrashHabit {
+    let crash_rule = (0u64..2_000, 20u64..8_000, runs).prop_map(|(after, back, runs)| CrashRule {
         after: TimeSpan(after),
         back: TimeSpan(back),
         runs,
@@ -140,14 +140,14 @@
             *jobs += 1;
         }
         Move::Crash(number, back) => {
-            let number = cell.living(number);
+            let number = cell.living_worker(number);
             cell.crash(number, TimeSpan(back));
         }
         Move::CrashAll(back) => {
             (0..cell.workers.len()).for_each(|number| cell.crash(number, TimeSpan(back)));
         }
         Move::Resize(number, cores) => {
-            let number = cell.living(number);
+            let number = cell.living_worker(number);
             cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
         Move::Cancel(id) => cell.cancel(lead, id),
@@ -157,8 +157,8 @@
         Move::SetUnlisted(number, unlisted) => cell.workers[number].unlisted = unlisted,
         Move::SetUnreadable(number, unreadable) => cell.workers[number].unreadable = unreadable,
         Move::Misplace(number, at) => cell.misplace(number, at),
-        Move::ReplaceWorker(number) => cell.begin_anew(number),
-        Move::RestartWorker(number) if cell.keeps_ids => cell.start_again(number),
+        Move::ReplaceWorker(number) => cell.replace_worker(number),
+        Move::RestartWorker(number) if cell.keeps_ids => cell.restart_worker(number),
         Move::RestartWorker(_) => {}
         Move::End { pick, end } => cell.end_some(pick, end),
         Move::Turns(count) => {
@@ -167,12 +167,12 @@
             cell.break_gangs();
         }
         Move::TurnUnrecorded => cell.turn_unrecorded(lead),
-        Move::StaleReports => cell.turn_with_stale_accounts(lead),
+        Move::StaleReports => cell.turn_with_stale_reports(lead),
         Move::LoseAnswers(number) => {
             cell.turn_losing_answers(lead);
             cell.workers[number].cut = true;
         }
-        Move::CarryOutLate => cell.carry_out_late(),
+        Move::CarryOutLate => cell.carry_out_late_starts(),
         Move::NewLead => *lead = cell.lead(true),
     }
 }
@@ -234,7 +234,7 @@
 // when it starts run 4 and does not count that start. The next lead counts two more starts.
 #[test]
 fn a_task_is_started_twice_at_most_after_three_crashes_seed_0cec81e8() {
-    let crash_rule = CrashHabit { after: TimeSpan(1_161), back: TimeSpan(7_641), runs: usize::MAX };
+    let crash_rule = CrashRule { after: TimeSpan(1_161), back: TimeSpan(7_641), runs: usize::MAX };
     let moves = vec![
         Move::SetUnreadable(2, true),
         Move::Crash(0, 20),
--- a/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
@@ -7,7 +7,7 @@
 use sedgehill_core::units::{CoreCount, TimeSpan};
 
 use crate::cases::cases;
-use crate::fake::{HelperTrouble, task};
+use crate::fake::{HelperFault, task};
 use crate::restarts::{
     AdvisedQueues, CORES, HELPERS, LONG_RUNNING, Load, RestartScenario, TASKS, WORKERS,
 };
@@ -26,7 +26,7 @@
     /// A worker crashes and is back after this many milliseconds.
     Crash(usize, u64),
     Resize(usize, u64),
-    Trouble(u64, Option<HelperTrouble>),
+    Trouble(u64, Option<HelperFault>),
     Turns(usize),
     NewLead,
 }
@@ -34,9 +34,9 @@
 fn any_move() -> impl Strategy<Value = Move> {
     let worker = 0..usize::from(WORKERS);
     let trouble = prop_oneof![
-        Just(HelperTrouble::Fails),
-        Just(HelperTrouble::Silent),
-        (2u64..8).prop_map(HelperTrouble::Slow),
+        Just(HelperFault::Fails),
+        Just(HelperFault::Silent),
+        (2u64..8).prop_map(HelperFault::Slow),
     ];
     prop_oneof![
         6 => (0..TASKS).prop_map(Move::Fail),
@@ -62,11 +62,11 @@
         Move::Cut(number, cut) => scenario.cell.workers[number].cut = cut,
         Move::Mute(number, mute) => scenario.cell.workers[number].mute = mute,
         Move::Crash(number, back) => {
-            let number = scenario.cell.living(number);
+            let number = scenario.cell.living_worker(number);
             scenario.cell.crash(number, TimeSpan(back));
         }
         Move::Resize(number, cores) => {
-            let number = scenario.cell.living(number);
+            let number = scenario.cell.living_worker(number);
             scenario.cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
         Move::Trouble(helper, trouble) => scenario.set_trouble(HelperId(helper), trouble),
--- a/crates/sedgehill-cell/tests/testsuite/reports.rs
+++ b/crates/sedgehill-cell/tests/testsuite/reports.rs
@@ -22,7 +22,7 @@
     let older_report = cell.hold(0, &order);
     cell.end_anywhere(task(1, 0, 0), RunEnd::Failed);
     cell.now.0 += 10;
-    cell.look(&mut lead);
+    cell.poll_workers(&mut lead);
     cell.now.0 += 10;
     let event_count = lead.take_events().len();
     lead.hold_answered(ONLY_WORKER, older_report, sent, cell.now);
--- a/crates/sedgehill-cell/tests/testsuite/restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/restarts.rs
@@ -10,7 +10,7 @@
 };
 use sedgehill_core::units::{CoreCount, Moment, TimeSpan};
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, cores, job, step, task};
+use crate::fake::{FakeCell, FakeService, HelperFault, cores, job, step, task};
 
 pub const WORKERS: u16 = 24;
 pub const CORES: u64 = 16;
@@ -176,16 +176,16 @@
     }
 
     /// Sets or clears a fault of the questions of a box.
-    pub fn set_trouble(&mut self, helper: HelperId, trouble: Option<HelperTrouble>) {
+    pub fn set_trouble(&mut self, helper: HelperId, trouble: Option<HelperFault>) {
         match trouble {
-            Some(trouble) => self.service.troubles.insert(helper, trouble),
-            None => self.service.troubles.remove(&helper),
+            Some(trouble) => self.service.faults.insert(helper, trouble),
+            None => self.service.faults.remove(&helper),
         };
     }
 
     /// Replaces the lead by its successor.
     pub fn lose_lead(&mut self) {
-        self.service.forget_questions();
+        self.service.discard_questions();
         self.lead = self.cell.lead(true);
         self.lead.note_fenced(self.cell.now);
         (1..=HELPERS).for_each(|helper| self.lead.add_helper(HelperId(helper)));
@@ -193,7 +193,7 @@
 
     /// Ends all faults.
     pub fn heal(&mut self) {
-        self.service.troubles.clear();
+        self.service.faults.clear();
         for worker in &mut self.cell.workers {
             (worker.cut, worker.mute) = (false, false);
             worker.entry.capacity.cores = CoreCount(CORES * 1_000);
@@ -397,7 +397,7 @@
     let last_started =
         tasks.into_iter().max_by_key(|started| cell.starts.iter().position(|(t, ..)| t == started));
     let number = cell.place(last_started.unwrap()).unwrap();
-    cell.begin_anew(number);
+    cell.replace_worker(number);
     let mut next = cell.lead(false);
     cell.turns(&mut next, 5);
     let restarted = next
@@ -458,7 +458,7 @@
     cell.turns(&mut lead, 30);
     let holders = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
     // One worker restarts without its runs, the other is lost.
-    cell.begin_anew(holders[0]);
+    cell.replace_worker(holders[0]);
     cell.workers[holders[1]].cut = true;
     let mut next = cell.lead(true);
     next.note_fenced(cell.now);
@@ -479,7 +479,7 @@
     cell.submit_led(&mut lead, LONG_RUNNING, job(vec![long_running(2, 4)]));
     cell.turns(&mut lead, 30);
     let holders = [0, 1].map(|index| cell.place(task(LONG_RUNNING, 0, index)).unwrap());
-    cell.begin_anew(holders[0]);
+    cell.replace_worker(holders[0]);
     cell.workers[holders[1]].cut = true;
     // Another lead claimed in between and recorded nothing.
     drop(cell.lead(true));
--- a/crates/sedgehill-cell/tests/testsuite/stalled.rs
+++ b/crates/sedgehill-cell/tests/testsuite/stalled.rs
@@ -12,7 +12,7 @@
 use sedgehill_cell::scheduler::{CellEvent, HelperId, RunEnd, Scheduler, StallReason};
 use sedgehill_core::units::TimeSpan;
 
-use crate::fake::{FakeCell, FakeService, HelperTrouble, job, step};
+use crate::fake::{FakeCell, FakeService, HelperFault, job, step};
 
 /// Cost of a question at the most expensive of the users' small sites.
 const EXPENSIVE_ADVICE: AdvicePolicy =
@@ -125,7 +125,7 @@
 #[test]
 fn a_gang_starts_though_a_box_fails_each_question() {
     let mut scenario = StallScenario::new(|_| 2);
-    scenario.service.troubles.insert(LAST_HELPER, HelperTrouble::Fails);
+    scenario.service.faults.insert(LAST_HELPER, HelperFault::Fails);
     scenario.submit(1, gang(24, 4));
     scenario.assert_starts(1, 24, TimeSpan(2_000));
 }
@@ -133,7 +133,7 @@
 #[test]
 fn a_failing_box_is_asked_only_while_no_other_is_free() {
     let mut scenario = StallScenario::new(|_| 2);
-    scenario.service.troubles.insert(LAST_HELPER, HelperTrouble::Fails);
+    scenario.service.faults.insert(LAST_HELPER, HelperFault::Fails);
     for id in 1..=10 {
         scenario.submit(id, gang(4, 1));
         scenario.assert_starts(id, 4, TimeSpan(2_000));
@@ -148,8 +148,8 @@
 #[test]
 fn a_box_reserved_for_short_questions_asks_long_ones_while_no_other_can() {
     let mut scenario = StallScenario::new(|_| 2);
-    let fault = HelperTrouble::Fails;
-    scenario.service.troubles.extend((1..=HELPERS).map(|helper| (HelperId(helper), fault)));
+    let fault = HelperFault::Fails;
+    scenario.service.faults.extend((1..=HELPERS).map(|helper| (HelperId(helper), fault)));
     scenario.submit(1, gang(24, 4));
     scenario.assert_starts(1, 24, TimeSpan(1_500));
 }
@@ -157,21 +157,21 @@
 #[test]
 fn questions_to_a_failing_service_back_off_and_resume_when_it_recovers() {
     let mut scenario = StallScenario::new(|_| 2);
-    let fault = HelperTrouble::Fails;
-    scenario.service.troubles.extend((0..=HELPERS).map(|helper| (HelperId(helper), fault)));
+    let fault = HelperFault::Fails;
+    scenario.service.faults.extend((0..=HELPERS).map(|helper| (HelperId(helper), fault)));
     scenario.submit(1, gang(24, 4));
     assert_eq!(scenario.time_to_start(1, 24, TimeSpan(10_000)), None);
     // Each box asks at 0, 0.25, 0.75, 1.75 s and then every 2 s: 8 questions in 10 s.
     let asked = scenario.service.asked.len();
     assert!(asked <= 8 * (HELPERS as usize + 1), "{asked} questions in 10 s");
-    scenario.service.troubles.clear();
+    scenario.service.faults.clear();
     scenario.assert_starts(1, 24, TimeSpan(3_000));
 }
 
 #[test]
 fn a_gang_starts_though_a_box_never_answers() {
     let mut scenario = StallScenario::new(|_| 2);
-    scenario.service.troubles.insert(LAST_HELPER, HelperTrouble::Silent);
+    scenario.service.faults.insert(LAST_HELPER, HelperFault::Silent);
     scenario.submit(1, gang(24, 4));
     scenario.assert_starts(1, 24, TimeSpan(3_000));
 }
@@ -179,7 +179,7 @@
 #[test]
 fn a_gang_starts_though_the_service_allowed_no_worker_for_a_time() {
     let mut scenario = StallScenario::new(|_| 2);
-    scenario.service.nobody_until = scenario.cell.now.after(TimeSpan(3_000));
+    scenario.service.none_allowed_until = scenario.cell.now.after(TimeSpan(3_000));
     scenario.submit(1, gang(24, 4));
     scenario.assert_starts(1, 24, TimeSpan(5_000));
 }
@@ -188,7 +188,7 @@
 fn a_gang_starts_with_late_answers() {
     let mut scenario = StallScenario::new(|_| 2);
     for helper in 0..=HELPERS {
-        scenario.service.troubles.insert(HelperId(helper), HelperTrouble::Slow(6));
+        scenario.service.faults.insert(HelperId(helper), HelperFault::Slow(6));
     }
     scenario.submit(1, gang(24, 4));
     // A question about all workers costs 0.81 s, and takes 4.9 s.
@@ -262,7 +262,7 @@
     let mut scenario = StallScenario::new(|_| 2);
     let silent = HelperId(HELPERS + 1);
     scenario.lead.add_helper(silent);
-    scenario.service.troubles.insert(silent, HelperTrouble::Silent);
+    scenario.service.faults.insert(silent, HelperFault::Silent);
     for id in 0..GANGS {
         scenario.submit(id, gang(2, 1));
     }
