--- a/crates/sedgehill-cell/tests/testsuite/diagnostics.rs
+++ b/crates/sedgehill-cell/tests/testsuite/diagnostics.rs
@@ -140,10 +140,10 @@
 #[test]
 fn a_job_recorded_by_another_lead_is_reported_and_not_started() {
     let (mut cell, _) = running_cell(2);
-    let (record, kept) = cell.store.remove(&JobId(1)).unwrap();
+    let (record, progress) = cell.store.remove(&JobId(1)).unwrap();
     let mut next = cell.lead(true);
-    cell.store.insert(JobId(1), (record.clone(), kept.clone()));
-    next.add_job(JobId(1), record, &kept, TimeSpan(0), cell.now);
+    cell.store.insert(JobId(1), (record.clone(), progress.clone()));
+    next.add_job(JobId(1), record, &progress, TimeSpan(0), cell.now);
     let late = CellEvent::JobLedElsewhere { job: JobId(1), after: TimeSpan(0) };
     assert!(next.take_events().contains(&late));
     cell.workers.iter_mut().for_each(|worker| worker.expire_for_test());
@@ -158,7 +158,7 @@
     let mut next = cell.lead(true);
     cell.turn(&mut next);
     let clock = WorkerTime(cell.now.0 + 100_000);
-    let heard = CellEvent::WorkerHeard {
+    let first_answer = CellEvent::WorkerHeard {
         worker: cell.workers[number].entry.life.clone(),
         inherited: true,
         running: 1,
@@ -168,7 +168,7 @@
         after: TimeSpan(20),
     };
     let events = next.take_events();
-    assert!(events.contains(&heard), "{events:?}");
+    assert!(events.contains(&first_answer), "{events:?}");
     cell.turns(&mut next, 3);
     let later_events = next.take_events();
     let repeated = later_events.iter().any(|event| matches!(event, CellEvent::WorkerHeard { .. }));
@@ -180,17 +180,17 @@
     let (mut cell, number) = running_cell(2);
     let mut next = cell.lead(false);
     cell.turns(&mut next, 3);
-    let heard = cell.now;
+    let last_answer_at = cell.now;
     cell.workers[number].cut = true;
     let mut events = Vec::new();
     while loss_causes(&events).is_empty() {
-        assert!(cell.now.since(heard) < TimeSpan(10_000));
+        assert!(cell.now.since(last_answer_at) < TimeSpan(10_000));
         cell.turn(&mut next);
         events.extend(next.take_events());
     }
     let [LossCause::LeaseEnded(reading)] = loss_causes(&events)[..] else { panic!("{events:?}") };
-    assert_eq!(reading.clock, WorkerTime(heard.0 + 100_000));
-    assert_eq!(reading.age, cell.now.since(heard));
+    assert_eq!(reading.clock, WorkerTime(last_answer_at.0 + 100_000));
+    assert_eq!(reading.age, cell.now.since(last_answer_at));
     assert!(reading.until >= reading.clock.after(TimeSpan(5_900)), "{reading:?}");
     assert!(reading.least > reading.until.after(TimeSpan(150)), "{reading:?}");
     assert!(reading.least < reading.clock.after(reading.age), "the bound allows for a slow clock");
--- a/crates/sedgehill-cell/tests/testsuite/overlapping.rs
+++ b/crates/sedgehill-cell/tests/testsuite/overlapping.rs
@@ -161,9 +161,9 @@
 // that record before it reads the job.
 #[test]
 fn a_lead_does_not_start_a_job_that_its_successor_may_have_started() {
-    let marked = JobProgress { may_have_started: true, ..JobProgress::default() };
+    let started = JobProgress { may_have_started: true, ..JobProgress::default() };
     let accepted = CellRecord::Job(job(vec![step(1, 1)]));
-    assert_earlier_lead_starts_nothing(&[CellRecord::Progress(marked), accepted]);
+    assert_earlier_lead_starts_nothing(&[CellRecord::Progress(started), accepted]);
 }
 
 // A lead does not reach the worker of a task for some seconds and waits until the lease that it granted has ended.
@@ -205,12 +205,12 @@
     let mut other = watch("other", 2, start);
     other.note_record(record.clone(), start);
     let later = other.next_claim("127.0.0.1:7001");
-    let (sent, heard) = (start.after(TimeSpan(400)), start.after(TimeSpan(900)));
-    own.note_record(later.clone(), heard);
+    let (sent, read_at) = (start.after(TimeSpan(400)), start.after(TimeSpan(900)));
+    own.note_record(later.clone(), read_at);
     own.note_own_record(record, sent, 2, &timing);
     assert_eq!(own.newest(), Some(&later));
     assert!(!own.is_holder());
-    assert_eq!(own.authority(heard), None);
+    assert_eq!(own.authority(read_at), None);
     assert_eq!(own.next_claim("127.0.0.1:7000").token, later.token.next_lead());
 }
 
--- a/crates/sedgehill-cell/tests/testsuite/progress.rs
+++ b/crates/sedgehill-cell/tests/testsuite/progress.rs
@@ -34,9 +34,9 @@
         gang: bool,
         chained: bool,
     },
-    Trouble(u64, Option<HelperFault>),
+    Fault(u64, Option<HelperFault>),
     /// The service allows no worker for this many milliseconds.
-    Nobody(u64),
+    NoneAllowed(u64),
     /// This many runs fail.
     Fail(usize),
     /// Runs this many turns of 20 ms.
@@ -45,7 +45,7 @@
 }
 
 fn any_move() -> impl Strategy<Value = Move> {
-    let trouble = prop_oneof![
+    let fault = prop_oneof![
         Just(HelperFault::Fails),
         Just(HelperFault::Silent),
         (2u64..12).prop_map(HelperFault::Slow),
@@ -54,9 +54,9 @@
         5 => (1u16..25, 1u64..9, any::<bool>(), any::<bool>()).prop_map(
             |(members, need, gang, chained)| Move::Submit { members, need, gang, chained }
         ),
-        4 => (0..=HELPERS, prop::option::weighted(0.8, trouble))
-            .prop_map(|(helper, trouble)| Move::Trouble(helper, trouble)),
-        1 => (100u64..4_000).prop_map(Move::Nobody),
+        4 => (0..=HELPERS, prop::option::weighted(0.8, fault))
+            .prop_map(|(helper, fault)| Move::Fault(helper, fault)),
+        1 => (100u64..4_000).prop_map(Move::NoneAllowed),
         3 => (1usize..40).prop_map(Move::Fail),
         6 => (1usize..200).prop_map(Move::Turns),
         1 => Just(Move::NewLead),
@@ -113,14 +113,14 @@
             Move::Submit { members, need, gang, chained } => {
                 self.submit(members, need, gang, chained);
             }
-            Move::Trouble(helper, trouble) => {
+            Move::Fault(helper, fault) => {
                 let helper = HelperId(helper);
-                match trouble {
-                    Some(trouble) => self.service.faults.insert(helper, trouble),
+                match fault {
+                    Some(fault) => self.service.faults.insert(helper, fault),
                     None => self.service.faults.remove(&helper),
                 };
             }
-            Move::Nobody(span) => {
+            Move::NoneAllowed(span) => {
                 self.service.none_allowed_until = self.cell.now.after(TimeSpan(span));
             }
             Move::Fail(count) => {
--- a/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/random_restarts.rs
@@ -26,14 +26,14 @@
     /// A worker crashes and is back after this many milliseconds.
     Crash(usize, u64),
     Resize(usize, u64),
-    Trouble(u64, Option<HelperFault>),
+    Fault(u64, Option<HelperFault>),
     Turns(usize),
     NewLead,
 }
 
 fn any_move() -> impl Strategy<Value = Move> {
     let worker = 0..usize::from(WORKERS);
-    let trouble = prop_oneof![
+    let fault = prop_oneof![
         Just(HelperFault::Fails),
         Just(HelperFault::Silent),
         (2u64..8).prop_map(HelperFault::Slow),
@@ -44,8 +44,8 @@
         2 => (worker.clone(), any::<bool>()).prop_map(|(number, mute)| Move::Mute(number, mute)),
         2 => (worker.clone(), 20u64..6_000).prop_map(|(number, back)| Move::Crash(number, back)),
         2 => (worker, 0u64..=CORES).prop_map(|(number, cores)| Move::Resize(number, cores)),
-        3 => (0..=HELPERS, prop::option::weighted(0.6, trouble))
-            .prop_map(|(helper, trouble)| Move::Trouble(helper, trouble)),
+        3 => (0..=HELPERS, prop::option::weighted(0.6, fault))
+            .prop_map(|(helper, fault)| Move::Fault(helper, fault)),
         6 => (1usize..200).prop_map(Move::Turns),
         1 => Just(Move::NewLead),
     ]
@@ -69,7 +69,7 @@
             let number = scenario.cell.living_worker(number);
             scenario.cell.workers[number].entry.capacity.cores = CoreCount(cores * 1_000);
         }
-        Move::Trouble(helper, trouble) => scenario.set_trouble(HelperId(helper), trouble),
+        Move::Fault(helper, fault) => scenario.set_fault(HelperId(helper), fault),
         Move::Turns(count) => (0..count).for_each(|_| scenario.turn()),
         Move::NewLead => scenario.lose_lead(),
     }
--- a/crates/sedgehill-cell/tests/testsuite/restarts.rs
+++ b/crates/sedgehill-cell/tests/testsuite/restarts.rs
@@ -176,9 +176,9 @@
     }
 
     /// Sets or clears a fault of the questions of a box.
-    pub fn set_trouble(&mut self, helper: HelperId, trouble: Option<HelperFault>) {
-        match trouble {
-            Some(trouble) => self.service.faults.insert(helper, trouble),
+    pub fn set_fault(&mut self, helper: HelperId, fault: Option<HelperFault>) {
+        match fault {
+            Some(fault) => self.service.faults.insert(helper, fault),
             None => self.service.faults.remove(&helper),
         };
     }
