--- a/crates/sedgehill-cell/tests/testsuite/diagnostics.rs
+++ b/crates/sedgehill-cell/tests/testsuite/diagnostics.rs
@@ -89,18 +89,18 @@
     let (mut cell, number) = running_cell(2);
     cell.workers[number].cut = true;
     let mut next = cell.lead(false);
-    let begun_at = cell.now;
+    let take_over_at = cell.now;
     let by_time = next.take_over_status().settled_by;
     let mut events = Vec::new();
     while take_over_settled(&events).is_none() {
-        assert!(cell.now.since(begun_at) < TimeSpan(10_000), "{events:?}");
+        assert!(cell.now.since(take_over_at) < TimeSpan(10_000), "{events:?}");
         cell.turn(&mut next);
         events.extend(next.take_events());
     }
     assert!(cell.now >= by_time);
     let settled = take_over_settled(&events).unwrap();
     assert_eq!(settled.by, SettlementCause::Time);
-    assert_eq!(settled.after, cell.now.since(begun_at));
+    assert_eq!(settled.after, cell.now.since(take_over_at));
     assert_eq!((settled.heard, settled.unheard), (1, 1));
     assert_eq!(settled.unheard_some, [cell.workers[number].entry.life.clone()]);
     cell.turns(&mut next, 10);
